--- a/internal/dispatch/announce.go
+++ b/internal/dispatch/announce.go
@@ -23,16 +23,16 @@
 // none, or where the sibling may still believe in some.
 func (s *Scheduler) outOfDate(v *view) bool {
 	switch {
-	case s.willing() != v.told.Draws, s.connectionsMoved(v):
+	case s.willing() != v.lastSent.Draws, s.connectionsChanged(v):
 		return true
-	case s.queue.movable > 0 && v.told.Queued == 0:
+	case s.queue.movable > 0 && v.lastSent.Queued == 0:
 		return true
 	default:
-		return edge(s.idle(), v.told.Idle) && (v.heard.Idle <= 0 || s.idle() == 0)
+		return exactlyOneZero(s.idle(), v.lastSent.Idle) && (v.standing.Idle <= 0 || s.idle() == 0)
 	}
 }
 
-func edge(a, b int) bool { return (a == 0) != (b == 0) }
+func exactlyOneZero(a, b int) bool { return (a == 0) != (b == 0) }
 
 // willing reports whether siblings may hand work to the agent.
 func (s *Scheduler) willing() bool { return s.draws && !s.draining }
@@ -55,7 +55,7 @@
 		st.Waited = now.Sub(s.queue.waiting[i].Arrived)
 	}
 	if v := s.group.find(to); v != nil {
-		v.told = st
+		v.lastSent = st
 	}
 	return st
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -38,7 +38,7 @@
 	return dispatch.Refuse{}
 }
 
-func TestRequestThatCannotMakeItsDeadlineIsToldAtOnce(t *testing.T) {
+func TestRequestExpectedToMissDeadlineIsRefusedOnArrival(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1, Queue: 100})
 	s.Arrive(start, request(1, 0, time.Minute))
 	for id := range dispatch.ID(50) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestDeadlineInTheQueueIsToldWhenItPasses(t *testing.T) {
+func TestQueuedRequestIsRefusedWhenItsDeadlinePasses(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1, Queue: 10})
 	s.Arrive(start, request(1, 0, time.Minute))
 	s.Arrive(start, request(2, 0, time.Second))
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestOfferIsAnsweredByOnePushOrADecline(t *testing.T) {
+func TestEachOfferIsAnsweredByPushOrDecline(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1, Queue: 10})
 	s.SetSiblings(start, []netip.AddrPort{address(2)})
 	s.Arrive(start, request(1, 0, time.Minute))
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestFlowGoesOnlyToAClearlyBetterPlace(t *testing.T) {
+func TestFlowMovesOnlyBeyondMargin(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1})
 	s.SetSiblings(start, []netip.AddrPort{address(2), address(3)})
 	if s.FlowTarget().Better(1000) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// ledger checks that each request gets one word at a time and one end.
-type ledger struct {
+// lifecycle checks that each request gets one word at a time and one end.
+type lifecycle struct {
 	t     *rapid.T
 	state map[dispatch.ID]string
 	slots int
@@ -131,7 +131,7 @@
 	ended   = "ended"
 )
 
-func (l *ledger) take(actions []dispatch.Action) {
+func (l *lifecycle) take(actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Start:
@@ -147,14 +147,14 @@
 	}
 }
 
-func (l *ledger) move(id dispatch.ID, to string) {
+func (l *lifecycle) move(id dispatch.ID, to string) {
 	if l.state[id] != queued {
 		l.t.Fatalf("request %d went from %q to %q", id, l.state[id], to)
 	}
 	l.state[id] = to
 }
 
-func (l *ledger) in(state string) (ids []dispatch.ID) {
+func (l *lifecycle) in(state string) (ids []dispatch.ID) {
 	for id, s := range l.state {
 		if s == state {
 			ids = append(ids, id)
@@ -168,7 +168,7 @@
 // then lets all that is open end.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &ledger{t: t, state: map[dispatch.ID]string{}, slots: rapid.IntRange(1, 4).Draw(t, "slots")}
+		l := &lifecycle{t: t, state: map[dispatch.ID]string{}, slots: rapid.IntRange(1, 4).Draw(t, "slots")}
 		s := scheduler(dispatch.Limits{Slots: l.slots, Queue: rapid.IntRange(0, 5).Draw(t, "queue")})
 		siblings := []netip.AddrPort{address(2), address(3)}
 		l.take(s.SetSiblings(start, siblings))
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -6,8 +6,8 @@
 	// estimateGain is the weight of one observation in a moving average: the
 	// average follows a change within some 20 requests.
 	estimateGain = 0.05
-	// levels is the number of priorities that are told apart in estimates.
-	levels = 16
+	// priorityLevels is the number of priorities that are told apart in estimates.
+	priorityLevels = 16
 	// firstServiceTime is assumed until a request has ended.
 	firstServiceTime = 20 * time.Millisecond
 	// maxUrgentShare keeps the expected wait of lower classes finite.
@@ -22,7 +22,7 @@
 // of starts that each priority takes.
 type estimate struct {
 	service time.Duration
-	share   [levels]float64
+	share   [priorityLevels]float64
 }
 
 func newEstimate() estimate {
@@ -30,7 +30,7 @@
 }
 
 // level is the index of a priority in the shares.
-func level(priority int) int { return min(max(priority, 0), levels-1) }
+func level(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
 func (e *estimate) observe(service time.Duration) {
 	e.service += time.Duration(estimateGain * float64(service-e.service))
--- a/internal/dispatch/flows.go
+++ b/internal/dispatch/flows.go
@@ -33,11 +33,11 @@
 	var best FlowTarget
 	for i := range s.group.views {
 		v := &s.group.views[i]
-		if !v.spoken || !v.heard.Draws {
+		if !v.received || !v.standing.Draws {
 			continue
 		}
-		if !best.To.IsValid() || v.heard.Connections < best.Connections {
-			best = FlowTarget{To: v.addr, Connections: v.heard.Connections}
+		if !best.To.IsValid() || v.standing.Connections < best.Connections {
+			best = FlowTarget{To: v.addr, Connections: v.standing.Connections}
 		}
 	}
 	return best
@@ -50,8 +50,8 @@
 	return s.finish(now)
 }
 
-// connectionsMoved reports whether the sibling's knowledge is out of date.
-func (s *Scheduler) connectionsMoved(v *view) bool {
-	moved := s.connections - v.told.Connections
-	return moved >= flowStep || moved <= -flowStep
+// connectionsChanged reports whether the sibling's knowledge is out of date.
+func (s *Scheduler) connectionsChanged(v *view) bool {
+	change := s.connections - v.lastSent.Connections
+	return change >= flowStep || change <= -flowStep
 }
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -8,12 +8,12 @@
 // view is what the agent knows of one sibling.
 type view struct {
 	addr    Sibling
-	heard   Standing
+	standing   Standing
 	expires time.Time
-	// told is what the sibling was last told.
-	told Standing
-	// spoken tells that heard is the sibling's own word.
-	spoken bool
+	// lastSent is what the sibling was last lastSent.
+	lastSent Standing
+	// received tells that heard is the sibling's own word.
+	received bool
 	// oldest is when the first of its waiting requests arrived.
 	oldest time.Time
 }
@@ -34,9 +34,9 @@
 	return &g.views[i]
 }
 
-// join returns the view of a sibling: the one at hand, or a new one that is
+// viewOf returns the view of a sibling: the one at hand, or a new one that is
 // taken for willing until it says otherwise.
-func (g *group) join(now time.Time, addr Sibling) view {
+func (g *group) viewOf(now time.Time, addr Sibling) view {
 	if old := g.find(addr); old != nil {
 		return *old
 	}
@@ -44,7 +44,7 @@
 	if !ok {
 		heard = Standing{Draws: true}
 	}
-	return view{addr: addr, heard: heard, spoken: ok, expires: now.Add(claimLife)}
+	return view{addr: addr, standing: heard, received: ok, expires: now.Add(idleClaimTTL)}
 }
 
 func (g *group) keepUnconfirmed(addr Sibling, standing Standing) {
@@ -61,7 +61,7 @@
 	s.begin()
 	next := make([]view, 0, len(siblings))
 	for _, addr := range siblings {
-		next = append(next, s.group.join(now, addr))
+		next = append(next, s.group.viewOf(now, addr))
 	}
 	s.group.unconfirmed = nil
 	slices.SortFunc(next, func(a, b view) int { return a.addr.Compare(b.addr) })
@@ -72,21 +72,21 @@
 // Heard takes a sibling's standing.
 func (s *Scheduler) Heard(now time.Time, from Sibling, standing Standing) []Action {
 	s.begin()
-	s.hear(now, from, standing)
+	s.receive(now, from, standing)
 	return s.finish(now)
 }
 
-func (s *Scheduler) hear(now time.Time, from Sibling, standing Standing) {
+func (s *Scheduler) receive(now time.Time, from Sibling, standing Standing) {
 	v := s.group.find(from)
 	if v == nil {
 		s.group.keepUnconfirmed(from, standing)
 		return
 	}
-	if standing.Seq <= v.heard.Seq {
+	if standing.Seq <= v.standing.Seq {
 		return
 	}
-	v.heard = standing
-	v.spoken = true
-	v.expires = now.Add(claimLife)
+	v.standing = standing
+	v.received = true
+	v.expires = now.Add(idleClaimTTL)
 	v.oldest = now.Add(-standing.Waited)
 }
--- a/internal/dispatch/pull.go
+++ b/internal/dispatch/pull.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// moveIn offers free slots to siblings that have told of a queue, by
+// pullQueued offers free slots to siblings that have told of a queue, by
 // their first waiting requests.
-func (s *Scheduler) moveIn(now time.Time) {
+func (s *Scheduler) pullQueued(now time.Time) {
 	if s.draining || !s.draws || s.options.Alone {
 		return
 	}
@@ -17,26 +17,26 @@
 		}
 		s.pull(now, v, false)
 	}
-	if s.ahead() >= maxAhead {
+	if s.prefetched() >= maxPrefetched {
 		return
 	}
-	if v := s.neediest(); v != nil && s.behind(v) {
+	if v := s.neediest(); v != nil && s.precedesQueue(v) {
 		s.pull(now, v, true)
 	}
 }
 
 // pull offers a slot to the sibling: one that is held for it, or the next to
 // fall free.
-func (s *Scheduler) pull(now time.Time, v *view, ahead bool) {
-	v.heard.Queued--
+func (s *Scheduler) pull(now time.Time, v *view, prefetch bool) {
+	v.standing.Queued--
 	s.lastID++
-	s.reserved[s.lastID] = reservation{from: v.addr, until: now.Add(reservationLife), displaced: ahead}
+	s.reserved[s.lastID] = reservation{from: v.addr, until: now.Add(reservationTTL), displaced: prefetch}
 	s.emit(Pull{From: v.addr, Reservation: s.lastID, Standing: s.standing(now, v.addr)})
 }
 
-// ahead counts the requests of siblings that wait here or are to come without
+// prefetched counts the requests of siblings that wait here or are to come without
 // a slot that is held for them.
-func (s *Scheduler) ahead() int {
+func (s *Scheduler) prefetched() int {
 	n := 0
 	for _, r := range s.reserved {
 		if r.displaced {
@@ -51,15 +51,15 @@
 	return n
 }
 
-// behind reports whether the sibling's first waiting request should start
+// precedesQueue reports whether the sibling's first waiting request should start
 // before all that wait here.
-func (s *Scheduler) behind(v *view) bool {
+func (s *Scheduler) precedesQueue(v *view) bool {
 	if s.queue.len() == 0 {
 		return true
 	}
 	first := &s.queue.waiting[0]
-	if v.heard.Priority != first.Priority {
-		return v.heard.Priority < first.Priority
+	if v.standing.Priority != first.Priority {
+		return v.standing.Priority < first.Priority
 	}
 	return v.oldest.Before(first.Arrived)
 }
@@ -69,7 +69,7 @@
 	var best *view
 	for i := range s.group.views {
 		v := &s.group.views[i]
-		if v.heard.Queued > 0 && (best == nil || v.before(best)) {
+		if v.standing.Queued > 0 && (best == nil || v.before(best)) {
 			best = v
 		}
 	}
@@ -78,14 +78,14 @@
 
 // before orders siblings by their first waiting requests.
 func (v *view) before(o *view) bool {
-	if v.heard.Priority != o.heard.Priority {
-		return v.heard.Priority < o.heard.Priority
+	if v.standing.Priority != o.standing.Priority {
+		return v.standing.Priority < o.standing.Priority
 	}
 	return v.oldest.Before(o.oldest)
 }
 
-// held is the number of slots that wait for a sibling's request.
-func (s *Scheduler) held() int {
+// heldSlots is the number of slots that wait for a sibling's request.
+func (s *Scheduler) heldSlots() int {
 	n := 0
 	for _, r := range s.reserved {
 		if !r.displaced {
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -11,7 +11,7 @@
 	if v == nil {
 		return false
 	}
-	v.heard.Idle--
+	v.standing.Idle--
 	s.push(now, r, Push{To: v.addr, Admit: admit})
 	return true
 }
@@ -25,14 +25,14 @@
 	var best *view
 	for i := range s.group.views {
 		v := &s.group.views[i]
-		if v.heard.Draws && (best == nil || v.heard.Queued < best.heard.Queued) {
+		if v.standing.Draws && (best == nil || v.standing.Queued < best.standing.Queued) {
 			best = v
 		}
 	}
 	if best == nil || s.options.Alone {
 		return false
 	}
-	best.heard.Queued++
+	best.standing.Queued++
 	s.push(now, r, Push{To: best.addr, Admit: true})
 	return true
 }
@@ -65,14 +65,14 @@
 }
 
 func (v *view) idle(now time.Time) int {
-	if !v.heard.Draws || !now.Before(v.expires) {
+	if !v.standing.Draws || !now.Before(v.expires) {
 		return 0
 	}
-	return max(v.heard.Idle, 0)
+	return max(v.standing.Idle, 0)
 }
 
-// moveOut pushes waiting requests to siblings that are known to be idle.
-func (s *Scheduler) moveOut(now time.Time) {
+// pushQueued pushes waiting requests to siblings that are known to be idle.
+func (s *Scheduler) pushQueued(now time.Time) {
 	for {
 		i := s.queue.firstMovable()
 		if i < 0 {
@@ -82,7 +82,7 @@
 		if v == nil {
 			return
 		}
-		v.heard.Idle--
+		v.standing.Idle--
 		s.push(now, s.queue.removeAt(i), Push{To: v.addr})
 	}
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -172,8 +172,8 @@
 func (s *Scheduler) finish(now time.Time) []Action {
 	s.expire(now)
 	s.fill(now)
-	s.moveOut(now)
-	s.moveIn(now)
+	s.pushQueued(now)
+	s.pullQueued(now)
 	s.announce(now)
 	return s.out
 }
@@ -187,8 +187,8 @@
 
 // placeNow starts or pushes a request that needn't wait.
 func (s *Scheduler) placeNow(now time.Time, r Request) bool {
-	rather := r.Movable && (r.Elsewhere || s.draining || s.avoids())
-	if rather && s.pushAnywhere(now, r) {
+	preferSibling := r.Movable && (r.Elsewhere || s.draining || s.avoidsUpstream())
+	if preferSibling && s.pushAnywhere(now, r) {
 		return true
 	}
 	if s.draining {
@@ -205,10 +205,10 @@
 	return r.Movable && s.pushIdle(now, r, false)
 }
 
-// avoids reports whether a request should rather not run here: the upstream's
+// avoidsUpstream reports whether a request should rather not run here: the upstream's
 // outcomes are bad. Some still do, or the upstream could not show itself
 // healthy again.
-func (s *Scheduler) avoids() bool {
+func (s *Scheduler) avoidsUpstream() bool {
 	return !s.draws && s.rng.IntN(probeOneIn) != 0
 }
 
@@ -240,8 +240,8 @@
 	if last < 0 || s.queue.waiting[last].Priority <= r.Priority {
 		return false
 	}
-	gone := s.queue.removeAt(last)
-	s.refuse(gone.ID, gone.Priority, ReasonDisplaced)
+	displaced := s.queue.removeAt(last)
+	s.refuse(displaced.ID, displaced.Priority, ReasonDisplaced)
 	return true
 }
 
@@ -284,5 +284,5 @@
 
 // free is the number of slots that are neither taken nor held.
 func (s *Scheduler) free() int {
-	return s.slots - len(s.running) - s.held()
+	return s.slots - len(s.running) - s.heldSlots()
 }
--- a/internal/dispatch/sibling.go
+++ b/internal/dispatch/sibling.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// claimLife bounds how long a sibling's word about idle slots is acted on.
-	claimLife = 250 * time.Millisecond
-	// maxAhead is the number of siblings' requests that wait here for the next
+	// idleClaimTTL bounds how long a sibling's word about idle slots is acted on.
+	idleClaimTTL = 250 * time.Millisecond
+	// maxPrefetched is the number of siblings' requests that wait here for the next
 	// slot, so that a slot is in use while messages travel.
-	maxAhead = 1
+	maxPrefetched = 1
 	// maxUnconfirmed bounds what is kept of agents that aren't known yet.
 	maxUnconfirmed = 64
-	// reservationLife is how long a slot is held for a sibling's request: some
+	// reservationTTL is how long a slot is held for a sibling's request: some
 	// round trips between data centres.
-	reservationLife = 25 * time.Millisecond
+	reservationTTL = 25 * time.Millisecond
 )
 
 // reservation is a slot that is held for a sibling's request.
@@ -40,14 +40,14 @@
 func (s *Scheduler) ArriveMoved(now time.Time, r Request, under Reservation, admit bool) []Action {
 	s.begin()
 	r.Movable, r.moved = false, true
-	_, invited := s.reserved[under]
+	_, hasReservation := s.reserved[under]
 	delete(s.reserved, under)
 	switch {
-	case s.draining && !invited:
+	case s.draining && !hasReservation:
 		s.refuse(r.ID, r.Priority, ReasonDraining)
 	case s.queue.position(&r) == 0 && s.takeSlot():
 		s.start(r)
-	case invited:
+	case hasReservation:
 		s.queue.push(r)
 	case admit:
 		s.admit(now, r)
@@ -75,7 +75,7 @@
 	s.begin()
 	delete(s.reserved, held)
 	if v := s.group.find(from); v != nil {
-		v.heard.Queued = 0
+		v.standing.Queued = 0
 	}
 	return s.finish(now)
 }
@@ -97,7 +97,7 @@
 	}
 	delete(s.pushed, id)
 	if v := s.group.find(p.to); v != nil {
-		v.heard.Idle = 0
+		v.standing.Idle = 0
 	}
 	if p.admit && s.draining {
 		s.refuse(id, p.request.Priority, ReasonDraining)
