--- a/internal/dispatch/announce.go
+++ b/internal/dispatch/announce.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// announce tells each sibling what it needs to know and doesn't yet. Numbers in
-// between aren't worth a message of their own.
+// announce emits an Announce to each sibling whose view of this agent is outdated in a
+// way that would change what the sibling does. Other changes don't cost a message: the
+// sibling receives them with the next message that is sent anyway.
 func (s *Scheduler) announce(now time.Time) {
 	if s.options.Alone {
 		return
@@ -18,9 +19,10 @@
 	}
 }
 
-// outOfDate reports whether the sibling would act otherwise if it knew how the
-// agent stands. Idle slots matter while one of the two has some and the other
-// none, or where the sibling may still believe in some.
+// outOfDate reports whether the sibling would act differently if it received the
+// agent's present standing. The number of idle slots matters only when it changes
+// between zero and more than zero, and only if the sibling has no idle slots itself, or
+// may still assume idle slots here that are taken by now.
 func (s *Scheduler) outOfDate(v *view) bool {
 	switch {
 	case s.willing() != v.lastSent.Draws, s.connectionsChanged(v):
@@ -37,7 +39,7 @@
 // willing reports whether siblings may hand work to the agent.
 func (s *Scheduler) willing() bool { return s.draws && !s.draining }
 
-// idle is the number of slots that siblings may have.
+// idle returns the number of free slots that are offered to siblings.
 func (s *Scheduler) idle() int {
 	if !s.willing() {
 		return 0
@@ -45,8 +47,8 @@
 	return max(s.free(), 0)
 }
 
-// standing returns how the agent stands now, under a number of its own, to be
-// sent to the sibling.
+// standing returns the agent's present standing with the next sequence number and
+// records it as the last one sent to the sibling.
 func (s *Scheduler) standing(now time.Time, to Sibling) Standing {
 	s.seq++
 	st := Standing{Seq: s.seq, Idle: s.idle(), Queued: s.queue.movable, Connections: s.connections, Draws: s.willing()}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,12 +1,16 @@
-// Package dispatch orders the requests of one agent: which request takes the
-// next slot of the own upstream, which goes to a sibling, and which is told at
-// once that it isn't run. It is pure: the time and messages come in, actions
-// go out. One goroutine owns a Scheduler.
+// Package dispatch schedules the requests of one agent. An agent is the process next to
+// one upstream; it gives the upstream at most as many requests at a time as it has
+// slots. The scheduler decides which request gets the next free slot, which is sent to
+// a sibling (another agent of the same service), and which is refused at once. It does
+// no I/O and reads no clock: callers pass in the time and received messages, and get
+// back the actions to carry out. A Scheduler isn't safe for concurrent use; one
+// goroutine owns it.
 //
-// Siblings bind late. An agent whose slot falls free with nothing to run says
-// so ("idle slot" claims) or takes work from a sibling that has told of its
-// queue, by reserving the slot for it. The agent that admitted a request stays
-// its only owner: a sibling runs it on the owner's behalf.
+// Requests are assigned to siblings as late as possible. An agent that has a free slot
+// and no waiting request announces the idle slot, or reserves it for a sibling that has
+// reported a queue and pulls a request from there. The agent that admitted a request
+// remains its only owner: a sibling runs it on the owner's behalf and returns the
+// answer to the owner.
 package dispatch
 
 import (
@@ -20,123 +24,128 @@
 // Sibling is the control address of another agent of the service.
 type Sibling = netip.AddrPort
 
-// Reservation identifies a slot that an agent holds for a sibling; zero is
-// none.
+// Reservation identifies a slot that an agent reserves for a sibling; zero means none.
 type Reservation uint64
 
-// Request is what the scheduler knows of a request.
+// Request describes a request to the scheduler.
 type Request struct {
 	ID ID
-	// Priority orders waiting requests: 0 goes first.
+	// Priority orders waiting requests: 0 starts first.
 	Priority int
-	// Arrived is when the caller's request reached its first agent; it orders
-	// requests of one priority.
+	// Arrived is when the request arrived at the agent that owns it. Requests of
+	// equal priority start in this order.
 	Arrived  time.Time
 	Deadline time.Time
-	// Movable requests may run on a sibling: idempotent, with a bounded body,
-	// and not moved yet.
+	// Movable allows a run on a sibling. The request is idempotent, its body is
+	// held in memory, and no sibling has sent it here.
 	Movable bool
-	// Elsewhere requests failed on the own upstream and rather run on a
-	// sibling.
+	// Elsewhere prefers a sibling, because a run has already failed.
 	Elsewhere bool
 
-	// moved requests belong to a sibling.
+	// moved marks a request that a sibling owns.
 	moved bool
 }
 
-// Limits bound what the upstream takes on.
+// Limits bound the load on the upstream.
 type Limits struct {
 	Slots int
 	Queue int
-	// Feeds is the number of open feeds.
+	// Feeds is the maximum number of open feeds (long-lived event streams).
 	Feeds int
 }
 
-// Reason tells why a request isn't run.
+// Reason says why a request is refused.
 type Reason string
 
 // Reasons of Refuse.
 const (
-	// ReasonQueueFull is a full queue without a less urgent request in it.
+	// ReasonQueueFull means that the queue is full and holds no less urgent request
+	// that could be displaced.
 	ReasonQueueFull Reason = "queue-full"
-	// ReasonDisplaced is a queued request that made room for a more urgent one.
+	// ReasonDisplaced means that the request was removed from the full queue in favour
+	// of a more urgent one.
 	ReasonDisplaced Reason = "displaced"
-	// ReasonTooLate is a request whose expected wait is past its deadline.
+	// ReasonTooLate means that the request is expected to miss its deadline in the
+	// queue.
 	ReasonTooLate Reason = "too-late"
-	// ReasonExpired is a deadline that passed in the queue.
+	// ReasonExpired means that the deadline passed while the request was queued.
 	ReasonExpired Reason = "expired"
-	// ReasonFeeds is a feed beyond the limit.
+	// ReasonFeeds means that the limit of open feeds is reached.
 	ReasonFeeds Reason = "feeds"
-	// ReasonBusy is a sibling's request that found no free slot here; its owner
-	// keeps it.
+	// ReasonBusy means that no slot is free for a sibling's request; its owner keeps
+	// it.
 	ReasonBusy Reason = "busy"
-	// ReasonDraining is a request that came while the agent is draining.
+	// ReasonDraining means that the request arrived while the agent was draining.
 	ReasonDraining Reason = "draining"
 )
 
-// Action is what the scheduler wants done. Its types are Start, Refuse, Push,
-// Pull, Decline and Announce.
+// Action is a step that the scheduler's owner has to carry out: a Start, Refuse, Push,
+// Pull, Decline or Announce.
 type Action interface{ action() }
 
-// Start runs the request on the own upstream; its slot is taken until Done.
+// Start runs the request on the agent's own upstream. The request occupies a slot until
+// Done.
 type Start struct{ ID ID }
 
-// Refuse ends the request: it has not run and never will.
+// Refuse ends a request that has not run and will not run.
 type Refuse struct {
 	ID     ID
 	Reason Reason
-	// RetryAfter is when the queue should have room again.
+	// RetryAfter is the expected time until the queue has room again.
 	RetryAfter time.Duration
 }
 
-// Push runs the request on the sibling. The owner reports the end by Returned
-// (not taken) or Settled.
+// Push sends the request to a sibling to run there. The owner calls Returned if the
+// sibling refused it and Settled if it ended in any other way.
 type Push struct {
 	ID          ID
 	To          Sibling
 	Reservation Reservation
-	// Admit asks the sibling to queue the request if no slot is free, as it
-	// would one of its own.
+	// Admit asks the sibling to queue the request if no slot is free there, by the
+	// same rules as for requests of its own callers.
 	Admit    bool
 	Standing Standing
 }
 
-// Pull offers a reserved slot to a sibling that has told of its queue. The
-// sibling answers with a Push under the reservation, or with Decline.
+// Pull offers a reserved slot to a sibling that has reported a queue. The sibling
+// answers with a Push that names the reservation, or with a Decline.
 type Pull struct {
 	From        Sibling
 	Reservation Reservation
 	Standing    Standing
 }
 
-// Decline tells a sibling that nothing will come under its reservation.
+// Decline tells a sibling that no request will be sent for its reservation.
 type Decline struct {
 	To          Sibling
 	Reservation Reservation
 	Standing    Standing
 }
 
-// Announce tells a sibling how the agent stands.
+// Announce sends the agent's standing to a sibling.
 type Announce struct {
 	To       Sibling
 	Standing Standing
 }
 
-// Standing is what siblings are told of an agent; each message to a sibling
-// carries the sender's.
+// Standing is the state of an agent as its siblings see it: its idle slots, queue and
+// connections. Every message to a sibling carries the sender's standing.
 type Standing struct {
-	// Seq orders the standings of one agent.
+	// Seq increases with each standing that an agent sends. Receivers ignore a
+	// standing that isn't newer than the last one.
 	Seq uint64
-	// Idle is the number of slots that wait for work.
+	// Idle is the number of free slots.
 	Idle int
-	// Queued is the number of waiting requests that may move.
+	// Queued is the number of waiting requests that may run on a sibling.
 	Queued int
-	// Priority is that of the first of them, Waited the time since it arrived.
+	// Priority and Waited are the priority of the first of these requests and the
+	// time since it arrived.
 	Priority int
 	Waited   time.Duration
-	// Connections is the number of callers' connections.
+	// Connections is the number of connections from callers.
 	Connections int
-	// Draws tells whether the agent may be handed work.
+	// Draws is false while siblings must not send requests or connections to the
+	// agent.
 	Draws bool
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -56,13 +56,13 @@
 	s.Arrive(start, request(2, 0, time.Second))
 	at, ok := s.NextWake()
 	if !ok || !at.Equal(start.Add(time.Second)) {
-		t.Fatalf("next wake %v %v", at, ok)
+		t.Fatalf("next wake at %v (%v), want the deadline of request 2", at, ok)
 	}
 	if r := refusal(t, s.Tick(at)); r.ID != 2 || r.Reason != dispatch.ReasonExpired {
 		t.Fatalf("refused by %+v", r)
 	}
 	if _, wasQueued := s.Remove(at, 2); wasQueued {
-		t.Fatal("a refused request was removed again")
+		t.Fatal("a refused request was still in the queue")
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 	s.Tick(at)
 	if _, ok := s.NextWake(); ok {
-		t.Fatal("the reservation outlived its time")
+		t.Fatal("the reservation is still pending after its expiry")
 	}
 }
 
@@ -106,7 +106,7 @@
 	s := scheduler(dispatch.Limits{Slots: 1})
 	s.SetSiblings(start, []netip.AddrPort{address(2), address(3)})
 	if s.FlowTarget().Better(1000) {
-		t.Fatal("a sibling that said nothing was taken for empty")
+		t.Fatal("a sibling that has sent no standing was chosen as flow target")
 	}
 	s.Heard(start, address(2), dispatch.Standing{Seq: 5, Connections: 500, Draws: true})
 	s.Heard(start, address(3), dispatch.Standing{Seq: 5, Connections: 10})
@@ -117,7 +117,7 @@
 	}
 }
 
-// lifecycle checks that each request gets one word at a time and one end.
+// lifecycle checks that each request gets one action at a time and ends exactly once.
 type lifecycle struct {
 	t     *rapid.T
 	state map[dispatch.ID]string
@@ -164,8 +164,8 @@
 	return ids
 }
 
-// TestEachRequestEndsOnce runs any history of messages against the scheduler,
-// then lets all that is open end.
+// TestEachRequestEndsOnce applies random sequences of messages to the scheduler, then
+// ends everything that is still open and checks that no request is left.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &lifecycle{t: t, state: map[dispatch.ID]string{}, slots: rapid.IntRange(1, 4).Draw(t, "slots")}
@@ -207,7 +207,7 @@
 					l.state[id] = ended
 					actions, wasQueued := s.Remove(now, id)
 					if !wasQueued {
-						t.Fatalf("request %d waits but was not queued", id)
+						t.Fatalf("request %d is queued, but Remove did not find it", id)
 					}
 					l.take(actions)
 				}
@@ -253,7 +253,7 @@
 		}
 		l.take(s.Tick(now.Add(time.Minute)))
 		if left := len(l.in(queued)) + len(l.in(running)); left > 0 {
-			t.Fatalf("%d requests have no end", left)
+			t.Fatalf("%d requests neither ended nor were refused", left)
 		}
 	})
 }
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -3,23 +3,26 @@
 import "time"
 
 const (
-	// estimateGain is the weight of one observation in a moving average: the
-	// average follows a change within some 20 requests.
+	// estimateGain is the weight of one observation in a moving average. With 0.05
+	// the average adapts to a change within some 20 requests.
 	estimateGain = 0.05
-	// priorityLevels is the number of priorities that are told apart in estimates.
+	// priorityLevels is the number of priorities with an estimate of their own. All
+	// lower priorities share the last one.
 	priorityLevels = 16
-	// firstServiceTime is assumed until a request has ended.
+	// firstServiceTime is the assumed service time until a request has ended.
 	firstServiceTime = 20 * time.Millisecond
-	// maxUrgentShare keeps the expected wait of lower classes finite.
+	// maxUrgentShare caps the share of more urgent requests, so that the expected wait
+	// of lower priorities stays finite.
 	maxUrgentShare = 0.98
-	// minRetryAfter is the shortest wait a caller is told.
+	// minRetryAfter is the shortest time in a Retry-After header.
 	minRetryAfter = time.Second
-	// maxRetryAfter is the longest wait a caller is told: load changes sooner.
+	// maxRetryAfter is the longest time in a Retry-After header. Load changes sooner
+	// than that, so a longer estimate would be wrong.
 	maxRetryAfter = 30 * time.Second
 )
 
-// estimate is what the scheduler has learnt of service times, and of the share
-// of starts that each priority takes.
+// estimate holds moving averages of the service time and of the share of started
+// requests that each priority has.
 type estimate struct {
 	service time.Duration
 	share   [priorityLevels]float64
@@ -29,7 +32,7 @@
 	return estimate{service: firstServiceTime}
 }
 
-// level is the index of a priority in the shares.
+// level returns the index of a priority in estimate.share.
 func level(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
 func (e *estimate) observe(service time.Duration) {
@@ -43,7 +46,8 @@
 	e.share[level(priority)] += estimateGain
 }
 
-// urgentShare is the share of starts that go to more urgent requests.
+// urgentShare returns the share of started requests that are more urgent than the
+// priority.
 func (e *estimate) urgentShare(priority int) float64 {
 	sum := 0.0
 	for _, share := range e.share[:level(priority)] {
@@ -52,15 +56,17 @@
 	return min(sum, maxUrgentShare)
 }
 
-// wait is the expected time until the request with so many others ahead of it
-// starts, where all slots are taken. More urgent requests that are yet to come
-// pass it, so only the rest of the drain rate is its own.
+// wait returns the expected time until a request starts that has the given number of
+// requests ahead of it, assuming that all slots are taken. More urgent requests that
+// arrive meanwhile start first, so only the remaining share of the slots' throughput
+// counts.
 func (e *estimate) wait(ahead, slots, priority int) time.Duration {
 	perStart := float64(e.service) / float64(max(slots, 1))
 	return time.Duration(float64(ahead+1) * perStart / (1 - e.urgentShare(priority)))
 }
 
-// retryAfter is when the queue of that length will have drained.
+// retryAfter returns the expected time until a queue of that length has drained,
+// between minRetryAfter and maxRetryAfter.
 func (e *estimate) retryAfter(length, slots, priority int) time.Duration {
 	return min(max(e.wait(length, slots, priority), minRetryAfter), maxRetryAfter)
 }
--- a/internal/dispatch/flows.go
+++ b/internal/dispatch/flows.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// flowStep is the change of connections that siblings are told of, and the
-	// least difference for which a new flow is handed on.
+	// flowStep is the change of the number of connections that is worth an announcement
+	// to siblings, and the least difference that moves a new flow to a sibling.
 	flowStep = 16
-	// flowMargin is the share of the lesser number of connections by which the
-	// difference has to exceed it: what is known of siblings is never exact.
+	// flowMargin is the fraction of the sibling's connections by which the difference
+	// must exceed it as well, because the known numbers of siblings are always somewhat
+	// outdated.
 	flowMargin = 0.1
 )
 
-// FlowTarget is the sibling with the fewest connections; its zero value is
-// none.
+// FlowTarget is the sibling with the fewest connections and their number. The zero
+// value means that there is none. A flow is one connection of a caller.
 type FlowTarget struct {
 	To          Sibling
 	Connections int
 }
 
-// Better reports whether a new flow is clearly better placed at the target
-// than at an agent with that many connections.
+// Better reports whether a new flow should go to the target rather than to an agent
+// with the given number of connections.
 func (t FlowTarget) Better(own int) bool {
 	if !t.To.IsValid() {
 		return false
@@ -28,7 +29,8 @@
 	return own-t.Connections > margin
 }
 
-// FlowTarget returns where new flows would go if they didn't stay.
+// FlowTarget returns the sibling with the fewest connections among those that accept
+// work and have sent a standing.
 func (s *Scheduler) FlowTarget() FlowTarget {
 	var best FlowTarget
 	for i := range s.group.views {
@@ -43,14 +45,15 @@
 	return best
 }
 
-// SetConnections sets the number of callers' connections at this agent.
+// SetConnections sets the number of connections from callers to this agent.
 func (s *Scheduler) SetConnections(now time.Time, n int) []Action {
 	s.begin()
 	s.connections = n
 	return s.finish(now)
 }
 
-// connectionsChanged reports whether the sibling's knowledge is out of date.
+// connectionsChanged reports whether the number of connections has changed by flowStep
+// or more since the last standing that was sent to the sibling.
 func (s *Scheduler) connectionsChanged(v *view) bool {
 	change := s.connections - v.lastSent.Connections
 	return change >= flowStep || change <= -flowStep
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -7,22 +7,23 @@
 
 // view is what the agent knows of one sibling.
 type view struct {
-	addr    Sibling
-	standing   Standing
-	expires time.Time
-	// lastSent is what the sibling was last lastSent.
+	addr     Sibling
+	standing Standing
+	expires  time.Time
+	// lastSent is the last standing that was sent to the sibling.
 	lastSent Standing
-	// received tells that heard is the sibling's own word.
+	// received is true if the sibling has sent standing, and false if standing is
+	// the default for a new sibling.
 	received bool
-	// oldest is when the first of its waiting requests arrived.
+	// oldest is when the first of the sibling's waiting requests arrived.
 	oldest time.Time
 }
 
-// group is the known siblings, in the order of their addresses so that equal
-// inputs give equal actions.
+// group holds the known siblings, ordered by address so that equal inputs give equal
+// actions.
 type group struct {
 	views []view
-	// unconfirmed have spoken before this agent learnt that they are siblings.
+	// unconfirmed holds standings from agents that aren't known as siblings yet.
 	unconfirmed map[Sibling]Standing
 }
 
@@ -34,17 +35,17 @@
 	return &g.views[i]
 }
 
-// viewOf returns the view of a sibling: the one at hand, or a new one that is
-// taken for willing until it says otherwise.
+// viewOf returns the existing view of a sibling, or a new one. A new sibling is assumed
+// to accept work until it sends a standing.
 func (g *group) viewOf(now time.Time, addr Sibling) view {
 	if old := g.find(addr); old != nil {
 		return *old
 	}
-	heard, ok := g.unconfirmed[addr]
+	standing, ok := g.unconfirmed[addr]
 	if !ok {
-		heard = Standing{Draws: true}
+		standing = Standing{Draws: true}
 	}
-	return view{addr: addr, standing: heard, received: ok, expires: now.Add(idleClaimTTL)}
+	return view{addr: addr, standing: standing, received: ok, expires: now.Add(idleClaimTTL)}
 }
 
 func (g *group) keepUnconfirmed(addr Sibling, standing Standing) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// SetSiblings sets the other ready agents of the service.
+// SetSiblings sets the siblings: the other ready agents of the service.
 func (s *Scheduler) SetSiblings(now time.Time, siblings []Sibling) []Action {
 	s.begin()
 	next := make([]view, 0, len(siblings))
@@ -69,7 +70,7 @@
 	return s.finish(now)
 }
 
-// Heard takes a sibling's standing.
+// Heard processes a standing received from a sibling.
 func (s *Scheduler) Heard(now time.Time, from Sibling, standing Standing) []Action {
 	s.begin()
 	s.receive(now, from, standing)
--- a/internal/dispatch/pull.go
+++ b/internal/dispatch/pull.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// pullQueued offers free slots to siblings that have told of a queue, by
-// their first waiting requests.
+// pullQueued offers free slots to the siblings that have reported queued requests,
+// those with the most urgent or oldest request first. When no slot is free, it may
+// still pull a request to wait here for the next one (see maxPrefetched).
 func (s *Scheduler) pullQueued(now time.Time) {
 	if s.draining || !s.draws || s.options.Alone {
 		return
@@ -25,8 +26,8 @@
 	}
 }
 
-// pull offers a slot to the sibling: one that is held for it, or the next to
-// fall free.
+// pull offers a slot to the sibling: with prefetch the next one that becomes free,
+// otherwise one that is free now and reserved for the sibling.
 func (s *Scheduler) pull(now time.Time, v *view, prefetch bool) {
 	v.standing.Queued--
 	s.lastID++
@@ -34,8 +35,8 @@
 	s.emit(Pull{From: v.addr, Reservation: s.lastID, Standing: s.standing(now, v.addr)})
 }
 
-// prefetched counts the requests of siblings that wait here or are to come without
-// a slot that is held for them.
+// prefetched returns the number of siblings' requests that wait here, or are expected,
+// without a reserved slot.
 func (s *Scheduler) prefetched() int {
 	n := 0
 	for _, r := range s.reserved {
@@ -51,8 +52,8 @@
 	return n
 }
 
-// precedesQueue reports whether the sibling's first waiting request should start
-// before all that wait here.
+// precedesQueue reports whether the sibling's first waiting request should start before
+// all requests in the own queue.
 func (s *Scheduler) precedesQueue(v *view) bool {
 	if s.queue.len() == 0 {
 		return true
@@ -64,7 +65,8 @@
 	return v.oldest.Before(first.Arrived)
 }
 
-// neediest returns the sibling whose first waiting request should start first.
+// neediest returns the sibling with the waiting request that should start first, or nil
+// if no sibling has one.
 func (s *Scheduler) neediest() *view {
 	var best *view
 	for i := range s.group.views {
@@ -76,7 +78,7 @@
 	return best
 }
 
-// before orders siblings by their first waiting requests.
+// before reports whether the first waiting request of v should start before that of o.
 func (v *view) before(o *view) bool {
 	if v.standing.Priority != o.standing.Priority {
 		return v.standing.Priority < o.standing.Priority
@@ -84,7 +86,7 @@
 	return v.oldest.Before(o.oldest)
 }
 
-// heldSlots is the number of slots that wait for a sibling's request.
+// heldSlots returns the number of slots that are reserved for siblings' requests.
 func (s *Scheduler) heldSlots() int {
 	n := 0
 	for _, r := range s.reserved {
@@ -95,7 +97,7 @@
 	return n
 }
 
-// displaceReservation takes the slot of the newest reservation.
+// displaceReservation takes the slot away from the newest reservation.
 func (s *Scheduler) displaceReservation() {
 	var newest Reservation
 	for id, r := range s.reserved {
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// pushIdle pushes r to a sibling that has an idle slot. With admit it stays
-// there though the slot may be taken by then.
+// pushIdle pushes r to a sibling with an idle slot and reports whether there was one.
+// With admit, the sibling queues the request if the slot is taken when it arrives.
 func (s *Scheduler) pushIdle(now time.Time, r Request, admit bool) bool {
 	v := s.pickIdle(now)
 	if v == nil {
@@ -16,8 +16,8 @@
 	return true
 }
 
-// pushAnywhere pushes r to an idle sibling, else to the one with the shortest
-// queue.
+// pushAnywhere pushes r to a sibling with an idle slot or, if there is none, to the
+// sibling with the shortest queue.
 func (s *Scheduler) pushAnywhere(now time.Time, r Request) bool {
 	if s.pushIdle(now, r, true) {
 		return true
@@ -44,8 +44,8 @@
 	s.emit(p)
 }
 
-// pickIdle draws one of the known idle slots of siblings at random: a fixed
-// order would send all agents to the same sibling.
+// pickIdle picks one of the known idle slots of all siblings at random and returns its
+// sibling. In a fixed order all agents would push to the same sibling.
 func (s *Scheduler) pickIdle(now time.Time) *view {
 	total := 0
 	for i := range s.group.views {
@@ -71,7 +71,7 @@
 	return max(v.standing.Idle, 0)
 }
 
-// pushQueued pushes waiting requests to siblings that are known to be idle.
+// pushQueued pushes waiting requests to siblings that are known to have idle slots.
 func (s *Scheduler) pushQueued(now time.Time) {
 	for {
 		i := s.queue.firstMovable()
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// queue holds waiting requests in the order in which they start: by priority,
-// then arrival, then ID. It is bounded by the scheduler, so a sorted slice is
-// quick enough.
+// queue holds the waiting requests in the order in which they start: by priority, then
+// arrival, then ID. The scheduler bounds its length, so a sorted slice is fast enough.
 type queue struct {
 	waiting []Request
 	movable int
-	// earliest is at or before the earliest deadline of a waiting request; it
-	// is corrected when it has passed.
+	// earliest is a lower bound of the deadlines of the waiting requests. It is
+	// recomputed once it has passed.
 	earliest time.Time
 }
 
@@ -58,7 +57,7 @@
 	return r
 }
 
-// remove takes out the request with the ID and tells whether it was there.
+// remove removes the request with the ID and reports whether it was queued.
 func (q *queue) remove(id ID) bool {
 	i := slices.IndexFunc(q.waiting, func(r Request) bool { return r.ID == id })
 	if i < 0 {
@@ -68,7 +67,7 @@
 	return true
 }
 
-// firstMovable returns the index of the first request that may move, or -1.
+// firstMovable returns the index of the first request that may run on a sibling, or -1.
 func (q *queue) firstMovable() int {
 	if q.movable == 0 {
 		return -1
@@ -76,7 +75,7 @@
 	return slices.IndexFunc(q.waiting, func(r Request) bool { return r.Movable })
 }
 
-// expired takes out all requests whose deadline is at or before now.
+// expired removes and returns all requests with a deadline at or before now.
 func (q *queue) expired(now time.Time) []Request {
 	if q.len() == 0 || q.earliest.After(now) {
 		return nil
@@ -101,7 +100,8 @@
 	}
 }
 
-// nextDeadline returns a time at or before the earliest deadline.
+// nextDeadline returns a lower bound of the deadlines; ok is false if the queue is
+// empty.
 func (q *queue) nextDeadline() (at time.Time, ok bool) {
 	return q.earliest, q.len() > 0
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// probeOneIn is the share of movable requests that an unhealthy upstream keeps:
-// one in so many.
+// probeOneIn sets how many movable requests still run on an unhealthy upstream to
+// detect its recovery: one in probeOneIn.
 const probeOneIn = 10
 
-// Options choose between policies.
+// Options disable parts of the scheduling. They exist for comparisons in simulations.
 type Options struct {
-	// IgnoreDeadlines admits by the length of the queue alone. It exists to
-	// measure what shedding by deadline is worth.
+	// IgnoreDeadlines admits requests by the length of the queue alone. It serves
+	// to measure the benefit of load shedding by deadline.
 	IgnoreDeadlines bool
-	// Alone keeps all requests at this agent. It exists to measure what
-	// siblings are worth.
+	// Alone runs all requests at this agent and exchanges nothing with siblings.
+	// It serves to measure the benefit of siblings.
 	Alone bool
 }
 
-// Scheduler is the state of one agent. The actions that a method returns are
-// valid until the next call.
+// Scheduler holds the scheduling state of one agent. The slice of actions that a method
+// returns is valid until the next call.
 type Scheduler struct {
 	limits  Limits
 	options Options
@@ -45,9 +45,9 @@
 	out      []Action
 }
 
-// New returns the scheduler of an agent whose upstream is idle. The epoch
-// must rise with each start of the agent: siblings take the standing with the
-// highest number, and numbers start at the epoch.
+// New returns the scheduler of an agent with an idle upstream. Sequence numbers of
+// standings start at the epoch. The epoch must increase with each start of the agent,
+// because siblings ignore standings with a lower number than the last one.
 func New(limits Limits, epoch uint64, rng *rand.Rand, options Options) *Scheduler {
 	return &Scheduler{
 		limits:   limits,
@@ -64,7 +64,7 @@
 	}
 }
 
-// Arrive takes a request of the agent's own callers.
+// Arrive handles a new request from one of the agent's own callers.
 func (s *Scheduler) Arrive(now time.Time, r Request) []Action {
 	s.begin()
 	if !s.placeNow(now, r) {
@@ -73,8 +73,8 @@
 	return s.finish(now)
 }
 
-// Done frees the slot of a request. Only whole answers count as observed
-// service times: a fast error tells nothing of them.
+// Done frees the slot of a request. Only complete answers (whole) count as observed
+// service times, because a fast error says nothing about them.
 func (s *Scheduler) Done(now time.Time, id ID, service time.Duration, whole bool) []Action {
 	s.begin()
 	if _, ok := s.running[id]; ok {
@@ -86,22 +86,22 @@
 	return s.finish(now)
 }
 
-// Remove takes a request out of the queue. It reports false when the request
-// wasn't waiting (any more): it was started, pushed, refused or never there.
+// Remove removes a request from the queue. wasQueued is false if the request isn't
+// queued: it has been started, pushed or refused, or is unknown.
 func (s *Scheduler) Remove(now time.Time, id ID) (actions []Action, wasQueued bool) {
 	s.begin()
 	wasQueued = s.queue.remove(id)
 	return s.finish(now), wasQueued
 }
 
-// Tick refuses requests whose deadline passed and drops reservations that
-// expired. It is due at NextWake, and harmless at any time.
+// Tick refuses queued requests whose deadline has passed and drops expired
+// reservations. It has to be called at NextWake; further calls do no harm.
 func (s *Scheduler) Tick(now time.Time) []Action {
 	s.begin()
 	return s.finish(now)
 }
 
-// NextWake returns when Tick is due next, if ever.
+// NextWake returns when Tick has to be called next; ok is false if no call is needed.
 func (s *Scheduler) NextWake() (at time.Time, ok bool) {
 	at, ok = s.queue.nextDeadline()
 	for _, r := range s.reserved {
@@ -112,7 +112,8 @@
 	return at, ok
 }
 
-// OpenFeed takes a connection for a feed, or refuses it.
+// OpenFeed starts a feed or refuses it. A feed takes one of the limited feed
+// connections and no slot.
 func (s *Scheduler) OpenFeed(now time.Time, id ID) []Action {
 	s.begin()
 	switch {
@@ -127,10 +128,10 @@
 	return s.finish(now)
 }
 
-// CloseFeed gives the connection of a feed back.
+// CloseFeed releases the connection of a feed.
 func (s *Scheduler) CloseFeed(id ID) { delete(s.feeds, id) }
 
-// SetLimits takes new limits into force; what is running goes on.
+// SetLimits applies new limits. Requests that are already running continue.
 func (s *Scheduler) SetLimits(now time.Time, limits Limits) []Action {
 	s.begin()
 	if s.slots == s.limits.Slots {
@@ -141,8 +142,9 @@
 	return s.finish(now)
 }
 
-// SetHealth sets the slots that the upstream has earned (at least one, so that
-// it can show itself healthy again) and whether it may draw work of siblings.
+// SetHealth sets the number of slots that the upstream's health allows, and whether
+// siblings may send requests here. At least one slot stays in use, because an upstream
+// without requests could not prove that it has recovered.
 func (s *Scheduler) SetHealth(now time.Time, slots int, draws bool) []Action {
 	s.begin()
 	s.slots = min(max(slots, 1), s.limits.Slots)
@@ -150,25 +152,26 @@
 	return s.finish(now)
 }
 
-// Drain ends the intake: what was admitted still runs.
+// Drain stops the admission of requests. Requests that are already admitted still run.
 func (s *Scheduler) Drain(now time.Time) []Action {
 	s.begin()
 	s.draining = true
 	return s.finish(now)
 }
 
-// Load is what the agent has in hand.
+// Load is the number of running and queued requests, open feeds and usable slots of the
+// agent.
 type Load struct{ Running, Queued, Feeds, Slots int }
 
-// Load returns the present load.
 func (s *Scheduler) Load() Load {
 	return Load{Running: len(s.running), Queued: s.queue.len(), Feeds: len(s.feeds), Slots: s.slots}
 }
 
 func (s *Scheduler) begin() { s.out = s.out[:0] }
 
-// finish brings the state to rest: nothing waits that could start, and the
-// siblings know of the change.
+// finish starts, pushes and pulls requests until nothing more can start, then announces
+// the changes to the siblings. Every exported method that changes the state ends with
+// it, except CloseFeed.
 func (s *Scheduler) finish(now time.Time) []Action {
 	s.expire(now)
 	s.fill(now)
@@ -185,7 +188,8 @@
 	s.emit(Refuse{ID: id, Reason: reason, RetryAfter: after})
 }
 
-// placeNow starts or pushes a request that needn't wait.
+// placeNow starts, pushes or refuses a request that doesn't have to wait. It reports
+// false if the request has to be queued.
 func (s *Scheduler) placeNow(now time.Time, r Request) bool {
 	preferSibling := r.Movable && (r.Elsewhere || s.draining || s.avoidsUpstream())
 	if preferSibling && s.pushAnywhere(now, r) {
@@ -205,14 +209,15 @@
 	return r.Movable && s.pushIdle(now, r, false)
 }
 
-// avoidsUpstream reports whether a request should rather not run here: the upstream's
-// outcomes are bad. Some still do, or the upstream could not show itself
-// healthy again.
+// avoidsUpstream reports whether a movable request should go to a sibling because the
+// own upstream is unhealthy. One in probeOneIn requests still runs here; otherwise a
+// recovery of the upstream would not be detected.
 func (s *Scheduler) avoidsUpstream() bool {
 	return !s.draws && s.rng.IntN(probeOneIn) != 0
 }
 
-// admit queues a request that can still make its deadline, or refuses it.
+// admit queues a request, or refuses it if it is expected to miss its deadline or the
+// queue is full.
 func (s *Scheduler) admit(now time.Time, r Request) {
 	ahead := s.queue.position(&r)
 	if !s.options.IgnoreDeadlines && s.tooLate(now, &r, ahead) {
@@ -226,15 +231,15 @@
 	s.queue.push(r)
 }
 
-// tooLate reports whether a request that starts after so many others is
+// tooLate reports whether a request with the given number of requests ahead of it is
 // expected to miss its deadline.
 func (s *Scheduler) tooLate(now time.Time, r *Request, ahead int) bool {
 	need := s.est.wait(ahead, s.slots, r.Priority) + s.est.service
 	return now.Add(need).After(r.Deadline)
 }
 
-// displace makes room for r by refusing the last request in the queue, if that
-// one is less urgent.
+// displace makes room for r by refusing the last request in the queue. It reports false
+// if that request isn't less urgent than r.
 func (s *Scheduler) displace(r *Request) bool {
 	last := s.queue.len() - 1
 	if last < 0 || s.queue.waiting[last].Priority <= r.Priority {
@@ -269,9 +274,9 @@
 	s.emit(Start{ID: r.ID})
 }
 
-// takeSlot reports whether a slot is free for a request that is at hand. Such
-// a request goes before one that a sibling may send: a slot that waits for a
-// message does no work.
+// takeSlot reports whether a slot is available for a request that is already here. Such
+// a request may take a slot that is reserved for a sibling's request, because a
+// reserved slot is idle until that request arrives.
 func (s *Scheduler) takeSlot() bool {
 	if len(s.running) >= s.slots {
 		return false
@@ -282,7 +287,7 @@
 	return true
 }
 
-// free is the number of slots that are neither taken nor held.
+// free returns the number of slots that are neither occupied nor reserved.
 func (s *Scheduler) free() int {
 	return s.slots - len(s.running) - s.heldSlots()
 }
--- a/internal/dispatch/sibling.go
+++ b/internal/dispatch/sibling.go
@@ -5,38 +5,42 @@
 )
 
 const (
-	// idleClaimTTL bounds how long a sibling's word about idle slots is acted on.
+	// idleClaimTTL is how long a sibling's reported idle slots are relied on.
 	idleClaimTTL = 250 * time.Millisecond
-	// maxPrefetched is the number of siblings' requests that wait here for the next
-	// slot, so that a slot is in use while messages travel.
+	// maxPrefetched is the number of siblings' requests that may wait here for the next
+	// free slot, so that the slot doesn't idle while messages are in transit.
 	maxPrefetched = 1
-	// maxUnconfirmed bounds what is kept of agents that aren't known yet.
+	// maxUnconfirmed bounds the standings kept from agents that aren't known as
+	// siblings yet.
 	maxUnconfirmed = 64
-	// reservationTTL is how long a slot is held for a sibling's request: some
+	// reservationTTL is how long a slot stays reserved for a sibling's request: some
 	// round trips between data centres.
 	reservationTTL = 25 * time.Millisecond
 )
 
-// reservation is a slot that is held for a sibling's request.
+// reservation is a slot that is reserved for a sibling's request.
 type reservation struct {
 	from  Sibling
 	until time.Time
-	// displaced reservations lost their slot to a request at hand; what comes
-	// under them waits in the queue.
+	// displaced marks a reservation without a slot, either because a request that
+	// was already here took it or because the request is prefetched. A request
+	// that arrives for it waits in the queue.
 	displaced bool
 }
 
-// pushed is a request that runs, or is on its way, at a sibling.
+// pushed is a request that was sent to a sibling and hasn't ended.
 type pushed struct {
 	request Request
 	to      Sibling
-	// admit requests came while draining, or failed here: if the sibling
-	// doesn't take them, a draining agent gives them up.
+	// admit is the flag of the Push. If the sibling returns a request that was
+	// pushed with it, an agent that is draining refuses the request.
 	admit bool
 }
 
-// ArriveMoved takes a request that a sibling owns. It starts, or waits where
-// it came under a reservation or with admit, or is refused as busy.
+// ArriveMoved handles a request that a sibling owns. It is started if a slot is
+// available. Otherwise it is queued if it has a reservation or asks to be admitted, and
+// refused as busy if not. An agent that is draining accepts only requests with a
+// reservation.
 func (s *Scheduler) ArriveMoved(now time.Time, r Request, under Reservation, admit bool) []Action {
 	s.begin()
 	r.Movable, r.moved = false, true
@@ -57,8 +61,8 @@
 	return s.finish(now)
 }
 
-// Offered takes a sibling's reservation for one of the waiting requests. The
-// actions hold a Push under it, or a Decline.
+// Offered handles a sibling's offer of a reserved slot. The actions contain either a
+// Push of a waiting request for the reservation or a Decline.
 func (s *Scheduler) Offered(now time.Time, from Sibling, held Reservation) []Action {
 	s.begin()
 	s.expire(now)
@@ -70,7 +74,7 @@
 	return s.finish(now)
 }
 
-// Declined ends a reservation that the sibling has no use for.
+// Declined ends a reservation of this agent that the sibling doesn't need.
 func (s *Scheduler) Declined(now time.Time, from Sibling, held Reservation) []Action {
 	s.begin()
 	delete(s.reserved, held)
@@ -80,15 +84,16 @@
 	return s.finish(now)
 }
 
-// Settled ends a pushed request: the sibling has answered or can't.
+// Settled ends a pushed request that the sibling has answered, or that has failed
+// there.
 func (s *Scheduler) Settled(now time.Time, id ID) []Action {
 	s.begin()
 	delete(s.pushed, id)
 	return s.finish(now)
 }
 
-// Returned takes back a pushed request that the sibling surely didn't run. It
-// keeps its place by its arrival.
+// Returned takes back a pushed request that the sibling has definitely not run. It is
+// queued again by its time of arrival.
 func (s *Scheduler) Returned(now time.Time, id ID) []Action {
 	s.begin()
 	p, ok := s.pushed[id]
