--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -132,7 +132,7 @@
 	if t.Home == h.o.Self.Control || standing(h.o.Source.Snapshot(), t) == replaced {
 		return request.Decision{Verdict: request.VerdictUnknown}
 	}
-	return request.Decision{Verdict: request.VerdictPass, Home: t.Home}
+	return request.Decision{Verdict: request.VerdictForward, Home: t.Home}
 }
 
 func (h *Home) admit(nonce uint64, digest ticket.Digest, deadline time.Time) request.Decision {
--- a/internal/home/pass.go
+++ b/internal/home/pass.go
@@ -35,10 +35,10 @@
 // errHomeGone says that the ticket's incarnation has ended.
 var errHomeGone = errors.New("home: the home's incarnation is gone")
 
-// Pass implements request.Tickets. No error says that the request was not run:
+// Forward implements request.Tickets. No error says that the request was not run:
 // that this process's own message never left proves nothing, because an
 // earlier attempt of the caller may have reached the home by another way.
-func (h *Home) Pass(ctx context.Context, home netip.AddrPort, text string, call *request.Call) (*request.Answer, error) {
+func (h *Home) Forward(ctx context.Context, home netip.AddrPort, text string, call *request.Call) (*request.Answer, error) {
 	t, err := h.codec.Load().Open(text, h.tag)
 	if err != nil {
 		return nil, errors.Wrap(err, "home: pass")
--- a/internal/home/pass_test.go
+++ b/internal/home/pass_test.go
@@ -65,7 +65,7 @@
 			})
 			g.Expect(err).NotTo(HaveOccurred())
 			text := ticket.NewCodec(ring).Seal(ticket.Ticket{Home: other.Control, Incarnation: 7, Service: h.tag})
-			answer, err := h.Pass(context.Background(), other.Control, text, &request.Call{})
+			answer, err := h.Forward(context.Background(), other.Control, text, &request.Call{})
 			g.Expect(err).To(MatchError(c.err))
 			g.Expect(answer).To(BeNil())
 			g.Expect(caller.passes.Load()).To(BeEquivalentTo(c.passes))
--- a/internal/home/service.go
+++ b/internal/home/service.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	s.track(args.Attempt, cancel)
 	defer s.forget(args.Attempt)
-	reply.Answer = *s.runner.RunPassed(ctx, args.Ticket, &args.Call)
+	reply.Answer = *s.runner.RunForwarded(ctx, args.Ticket, &args.Call)
 	return nil
 }
 
--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -71,8 +71,8 @@
 	// VerdictWait gives a channel that delivers the answer of the run in
 	// progress; it is closed without one when none can be had (unknown).
 	VerdictWait
-	// VerdictPass names the home agent of the ticket, which decides.
-	VerdictPass
+	// VerdictForward names the home agent of the ticket, which decides.
+	VerdictForward
 	// VerdictRefuse tells that the ticket can't run: not run, answer 428 or
 	// the given Status.
 	VerdictRefuse
--- a/internal/request/carry.go
+++ b/internal/request/carry.go
@@ -21,13 +21,13 @@
 	headerLastEventID = "Last-Event-Id"
 	// maxResumes bounds the changes of a feed that brought no event between.
 	maxResumes = 3
-	// maxMoves is the number of feeds that change their source at once.
-	maxMoves = 32
+	// maxConcurrentMigrations is the number of feeds that change their source at once.
+	maxConcurrentMigrations = 32
 )
 
 var (
-	errFeedLeft  = errors.New("request: feed was closed")
-	errNoSibling = errors.New("request: no sibling")
+	errFeedClosed = errors.New("request: feed was closed")
+	errNoSibling  = errors.New("request: no sibling")
 )
 
 // feedSource is where a feed's events come from: the own upstream or a sibling.
@@ -37,15 +37,15 @@
 	interrupt context.CancelFunc
 }
 
-func (s feedSource) end() {
+func (s feedSource) stop() {
 	s.interrupt()
 	_ = s.Close() // nothing is to be had from it any more
 }
 
-// carriedFeed is the body of a feed that outlives its source: when that fails,
+// failoverFeed is the body of a feed that outlives its source: when that fails,
 // or the agent drains, the feed goes on at a sibling after the last event that
 // the caller got.
-type carriedFeed struct {
+type failoverFeed struct {
 	handler *Handler
 	ctx     context.Context
 	call    *Call
@@ -61,77 +61,77 @@
 	// next is the source that takes over when the reader returns from the one
 	// that was interrupted; what that gives until then comes again.
 	next *feedSource
-	// leaving feeds change their source as soon as they can be resumed.
-	leaving bool
-	closed  bool
+	// migratePending feeds change their source as soon as they can be resumed.
+	migratePending bool
+	closed         bool
 }
 
-// carryFeed returns a body that outlives the response's own.
-func (h *Handler) carryFeed(ctx context.Context, j *job, source feedSource) *carriedFeed {
-	f := &carriedFeed{handler: h, ctx: ctx, call: j.call, class: j.class, source: source}
+// newFailoverFeed returns a body that outlives the response's own.
+func (h *Handler) newFailoverFeed(ctx context.Context, j *job, source feedSource) *failoverFeed {
+	f := &failoverFeed{handler: h, ctx: ctx, call: j.call, class: j.class, source: source}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.feeds[f] = struct{}{}
 	return f
 }
 
-// carryable reports whether the feed of that response can change its source.
-func (h *Handler) carryable(j *job, response *http.Response) bool {
+// canFailOver reports whether the feed of that response can change its source.
+func (h *Handler) canFailOver(j *job, response *http.Response) bool {
 	return h.o.Caller != nil && j.class.Resume && response.StatusCode == http.StatusOK &&
 		upstream.IsEvents(response.Header) && response.Header.Get("Content-Encoding") == ""
 }
 
-// leaveFeeds has all feeds go on at siblings where they can.
-func (h *Handler) leaveFeeds() {
+// migrateFeeds has all feeds go on at siblings where they can.
+func (h *Handler) migrateFeeds() {
 	h.mu.Lock()
 	feeds := slices.Collect(maps.Keys(h.feeds))
 	h.mu.Unlock()
 	var moves errgroup.Group
-	moves.SetLimit(maxMoves)
+	moves.SetLimit(maxConcurrentMigrations)
 	for _, f := range feeds {
 		moves.Go(func() error {
-			f.leave()
+			f.migrate()
 			return nil
 		})
 	}
 	_ = moves.Wait() // none fails: a feed that no sibling takes stays
 }
 
-// leave opens the feed at a sibling and then leaves the present source. A feed
+// migrate opens the feed at a sibling and then leaves the present source. A feed
 // that can't be resumed yet leaves when it can.
-func (f *carriedFeed) leave() {
+func (f *failoverFeed) migrate() {
 	for range maxResumes {
-		id, ok := f.mayLeave()
+		id, ok := f.resumePoint()
 		if !ok {
 			return
 		}
-		next, err := f.openElsewhere(id)
+		next, err := f.openAtSibling(id)
 		if err != nil {
 			f.handler.log.Debug("No sibling takes a feed.", "error", err)
 			return
 		}
-		if f.leaveFor(next, id) {
+		if f.switchTo(next, id) {
 			f.handler.metrics.moved(f.class.Name, "feed")
 			return
 		}
 	}
 }
 
-// mayLeave returns the id after which the feed can be resumed.
-func (f *carriedFeed) mayLeave() (id string, ok bool) {
+// resumePoint returns the id after which the feed can be resumed.
+func (f *failoverFeed) resumePoint() (id string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leaving = !f.events.resumable
+	f.migratePending = !f.events.resumable
 	return f.events.lastID, f.events.resumable && !f.closed && f.next == nil
 }
 
-// leaveFor interrupts the present source unless events have passed since the
+// switchTo interrupts the present source unless events have passed since the
 // next one was opened.
-func (f *carriedFeed) leaveFor(next feedSource, id string) bool {
+func (f *failoverFeed) switchTo(next feedSource, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed || !f.events.resumable || f.events.lastID != id {
-		next.end()
+		next.stop()
 		return false
 	}
 	f.next = &next
@@ -140,15 +140,15 @@
 }
 
 // Read returns whole events.
-func (f *carriedFeed) Read(p []byte) (int, error) {
+func (f *failoverFeed) Read(p []byte) (int, error) {
 	for len(f.out) == 0 {
 		n, err := f.current().Read(p)
 		switch {
-		case f.take(p[:n]):
+		case f.add(p[:n]):
 			f.resumes = 0
 		case err == nil:
 		default:
-			if err = f.goOn(err); err != nil {
+			if err = f.failOver(err); err != nil {
 				return f.rest(p, err)
 			}
 		}
@@ -158,41 +158,41 @@
 	return n, nil
 }
 
-// take adds what was read; it reports whether there are events to pass on.
-func (f *carriedFeed) take(read []byte) bool {
+// add adds what was read; it reports whether there are events to pass on.
+func (f *failoverFeed) add(read []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.next != nil {
 		return false // it comes again from the next source
 	}
-	f.out = f.events.take(read)
-	if f.leaving && f.events.resumable {
-		f.leaving = false
-		go f.leave()
+	f.out = f.events.add(read)
+	if f.migratePending && f.events.resumable {
+		f.migratePending = false
+		go f.migrate()
 	}
 	return len(f.out) > 0
 }
 
 // rest returns what is left of a feed that ends in the middle of an event.
-func (f *carriedFeed) rest(p []byte, err error) (int, error) {
-	if err != io.EOF || len(f.events.part) == 0 {
+func (f *failoverFeed) rest(p []byte, err error) (int, error) {
+	if err != io.EOF || len(f.events.partial) == 0 {
 		return 0, err
 	}
-	n := copy(p, f.events.part)
-	f.events.part = f.events.part[n:]
+	n := copy(p, f.events.partial)
+	f.events.partial = f.events.partial[n:]
 	return n, nil
 }
 
-func (f *carriedFeed) current() feedSource {
+func (f *failoverFeed) current() feedSource {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.source
 }
 
-// goOn changes the source after its Read has failed or was interrupted. It
+// failOver changes the source after its Read has failed or was interrupted. It
 // returns the error that ends the feed where it can't.
-func (f *carriedFeed) goOn(failure error) error {
-	if f.takeNext() {
+func (f *failoverFeed) failOver(failure error) error {
+	if f.switchToNext() {
 		return nil
 	}
 	ended := failure == io.EOF || f.ctx.Err() != nil
@@ -200,17 +200,17 @@
 		return failure
 	}
 	f.resumes++
-	next, err := f.openElsewhere(f.events.lastID)
+	next, err := f.openAtSibling(f.events.lastID)
 	if err != nil {
 		return errors.Wrap(failure, "request: no sibling takes the feed")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.adopt(next)
+	return f.setSource(next)
 }
 
-// takeNext makes the source that was opened in advance the present one.
-func (f *carriedFeed) takeNext() bool {
+// switchToNext makes the source that was opened in advance the present one.
+func (f *failoverFeed) switchToNext() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.next == nil {
@@ -218,30 +218,30 @@
 	}
 	next := *f.next
 	f.next = nil
-	return f.adopt(next) == nil
+	return f.setSource(next) == nil
 }
 
-// adopt makes next the source, unless the feed was closed. It is called with
+// setSource makes next the source, unless the feed was closed. It is called with
 // the lock held.
-func (f *carriedFeed) adopt(next feedSource) error {
+func (f *failoverFeed) setSource(next feedSource) error {
 	if f.closed {
-		next.end()
-		return errFeedLeft
+		next.stop()
+		return errFeedClosed
 	}
-	f.source.end()
+	f.source.stop()
 	f.source = next
-	f.events.drop()
+	f.events.dropPartial()
 	return nil
 }
 
-func (f *carriedFeed) resumable() bool {
+func (f *failoverFeed) resumable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.events.resumable && !f.closed
 }
 
-// openElsewhere opens the feed after the event with the id at a sibling.
-func (f *carriedFeed) openElsewhere(id string) (next feedSource, err error) {
+// openAtSibling opens the feed after the event with the id at a sibling.
+func (f *failoverFeed) openAtSibling(id string) (next feedSource, err error) {
 	call := *f.call
 	call.Header = f.call.Header.Clone()
 	call.Header.Set(headerLastEventID, id)
@@ -249,7 +249,7 @@
 	siblings := f.handler.siblings()
 	rand.Shuffle(len(siblings), func(i, j int) { siblings[i], siblings[j] = siblings[j], siblings[i] })
 	for _, sibling := range siblings {
-		if next, err = f.handler.openThere(f.ctx, sibling, &call); err == nil {
+		if next, err = f.handler.openRemote(f.ctx, sibling, &call); err == nil {
 			return next, nil
 		}
 	}
@@ -257,26 +257,26 @@
 }
 
 // Close ends the feed.
-func (f *carriedFeed) Close() error {
-	f.handler.forgetFeed(f)
+func (f *failoverFeed) Close() error {
+	f.handler.removeFeed(f)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
 	if f.next != nil {
-		f.next.end()
+		f.next.stop()
 	}
-	f.source.end()
+	f.source.stop()
 	return nil
 }
 
-func (h *Handler) forgetFeed(f *carriedFeed) {
+func (h *Handler) removeFeed(f *failoverFeed) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.feeds, f)
 }
 
-// openHere opens a feed at the own upstream.
-func (h *Handler) openHere(ctx context.Context, j *job) (feedSource, *http.Response, error) {
+// openLocal opens a feed at the own upstream.
+func (h *Handler) openLocal(ctx context.Context, j *job) (feedSource, *http.Response, error) {
 	own, cancel := context.WithCancel(ctx)
 	request, err := j.upstreamRequest(own)
 	if err != nil {
--- a/internal/request/engine.go
+++ b/internal/request/engine.go
@@ -16,15 +16,15 @@
 // engine is the one goroutine that owns the scheduler. Handlers and siblings
 // reach it by messages; it answers each job on the job's own channel.
 type engine struct {
-	inbox chan message
-	sched *dispatch.Scheduler
-	jobs  map[dispatch.ID]*job
-	links siblingLinks
-	log   *slog.Logger
-	load  atomic.Pointer[dispatch.Load]
-	flows atomic.Pointer[dispatch.FlowTarget]
-	ids   atomic.Uint64
-	done  chan struct{}
+	inbox      chan message
+	sched      *dispatch.Scheduler
+	jobs       map[dispatch.ID]*job
+	links      siblingLinks
+	log        *slog.Logger
+	load       atomic.Pointer[dispatch.Load]
+	flowTarget atomic.Pointer[dispatch.FlowTarget]
+	ids        atomic.Uint64
+	done       chan struct{}
 }
 
 // siblingLinks carries messages to siblings; it must not block.
@@ -50,7 +50,7 @@
 		done:  make(chan struct{}),
 	}
 	e.load.Store(&dispatch.Load{Slots: limits.Slots})
-	e.flows.Store(&dispatch.FlowTarget{})
+	e.flowTarget.Store(&dispatch.FlowTarget{})
 	return e
 }
 
@@ -73,7 +73,7 @@
 		}
 		load, flows := e.sched.Load(), e.sched.FlowTarget()
 		e.load.Store(&load)
-		e.flows.Store(&flows)
+		e.flowTarget.Store(&flows)
 	}
 }
 
@@ -92,11 +92,11 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Start:
-			e.tell(a.ID, a)
+			e.sendAction(a.ID, a)
 		case dispatch.Refuse:
-			e.tell(a.ID, a)
+			e.sendAction(a.ID, a)
 		case dispatch.Push:
-			e.tell(a.ID, a)
+			e.sendAction(a.ID, a)
 		case dispatch.Pull:
 			e.links.pull(a)
 		case dispatch.Decline:
@@ -107,9 +107,9 @@
 	}
 }
 
-// tell gives a job its next action. The channel holds one and a job has at
+// sendAction gives a job its next action. The channel holds one and a job has at
 // most one to come, so this doesn't block.
-func (e *engine) tell(id dispatch.ID, a dispatch.Action) {
+func (e *engine) sendAction(id dispatch.ID, a dispatch.Action) {
 	j, ok := e.jobs[id]
 	if !ok {
 		e.log.Error("Action for an unknown request.", "id", uint64(id))
--- a/internal/request/events.go
+++ b/internal/request/events.go
@@ -4,8 +4,8 @@
 	"bytes"
 )
 
-// maxEvent bounds an event that is kept back until it is whole, in bytes.
-const maxEvent = 64 << 10
+// maxEventBytes bounds an event that is kept back until it is whole, in bytes.
+const maxEventBytes = 64 << 10
 
 // idField begins the line of an event that carries its id.
 var idField = []byte("id:")
@@ -14,8 +14,8 @@
 // the last id, so that another stream can go on where this one was left. The
 // zero value is ready.
 type events struct {
-	// part is the beginning of an event that isn't whole yet.
-	part []byte
+	// partial is the beginning of an event that isn't whole yet.
+	partial []byte
 	// lastID is the id of the last whole event that had one.
 	lastID string
 	// resumable tells that the last whole event carried an id and that nothing
@@ -25,43 +25,43 @@
 	oversized bool
 }
 
-// take adds what was read and returns what may be passed on. The result is
+// add adds what was read and returns what may be passed on. The result is
 // valid until the next call.
-func (e *events) take(read []byte) []byte {
-	e.part = append(e.part, read...)
-	end := wholeEvents(e.part)
-	if end == 0 && len(e.part) <= maxEvent {
+func (e *events) add(read []byte) []byte {
+	e.partial = append(e.partial, read...)
+	end := wholeEvents(e.partial)
+	if end == 0 && len(e.partial) <= maxEventBytes {
 		return nil
 	}
 	if end == 0 {
-		return e.passPart()
+		return e.flushPartial()
 	}
-	whole := e.part[:end]
-	e.note(whole)
-	e.part = append([]byte(nil), e.part[end:]...)
-	if len(e.part) == 0 {
-		e.part = nil // a feed is silent for most of its life
+	whole := e.partial[:end]
+	e.recordIDs(whole)
+	e.partial = append([]byte(nil), e.partial[end:]...)
+	if len(e.partial) == 0 {
+		e.partial = nil // a feed is silent for most of its life
 	}
 	return whole
 }
 
-// passPart gives up on an event that is too long to be kept back.
-func (e *events) passPart() []byte {
-	out := e.part
-	e.part, e.oversized, e.resumable = nil, true, false
+// flushPartial gives up on an event that is too long to be kept back.
+func (e *events) flushPartial() []byte {
+	out := e.partial
+	e.partial, e.oversized, e.resumable = nil, true, false
 	return out
 }
 
-// note takes whole events that are passed on.
-func (e *events) note(whole []byte) {
+// recordIDs takes whole events that are passed on.
+func (e *events) recordIDs(whole []byte) {
 	for len(whole) > 0 {
 		end := firstEvent(whole)
-		e.noteOne(whole[:end])
+		e.recordID(whole[:end])
 		whole = whole[end:]
 	}
 }
 
-func (e *events) noteOne(event []byte) {
+func (e *events) recordID(event []byte) {
 	if e.oversized {
 		e.oversized = false // the rest of an event whose beginning is gone
 		return
@@ -89,8 +89,8 @@
 	return true
 }
 
-// drop forgets a part that was not passed on: its event comes again.
-func (e *events) drop() { e.part = nil }
+// dropPartial forgets a part that was not passed on: its event comes again.
+func (e *events) dropPartial() { e.partial = nil }
 
 // firstEvent returns the length of the first whole event, or 0.
 func firstEvent(b []byte) int {
--- a/internal/request/events_test.go
+++ b/internal/request/events_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestEventsResumeAfterAnIDOnly(t *testing.T) {
+func TestEventsAreResumableOnlyAfterAnID(t *testing.T) {
 	for name, c := range map[string]struct {
 		stream    string
 		passed    string
@@ -22,24 +22,24 @@
 		"data like an id": {"data: id: 3\n\n", "data: id: 3\n\n", "", false},
 	} {
 		var e events
-		passed := string(e.take([]byte(c.stream)))
+		passed := string(e.add([]byte(c.stream)))
 		if passed != c.passed || e.lastID != c.lastID || e.resumable != c.resumable {
 			t.Errorf("%s: passed %q, id %q, resumable %v", name, passed, e.lastID, e.resumable)
 		}
 	}
 }
 
-func TestEventsPassAllInAnyPieces(t *testing.T) {
+func TestEventsPreserveStreamInAnyPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.SampledFrom([]string{"id: 1\n", "data: x\r\n", "\n", "\r\n", ": c\n", "data"})
 		var e events
 		var sent, passed string
 		for _, p := range rapid.SliceOf(piece).Draw(t, "pieces") {
 			sent += p
-			passed += string(e.take([]byte(p)))
+			passed += string(e.add([]byte(p)))
 		}
-		if passed+string(e.part) != sent {
-			t.Fatalf("passed %q and kept %q of %q", passed, e.part, sent)
+		if passed+string(e.partial) != sent {
+			t.Fatalf("passed %q and kept %q of %q", passed, e.partial, sent)
 		}
 	})
 }
--- a/internal/request/fake_test.go
+++ b/internal/request/fake_test.go
@@ -30,15 +30,15 @@
 	RunSpecs(t, "request")
 }
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 // exams is a service with all kinds of classes.
 func exams(limits config.Limits) config.Service {
 	return config.Service{Name: "exams", Limits: limits, Classes: []config.Class{
-		{Name: "lookup", Methods: []string{"GET"}, Path: "/runners/*", Kind: config.KindRequest, Idempotent: true, Deadline: patience},
-		{Name: "report", Methods: []string{"GET"}, Path: "/reports/*", Kind: config.KindRequest, Priority: 5, Idempotent: true, Deadline: patience},
-		{Name: "answer", Methods: []string{"POST"}, Path: "/answers", Kind: config.KindRequest, Priority: 1, Deadline: patience},
-		{Name: "photo", Methods: []string{"PUT"}, Path: "/photos/*", Kind: config.KindUpload, Priority: 2, Deadline: patience},
+		{Name: "lookup", Methods: []string{"GET"}, Path: "/runners/*", Kind: config.KindRequest, Idempotent: true, Deadline: waitTimeout},
+		{Name: "report", Methods: []string{"GET"}, Path: "/reports/*", Kind: config.KindRequest, Priority: 5, Idempotent: true, Deadline: waitTimeout},
+		{Name: "answer", Methods: []string{"POST"}, Path: "/answers", Kind: config.KindRequest, Priority: 1, Deadline: waitTimeout},
+		{Name: "photo", Methods: []string{"PUT"}, Path: "/photos/*", Kind: config.KindUpload, Priority: 2, Deadline: waitTimeout},
 		{Name: "feed", Methods: []string{"GET"}, Path: "/feed", Kind: config.KindFeed, Idempotent: true, Resume: true},
 		{Name: "local-feed", Methods: []string{"GET"}, Path: "/local-feed", Kind: config.KindFeed, Idempotent: true},
 	}}
@@ -148,7 +148,7 @@
 	return true
 }
 
-func (t *tickets) Pass(context.Context, netip.AddrPort, string, *request.Call) (*request.Answer, error) {
+func (t *tickets) Forward(context.Context, netip.AddrPort, string, *request.Call) (*request.Answer, error) {
 	return nil, errors.New("no home")
 }
 
--- a/internal/request/feed.go
+++ b/internal/request/feed.go
@@ -27,15 +27,15 @@
 
 // passFeed ends with the feed, or leaves it to a goroutine that does.
 func (h *Handler) passFeed(w http.ResponseWriter, r *http.Request, j *job) {
-	source, response, err := h.openHere(r.Context(), j)
+	source, response, err := h.openLocal(r.Context(), j)
 	if err != nil {
 		h.engine.post(feedClosing{id: j.id})
 		h.finish(w, j.class.Name, h.failed(j, err))
 		return
 	}
 	id, class, body := j.id, j.class.Name, io.ReadCloser(source)
-	if h.carryable(j, response) {
-		body = h.carryFeed(r.Context(), j, source)
+	if h.canFailOver(j, response) {
+		body = h.newFailoverFeed(r.Context(), j, source)
 	}
 	head := &Answer{Outcome: OutcomeComplete, Status: response.StatusCode, Header: endToEnd(response.Header)}
 	writeHead(w, head, h.freshTicket())
@@ -49,5 +49,5 @@
 	defer h.engine.post(feedClosing{id: id})
 	defer body.Close()
 	err = upstream.Stream(w, head.Header, body)
-	h.finish(w, class, end{streamed: true, cut: err != nil})
+	h.finish(w, class, jobResult{streamed: true, cut: err != nil})
 }
--- a/internal/request/follow.go
+++ b/internal/request/follow.go
@@ -18,7 +18,7 @@
 func (h *Handler) follow(ctx context.Context) {
 	for {
 		changed := h.o.Source.Changed()
-		h.engine.post(surroundings{limits: h.limits(), siblings: h.siblings()})
+		h.engine.post(serviceUpdate{limits: h.limits(), siblings: h.siblings()})
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/request/handler.go
+++ b/internal/request/handler.go
@@ -69,7 +69,7 @@
 	budget  *retry.Budget
 	tracker *health.Tracker
 	verdict health.Verdict
-	feeds   map[*carriedFeed]struct{}
+	feeds   map[*failoverFeed]struct{}
 
 	relays relays
 }
@@ -81,7 +81,7 @@
 		log:     logging.Part(o.Logger, part),
 		metrics: newCounters(),
 		budget:  retry.NewBudget(retry.DefaultPolicy()),
-		feeds:   map[*carriedFeed]struct{}{},
+		feeds:   map[*failoverFeed]struct{}{},
 		tracker: health.NewTracker(time.Now(), 0),
 	}
 	h.links = newLinks(ctx, o, h.log)
@@ -95,8 +95,8 @@
 	}
 	go h.engine.run(ctx)
 	go h.follow(ctx)
-	go h.rejudge(ctx)
-	go health.Poll(ctx, o.Upstream, h.healthSettings, h.hear)
+	go h.refreshVerdict(ctx)
+	go health.Poll(ctx, o.Upstream, h.healthSettings, h.observeReport)
 	return h, nil
 }
 
@@ -106,18 +106,18 @@
 	h.draining.Store(true)
 	h.engine.post(draining{})
 	h.relays.stopAll()
-	h.leaveFeeds()
+	h.migrateFeeds()
 }
 
 // Load returns what the agent has in hand.
 func (h *Handler) Load() dispatch.Load { return *h.engine.load.Load() }
 
 // SetConnections takes the number of callers' connections.
-func (h *Handler) SetConnections(n int) { h.engine.post(connected{connections: n}) }
+func (h *Handler) SetConnections(n int) { h.engine.post(connectionsChanged{connections: n}) }
 
 // FlowTarget returns where new flows are better placed than here. It never
 // blocks.
-func (h *Handler) FlowTarget() dispatch.FlowTarget { return *h.engine.flows.Load() }
+func (h *Handler) FlowTarget() dispatch.FlowTarget { return *h.engine.flowTarget.Load() }
 
 // ServeHTTP answers one request of a caller.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -151,7 +151,7 @@
 	return NotRun(http.StatusBadRequest, "body", 0)
 }
 
-func (h *Handler) serveJob(ctx context.Context, r *http.Request, j *job) end {
+func (h *Handler) serveJob(ctx context.Context, r *http.Request, j *job) jobResult {
 	if j.class.Idempotent {
 		return h.runIdempotent(ctx, j)
 	}
@@ -216,7 +216,7 @@
 }
 
 // finish gives the caller the one outcome of the request.
-func (h *Handler) finish(w http.ResponseWriter, class string, e end) {
+func (h *Handler) finish(w http.ResponseWriter, class string, e jobResult) {
 	if !e.streamed {
 		h.write(w, class, e.answer)
 		return
--- a/internal/request/handler_test.go
+++ b/internal/request/handler_test.go
@@ -20,7 +20,7 @@
 func receive(c <-chan *httptest.ResponseRecorder) *httptest.ResponseRecorder {
 	GinkgoHelper()
 	var w *httptest.ResponseRecorder
-	Eventually(c, patience).Should(Receive(&w))
+	Eventually(c, waitTimeout).Should(Receive(&w))
 	return w
 }
 
@@ -42,13 +42,13 @@
 	busy := func() (*agent, <-chan *httptest.ResponseRecorder) {
 		a := startAgent(ctx, 1, one, nil)
 		first := a.send(ctx, "GET", "/runners/first", "", "")
-		Eventually(a.upstream.began, patience).Should(Receive())
+		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		return a, first
 	}
 
 	queued := func(a *agent, n int) {
 		GinkgoHelper()
-		Eventually(func() int { return a.handler.Load().Queued }, patience).Should(Equal(n))
+		Eventually(func() int { return a.handler.Load().Queued }, waitTimeout).Should(Equal(n))
 	}
 
 	It("gives the whole answer with a fresh ticket", func() {
@@ -114,7 +114,7 @@
 	It("holds no slot for feeds but bounds them", func() {
 		a := startAgent(ctx, 1, one, nil)
 		feed := a.send(ctx, "GET", "/feed", "", "")
-		Eventually(a.upstream.began, patience).Should(Receive())
+		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		Expect(a.handler.Load().Running).To(BeZero())
 		w := receive(a.send(ctx, "GET", "/feed", "", ""))
 		Expect(w.Code).To(Equal(http.StatusTooManyRequests))
@@ -144,7 +144,7 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		var first health.Verdict
-		Eventually(verdicts, patience).Should(Receive(&first))
+		Eventually(verdicts, waitTimeout).Should(Receive(&first))
 		Expect(first.Weight).To(BeNumerically("<", health.FullWeight/2))
 		Expect(first.Draws).To(BeTrue())
 	})
@@ -201,7 +201,7 @@
 			a.tickets.decision = run
 			leaving, leave := context.WithCancel(ctx)
 			answer := a.send(leaving, "POST", "/answers", "a", "t")
-			Eventually(a.upstream.began, patience).Should(Receive())
+			Eventually(a.upstream.began, waitTimeout).Should(Receive())
 			leave()
 			a.upstream.answer <- text("ok")
 			receive(answer)
@@ -210,7 +210,7 @@
 
 		It("says unknown when the home gives no answer", func() {
 			a := startAgent(ctx, 1, one, nil)
-			a.tickets.decision = request.Decision{Verdict: request.VerdictPass, Home: address(9)}
+			a.tickets.decision = request.Decision{Verdict: request.VerdictForward, Home: address(9)}
 			w := receive(a.send(ctx, "POST", "/answers", "a", "t"))
 			Expect(w.Code).To(Equal(http.StatusBadGateway))
 			Expect(outcome(w)).To(Equal(request.OutcomeUnknown))
--- a/internal/request/job.go
+++ b/internal/request/job.go
@@ -89,8 +89,8 @@
 	return r, nil
 }
 
-// end is how a job ended: an answer to write, or one that has been streamed.
-type end struct {
+// jobResult is how a job ended: an answer to write, or one that has been streamed.
+type jobResult struct {
 	answer *Answer
 	// streamed answers have been written; cut tells that the end is missing.
 	streamed bool
--- a/internal/request/judge.go
+++ b/internal/request/judge.go
@@ -12,9 +12,9 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// judgeInterval is how often a verdict is due without an outcome: a slow start
+// verdictInterval is how often a verdict is due without an outcome: a slow start
 // ends, and peers change.
-const judgeInterval = 500 * time.Millisecond
+const verdictInterval = 500 * time.Millisecond
 
 // eventHealth is recorded when an upstream starts or ceases to look healthy.
 const eventHealth event.Kind = "upstream-health"
@@ -33,7 +33,7 @@
 
 // observe takes the outcome of a run. One that the caller ended says nothing
 // of the upstream.
-func (h *Handler) observe(ctx context.Context, e end, err error, latency time.Duration) {
+func (h *Handler) observe(ctx context.Context, e jobResult, err error, latency time.Duration) {
 	if context.Cause(ctx) == context.Canceled {
 		return
 	}
@@ -41,33 +41,33 @@
 	if good && e.answer != nil {
 		good = e.answer.Status < http.StatusInternalServerError
 	}
-	h.judge(func(now time.Time) {
+	h.updateVerdict(func(now time.Time) {
 		h.tracker.Observe(now, health.Outcome{Good: good, Latency: latency})
 	})
 }
 
-// hear takes what the upstream says of itself.
-func (h *Handler) hear(r health.Report) {
-	h.judge(func(now time.Time) { h.tracker.Hear(now, r) })
+// observeReport takes what the upstream says of itself.
+func (h *Handler) observeReport(r health.Report) {
+	h.updateVerdict(func(now time.Time) { h.tracker.Hear(now, r) })
 }
 
-// rejudge keeps the verdict up to date where nothing happens.
-func (h *Handler) rejudge(ctx context.Context) {
-	ticker := time.NewTicker(judgeInterval)
+// refreshVerdict keeps the verdict up to date where nothing happens.
+func (h *Handler) refreshVerdict(ctx context.Context) {
+	ticker := time.NewTicker(verdictInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			h.judge(func(time.Time) {})
+			h.updateVerdict(func(time.Time) {})
 		}
 	}
 }
 
-// judge changes the tracker and acts on a new verdict. It holds the lock until
+// updateVerdict changes the tracker and acts on a new verdict. It holds the lock until
 // all have been told, so that they hear of verdicts in order.
-func (h *Handler) judge(change func(now time.Time)) {
+func (h *Handler) updateVerdict(change func(now time.Time)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -83,14 +83,14 @@
 		h.engine.post(healthChanged{slots: after.Slots, draws: after.Draws})
 	}
 	if before.Draws != after.Draws {
-		h.tellHealth(after)
+		h.reportVerdict(after)
 	}
 	if h.o.Judged != nil {
 		h.o.Judged(after)
 	}
 }
 
-func (h *Handler) tellHealth(v health.Verdict) {
+func (h *Handler) reportVerdict(v health.Verdict) {
 	detail := fmt.Sprintf("draws=%t weight=%d panic=%t", v.Draws, v.Weight, v.Panic)
 	h.log.Info("Upstream judged.", "draws", v.Draws, "weight", v.Weight, "panic", v.Panic)
 	if h.o.Events != nil {
--- a/internal/request/links.go
+++ b/internal/request/links.go
@@ -30,7 +30,7 @@
 	go func() {
 		args := SignalArgs{Service: l.o.Service, From: l.o.Self, Held: p.Reservation, Standing: p.Standing}
 		if err := l.call(p.From, methodPull, &args, &SignalReply{}); err != nil {
-			l.engine.post(declined{heard: heard{from: p.From}, held: p.Reservation})
+			l.engine.post(declined{standingReceived: standingReceived{from: p.From}, held: p.Reservation})
 		}
 	}()
 }
--- a/internal/request/message.go
+++ b/internal/request/message.go
@@ -97,13 +97,13 @@
 	return nil
 }
 
-// surroundings is a change of what the agent knows of its service.
-type surroundings struct {
+// serviceUpdate is a change of what the agent knows of its service.
+type serviceUpdate struct {
 	limits   dispatch.Limits
 	siblings []dispatch.Sibling
 }
 
-func (m surroundings) apply(e *engine, now time.Time) []dispatch.Action {
+func (m serviceUpdate) apply(e *engine, now time.Time) []dispatch.Action {
 	e.deliver(e.sched.SetLimits(now, m.limits))
 	return e.sched.SetSiblings(now, m.siblings)
 }
@@ -118,10 +118,10 @@
 	return e.sched.SetHealth(now, m.slots, m.draws)
 }
 
-// connected is the number of callers' connections.
-type connected struct{ connections int }
+// connectionsChanged is the number of callers' connections.
+type connectionsChanged struct{ connections int }
 
-func (m connected) apply(e *engine, now time.Time) []dispatch.Action {
+func (m connectionsChanged) apply(e *engine, now time.Time) []dispatch.Action {
 	return e.sched.SetConnections(now, m.connections)
 }
 
@@ -132,30 +132,30 @@
 	return e.sched.Drain(now)
 }
 
-// heard is a sibling's standing.
-type heard struct {
+// standingReceived is a sibling's standing.
+type standingReceived struct {
 	from     dispatch.Sibling
 	standing dispatch.Standing
 }
 
-func (m heard) apply(e *engine, now time.Time) []dispatch.Action {
+func (m standingReceived) apply(e *engine, now time.Time) []dispatch.Action {
 	return e.sched.Heard(now, m.from, m.standing)
 }
 
 // offered is a sibling's reserved slot.
 type offered struct {
-	heard
+	standingReceived
 	held dispatch.Reservation
 }
 
 func (m offered) apply(e *engine, now time.Time) []dispatch.Action {
-	e.deliver(m.heard.apply(e, now))
+	e.deliver(m.standingReceived.apply(e, now))
 	return e.sched.Offered(now, m.from, m.held)
 }
 
 // declined ends a reservation of this agent.
 type declined struct {
-	heard
+	standingReceived
 	held dispatch.Reservation
 }
 
@@ -165,5 +165,5 @@
 		return actions
 	}
 	e.deliver(actions)
-	return m.heard.apply(e, now)
+	return m.standingReceived.apply(e, now)
 }
--- a/internal/request/outcome_test.go
+++ b/internal/request/outcome_test.go
@@ -22,20 +22,20 @@
 	"github.com/saltbend/saltbend/test/mesh"
 )
 
-// erratic is the upstreams of a service together: what a request meets depends
+// flakyUpstream is the upstreams of a service together: what a request meets depends
 // on its target, and all runs are logged.
-type erratic struct {
+type flakyUpstream struct {
 	mu  sync.Mutex
 	ran map[string]int
 }
 
-func (e *erratic) Run(ctx context.Context, q *http.Request, _ config.Class) (*http.Response, error) {
+func (e *flakyUpstream) Run(ctx context.Context, q *http.Request, _ config.Class) (*http.Response, error) {
 	uri := q.URL.RequestURI()
 	e.mu.Lock()
 	attempt := e.ran[uri]
 	e.mu.Unlock()
-	fate := xxhash.Sum64String(fmt.Sprint(uri, attempt)) % 20
-	if fate == 0 {
+	fault := xxhash.Sum64String(fmt.Sprint(uri, attempt)) % 20
+	if fault == 0 {
 		return nil, &upstream.Error{Outcome: upstream.ErrNotSent, Cause: errors.New("refused")}
 	}
 	e.mu.Lock()
@@ -47,7 +47,7 @@
 		return nil, &upstream.Error{Outcome: upstream.ErrMayHaveRun, Cause: ctx.Err()}
 	}
 	status, body := http.StatusOK, io.Reader(strings.NewReader(uri))
-	switch fate {
+	switch fault {
 	case 1:
 		return nil, &upstream.Error{Outcome: upstream.ErrMayHaveRun, Cause: errors.New("reset")}
 	case 2:
@@ -68,7 +68,7 @@
 	It("gives each request one true outcome", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		net, service := mesh.New(), &erratic{ran: map[string]int{}}
+		net, service := mesh.New(), &flakyUpstream{ran: map[string]int{}}
 		var agents []*agent
 		var members []member.Member
 		for port := range uint16(3) {
@@ -124,7 +124,7 @@
 			Expect(seen[o]).NotTo(BeZero(), "the test should meet "+string(o))
 		}
 		for _, a := range agents {
-			Eventually(func() int { return a.handler.Load().Running + a.handler.Load().Queued }, patience).Should(BeZero())
+			Eventually(func() int { return a.handler.Load().Running + a.handler.Load().Queued }, waitTimeout).Should(BeZero())
 		}
 	})
 })
--- a/internal/request/relay.go
+++ b/internal/request/relay.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// feedPoll is how long a sibling waits for the next event.
-	feedPoll = 10 * time.Second
-	// feedGrace is added to it for travel.
-	feedGrace = 5 * time.Second
-	// relayIdle ends a relay whose reader has gone without a word.
-	relayIdle = 30 * time.Second
+	// feedPollTimeout is how long a sibling waits for the next event.
+	feedPollTimeout = 10 * time.Second
+	// feedPollMargin is added to it for travel.
+	feedPollMargin = 5 * time.Second
+	// relayIdleTimeout ends a relay whose reader has gone without a word.
+	relayIdleTimeout = 30 * time.Second
 	// relayBuffer is the size of one read from the upstream in bytes.
 	relayBuffer = 512
 )
@@ -96,7 +96,7 @@
 	if call.Service != h.o.Service {
 		return errOtherService
 	}
-	j, err := h.passedJob(call)
+	j, err := h.forwardedJob(call)
 	if err != nil {
 		return err
 	}
@@ -113,8 +113,8 @@
 		stop()
 		return err
 	}
-	source, response, err := h.openHere(ctx, j)
-	if err == nil && !h.carryable(j, response) {
+	source, response, err := h.openLocal(ctx, j)
+	if err == nil && !h.canFailOver(j, response) {
 		_ = source.Close()
 		err = errors.Errorf("request: feed answered %d", response.StatusCode)
 	}
@@ -127,7 +127,7 @@
 		next: make(chan FeedNextReply),
 		done: ctx.Done(),
 		stop: stop,
-		idle: time.AfterFunc(relayIdle, stop),
+		idle: time.AfterFunc(relayIdleTimeout, stop),
 	}
 	h.relays.add(j.id, one)
 	go h.pump(ctx, j.id, one, source)
@@ -156,11 +156,11 @@
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := source.Read(buffer)
-		if whole := events.take(buffer[:n]); len(whole) > 0 && !one.offer(ctx, FeedNextReply{Events: whole}) {
+		if whole := events.add(buffer[:n]); len(whole) > 0 && !one.offer(ctx, FeedNextReply{Events: whole}) {
 			return
 		}
 		if err == io.EOF {
-			one.offer(ctx, FeedNextReply{Events: events.part, Ended: true})
+			one.offer(ctx, FeedNextReply{Events: events.partial, Ended: true})
 			return
 		}
 		if err != nil {
@@ -184,8 +184,8 @@
 	if one == nil {
 		return errNoRelay
 	}
-	one.idle.Reset(relayIdle)
-	timer := time.NewTimer(feedPoll)
+	one.idle.Reset(relayIdleTimeout)
+	timer := time.NewTimer(feedPollTimeout)
 	defer timer.Stop()
 	select {
 	case *reply = <-one.next:
@@ -214,8 +214,8 @@
 	ended   bool
 }
 
-// openThere opens a feed at a sibling.
-func (h *Handler) openThere(ctx context.Context, sibling netip.AddrPort, call *Call) (feedSource, error) {
+// openRemote opens a feed at a sibling.
+func (h *Handler) openRemote(ctx context.Context, sibling netip.AddrPort, call *Call) (feedSource, error) {
 	opening, cancel := context.WithTimeout(ctx, signalTimeout)
 	defer cancel()
 	var reply FeedOpenReply
@@ -233,7 +233,7 @@
 		if f.ended {
 			return 0, io.EOF
 		}
-		ctx, cancel := context.WithTimeout(f.ctx, feedPoll+feedGrace)
+		ctx, cancel := context.WithTimeout(f.ctx, feedPollTimeout+feedPollMargin)
 		reply := &FeedNextReply{}
 		err := f.handler.o.Caller.Call(ctx, f.sibling, methodFeedNext, &FeedArgs{Relay: f.relay}, reply)
 		cancel()
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -24,7 +24,7 @@
 
 // runIdempotent runs a job, here or at a sibling, until it succeeds or no
 // retry is allowed.
-func (h *Handler) runIdempotent(ctx context.Context, j *job) end {
+func (h *Handler) runIdempotent(ctx context.Context, j *job) jobResult {
 	h.countRequest()
 	for elsewhere := false; ; elsewhere = true {
 		request := j.scheduled()
@@ -42,19 +42,19 @@
 
 // runOnce submits the job and follows the scheduler's word. An error is a
 // failed run.
-func (h *Handler) runOnce(ctx context.Context, j *job, request dispatch.Request) (end, error) {
+func (h *Handler) runOnce(ctx context.Context, j *job, request dispatch.Request) (jobResult, error) {
 	if !h.engine.post(arrival{job: j, request: request}) {
-		return j.refusedEnd(dispatch.Refuse{ID: j.id, Reason: reasonStopped}), nil
+		return j.refusedResult(dispatch.Refuse{ID: j.id, Reason: reasonStopped}), nil
 	}
 	for {
 		switch a := h.await(ctx, j).(type) {
 		case dispatch.Start:
-			return h.runHere(ctx, j)
+			return h.runLocal(ctx, j)
 		case dispatch.Refuse:
 			h.metrics.refused(j.class.Name, a.Reason)
-			return j.refusedEnd(a), nil
+			return j.refusedResult(a), nil
 		case dispatch.Push:
-			e, taken, err := h.runThere(ctx, j, a)
+			e, taken, err := h.runOnSibling(ctx, j, a)
 			if taken {
 				return e, err
 			}
@@ -62,27 +62,27 @@
 	}
 }
 
-// refusedEnd is the end of a job that the scheduler gave up: not run, unless
+// refusedResult is the end of a job that the scheduler gave up: not run, unless
 // an earlier attempt may have.
-func (j *job) refusedEnd(r dispatch.Refuse) end {
+func (j *job) refusedResult(r dispatch.Refuse) jobResult {
 	if j.fallback != nil {
-		return end{answer: j.fallback}
+		return jobResult{answer: j.fallback}
 	}
 	if j.mayHaveRun {
-		return end{answer: Unknown(string(r.Reason))}
+		return jobResult{answer: Unknown(string(r.Reason))}
 	}
-	return end{answer: refused(r)}
+	return jobResult{answer: refused(r)}
 }
 
 // failed is the end of a job whose last run failed.
-func (h *Handler) failed(j *job, err error) end {
+func (h *Handler) failed(j *job, err error) jobResult {
 	if j.fallback != nil {
-		return end{answer: j.fallback}
+		return jobResult{answer: j.fallback}
 	}
 	if j.mayHaveRun {
-		return end{answer: Unknown(failureReason(err))}
+		return jobResult{answer: Unknown(failureReason(err))}
 	}
-	return end{answer: NotRun(http.StatusServiceUnavailable, failureReason(err), time.Second)}
+	return jobResult{answer: NotRun(http.StatusServiceUnavailable, failureReason(err), time.Second)}
 }
 
 func failureReason(err error) string {
@@ -132,9 +132,9 @@
 	}
 }
 
-// runHere runs a started job on the own upstream and frees its slot when the
+// runLocal runs a started job on the own upstream and frees its slot when the
 // answer is whole.
-func (h *Handler) runHere(ctx context.Context, j *job) (end, error) {
+func (h *Handler) runLocal(ctx context.Context, j *job) (jobResult, error) {
 	began := time.Now()
 	h.metrics.waited(j.class.Name, began.Sub(j.arrived))
 	e, err := h.exchange(ctx, j)
@@ -146,19 +146,19 @@
 }
 
 // exchange is one run on the own upstream.
-func (h *Handler) exchange(ctx context.Context, j *job) (end, error) {
+func (h *Handler) exchange(ctx context.Context, j *job) (jobResult, error) {
 	if err := ctx.Err(); err != nil {
-		return end{}, errors.Wrap(err, "request: before the run")
+		return jobResult{}, errors.Wrap(err, "request: before the run")
 	}
 	r, err := j.upstreamRequest(ctx)
 	if err != nil {
-		return end{}, err
+		return jobResult{}, err
 	}
 	j.attempts++
 	response, err := h.o.Upstream.Run(ctx, r, j.class)
 	if err != nil {
 		j.mayHaveRun = j.mayHaveRun || !errors.Is(err, upstream.ErrNotSent)
-		return end{}, errors.Wrap(err, "request: run")
+		return jobResult{}, errors.Wrap(err, "request: run")
 	}
 	defer response.Body.Close()
 	return h.receive(j, response)
@@ -166,12 +166,12 @@
 
 // receive takes the answer of the upstream into memory, or streams it where it
 // is too long for that.
-func (h *Handler) receive(j *job, response *http.Response) (end, error) {
+func (h *Handler) receive(j *job, response *http.Response) (jobResult, error) {
 	limit := h.bodyBytes()
 	body, more, err := readBounded(response.Body, limit)
 	if err != nil {
 		j.mayHaveRun = true
-		return end{}, errors.Wrap(err, "request: read answer")
+		return jobResult{}, errors.Wrap(err, "request: read answer")
 	}
 	answer := &Answer{
 		Outcome: OutcomeComplete,
@@ -181,17 +181,17 @@
 	}
 	if j.class.Idempotent && !more && transient(answer.Status) {
 		j.fallback = answer
-		return end{}, errTransient
+		return jobResult{}, errTransient
 	}
 	if !more {
-		return end{answer: answer}, nil
+		return jobResult{answer: answer}, nil
 	}
 	if j.stream == nil {
 		j.mayHaveRun = true
-		return end{}, errLongAnswer
+		return jobResult{}, errLongAnswer
 	}
 	err = j.stream(answer, response.Body)
-	return end{streamed: true, cut: err != nil}, nil
+	return jobResult{streamed: true, cut: err != nil}, nil
 }
 
 // transient reports whether a status speaks of the upstream's state.
--- a/internal/request/sibling.go
+++ b/internal/request/sibling.go
@@ -90,21 +90,21 @@
 
 // Claim takes a sibling's standing.
 func (s *Sibling) Claim(args *SignalArgs, _ *SignalReply) error {
-	return s.post(args, s.heard(args))
+	return s.post(args, s.standingOf(args))
 }
 
 // Pull takes a sibling's reserved slot.
 func (s *Sibling) Pull(args *SignalArgs, _ *SignalReply) error {
-	return s.post(args, offered{heard: s.heard(args), held: args.Held})
+	return s.post(args, offered{standingReceived: s.standingOf(args), held: args.Held})
 }
 
 // Decline ends a reservation of this agent.
 func (s *Sibling) Decline(args *SignalArgs, _ *SignalReply) error {
-	return s.post(args, declined{heard: s.heard(args), held: args.Held})
+	return s.post(args, declined{standingReceived: s.standingOf(args), held: args.Held})
 }
 
-func (s *Sibling) heard(args *SignalArgs) heard {
-	return heard{from: args.From, standing: args.Standing}
+func (s *Sibling) standingOf(args *SignalArgs) standingReceived {
+	return standingReceived{from: args.From, standing: args.Standing}
 }
 
 func (s *Sibling) post(args *SignalArgs, m message) error {
@@ -121,7 +121,7 @@
 	if args.Call.Service != h.o.Service {
 		return errOtherService
 	}
-	j, err := h.passedJob(&args.Call)
+	j, err := h.forwardedJob(&args.Call)
 	if err != nil || !j.class.Idempotent {
 		reply.Result, reply.Reason = RunNotSent, "no-class"
 		return nil
@@ -158,9 +158,9 @@
 	}
 }
 
-// passedJob builds the job of a call from another agent. Its deadline is
+// forwardedJob builds the job of a call from another agent. Its deadline is
 // counted from now on: the hosts' clocks need not agree.
-func (h *Handler) passedJob(call *Call) (*job, error) {
+func (h *Handler) forwardedJob(call *Call) (*job, error) {
 	now := time.Now()
 	r, err := http.NewRequest(call.Method, call.URI, nil)
 	if err != nil {
@@ -189,7 +189,7 @@
 	if a, refuse := h.await(ctx, j).(dispatch.Refuse); refuse {
 		return RunReply{Result: RunNotTaken, Reason: string(a.Reason)}
 	}
-	e, err := h.runHere(ctx, j)
+	e, err := h.runLocal(ctx, j)
 	switch {
 	case j.fallback != nil:
 		return RunReply{Result: RunAnswered, Answer: *j.fallback}
@@ -203,23 +203,23 @@
 	return RunReply{Result: RunAnswered, Answer: *e.answer}
 }
 
-// runThere runs a job on a sibling. taken is false when the sibling surely
+// runOnSibling runs a job on a sibling. taken is false when the sibling surely
 // didn't run it and the scheduler has it again.
-func (h *Handler) runThere(ctx context.Context, j *job, p dispatch.Push) (e end, taken bool, err error) {
+func (h *Handler) runOnSibling(ctx context.Context, j *job, p dispatch.Push) (e jobResult, taken bool, err error) {
 	reply, err := h.callSibling(ctx, j, p)
 	if err == nil && reply.Result == RunNotTaken {
 		h.metrics.moved(j.class.Name, "returned")
 		h.engine.post(returned{id: j.id})
-		return end{}, false, nil
+		return jobResult{}, false, nil
 	}
 	h.engine.post(settled{id: j.id})
 	j.attempts++
 	if err != nil {
 		j.mayHaveRun = true
 		h.metrics.moved(j.class.Name, "failed")
-		return end{}, true, errors.Wrap(err, "request: sibling")
+		return jobResult{}, true, errors.Wrap(err, "request: sibling")
 	}
-	e, err = j.siblingsWord(reply)
+	e, err = j.applyReply(reply)
 	h.metrics.moved(j.class.Name, movedResult(err))
 	return e, true, err
 }
@@ -231,23 +231,23 @@
 	return "answered"
 }
 
-// siblingsWord is the end that a sibling's reply gives the job.
-func (j *job) siblingsWord(reply *RunReply) (end, error) {
+// applyReply is the end that a sibling's reply gives the job.
+func (j *job) applyReply(reply *RunReply) (jobResult, error) {
 	switch reply.Result {
 	case RunAnswered:
 		if transient(reply.Answer.Status) {
 			j.fallback = &reply.Answer
-			return end{}, errTransient
+			return jobResult{}, errTransient
 		}
-		return end{answer: &reply.Answer}, nil
+		return jobResult{answer: &reply.Answer}, nil
 	case RunNotSent:
-		return end{}, errors.Errorf("request: sibling: %s", reply.Reason)
+		return jobResult{}, errors.Errorf("request: sibling: %s", reply.Reason)
 	case RunLongAnswer:
 		j.mayHaveRun, j.longAnswer = true, true
-		return end{}, errLongAnswer
+		return jobResult{}, errLongAnswer
 	default:
 		j.mayHaveRun = true
-		return end{}, errors.Errorf("request: sibling: %s", reply.Reason)
+		return jobResult{}, errors.Errorf("request: sibling: %s", reply.Reason)
 	}
 }
 
@@ -262,12 +262,12 @@
 	reply := &RunReply{}
 	err := h.o.Caller.Call(ctx, p.To, methodRun, &args, reply)
 	if err != nil && ctx.Err() != nil {
-		go h.cancelThere(p.To, j.id)
+		go h.cancelOnSibling(p.To, j.id)
 	}
 	return reply, err
 }
 
-func (h *Handler) cancelThere(to netip.AddrPort, id dispatch.ID) {
+func (h *Handler) cancelOnSibling(to netip.AddrPort, id dispatch.ID) {
 	args := CancelArgs{From: h.o.Self, ID: id}
 	if err := h.links.call(to, methodCancel, &args, &SignalReply{}); err != nil {
 		h.log.Debug("Sibling didn't take a cancellation.", "sibling", to.String(), "error", err)
--- a/internal/request/sibling_test.go
+++ b/internal/request/sibling_test.go
@@ -40,9 +40,9 @@
 
 	It("run an idempotent request where a slot is free", func() {
 		first := a.send(ctx, "GET", "/runners/1", "", "")
-		Eventually(a.upstream.began, patience).Should(Receive())
+		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		second := a.send(ctx, "GET", "/runners/2", "", "")
-		Eventually(b.upstream.began, patience).Should(Receive())
+		Eventually(b.upstream.began, waitTimeout).Should(Receive())
 		b.upstream.answer <- text("two")
 		Expect(receive(second).Body.String()).To(Equal("two"))
 		a.upstream.answer <- text("one")
@@ -52,9 +52,9 @@
 	It("never move a non-idempotent request", func() {
 		a.tickets.decision = request.Decision{Verdict: request.VerdictRun, ID: "t"}
 		a.send(ctx, "GET", "/runners/1", "", "")
-		Eventually(a.upstream.began, patience).Should(Receive())
+		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		answer := a.send(ctx, "POST", "/answers", "x", "t")
-		Eventually(func() int { return a.handler.Load().Queued }, patience).Should(Equal(1))
+		Eventually(func() int { return a.handler.Load().Queued }, waitTimeout).Should(Equal(1))
 		a.upstream.answer <- text("one")
 		a.upstream.answer <- text("two")
 		Expect(receive(answer).Body.String()).To(Equal("two"))
@@ -63,20 +63,20 @@
 
 	It("cancel what the owner's caller no longer wants", func() {
 		a.send(ctx, "GET", "/runners/1", "", "")
-		Eventually(a.upstream.began, patience).Should(Receive())
+		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		leaving, leave := context.WithCancel(ctx)
 		second := a.send(leaving, "GET", "/runners/2", "", "")
-		Eventually(b.upstream.began, patience).Should(Receive())
+		Eventually(b.upstream.began, waitTimeout).Should(Receive())
 		leave()
 		Expect(outcome(receive(second))).To(Equal(request.OutcomeUnknown))
-		Eventually(func() int { return b.handler.Load().Running }, patience).Should(BeZero())
+		Eventually(func() int { return b.handler.Load().Running }, waitTimeout).Should(BeZero())
 	})
 
 	It("take the new idempotent requests of one that drains", func() {
 		first := a.send(ctx, "GET", "/runners/1", "", "")
-		Eventually(a.upstream.began, patience).Should(Receive())
+		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		second := a.send(ctx, "GET", "/runners/2", "", "")
-		Eventually(b.upstream.began, patience).Should(Receive()) // they know each other
+		Eventually(b.upstream.began, waitTimeout).Should(Receive()) // they know each other
 		a.handler.Drain()
 		third := a.send(ctx, "GET", "/runners/3", "", "")
 		b.upstream.answer <- text("two")
@@ -90,9 +90,9 @@
 
 	It("give an answer that is too long to pass from the owner", func() {
 		a.send(ctx, "GET", "/runners/1", "", "")
-		Eventually(a.upstream.began, patience).Should(Receive())
+		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		second := a.send(ctx, "GET", "/runners/2", "", "")
-		Eventually(b.upstream.began, patience).Should(Receive())
+		Eventually(b.upstream.began, waitTimeout).Should(Receive())
 		long := make([]byte, 1000)
 		b.upstream.answer <- text(string(long))
 		a.upstream.answer <- text("one")
@@ -109,7 +109,7 @@
 			answer, here = feed()
 			a.upstream.answer <- answer
 			caller = a.send(ctx, "GET", "/feed", "", "")
-			Eventually(a.upstream.began, patience).Should(Receive())
+			Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		})
 		write := func(w *io.PipeWriter, text string) {
 			GinkgoHelper()
@@ -123,14 +123,14 @@
 			b.upstream.answer <- answer
 			go a.handler.Drain()
 			var r *http.Request
-			Eventually(b.upstream.began, patience).Should(Receive(&r))
+			Eventually(b.upstream.began, waitTimeout).Should(Receive(&r))
 			Expect(r.Header.Get("Last-Event-ID")).To(Equal("1"))
 			write(there, "id: 2\ndata: b\n\n")
 			Expect(there.Close()).To(Succeed())
 			w := receive(caller)
 			Expect(w.Code).To(Equal(http.StatusOK))
 			Expect(w.Body.String()).To(Equal("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
-			Eventually(func() int { return b.handler.Load().Feeds }, patience).Should(BeZero())
+			Eventually(func() int { return b.handler.Load().Feeds }, waitTimeout).Should(BeZero())
 		})
 
 		It("leave it where it is when its events have no ids", func() {
@@ -146,7 +146,7 @@
 			answer, local := feed()
 			a.upstream.answer <- answer
 			caller := a.send(ctx, "GET", "/local-feed", "", "")
-			Eventually(a.upstream.began, patience).Should(Receive())
+			Eventually(a.upstream.began, waitTimeout).Should(Receive())
 			write(local, "id: 1\ndata: a\n\n")
 			a.handler.Drain()
 			write(local, "id: 2\ndata: b\n\n")
@@ -170,7 +170,7 @@
 			answer, there := feed()
 			b.upstream.answer <- answer
 			Expect(here.CloseWithError(io.ErrUnexpectedEOF)).To(Succeed())
-			Eventually(b.upstream.began, patience).Should(Receive())
+			Eventually(b.upstream.began, waitTimeout).Should(Receive())
 			write(there, "id: 2\ndata: b\n\n")
 			Expect(there.Close()).To(Succeed())
 			Expect(receive(caller).Body.String()).To(Equal("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
--- a/internal/request/ticketed.go
+++ b/internal/request/ticketed.go
@@ -10,50 +10,50 @@
 )
 
 // runTicketed runs a non-idempotent job under its ticket, at most once.
-func (h *Handler) runTicketed(ctx context.Context, text string, j *job) end {
+func (h *Handler) runTicketed(ctx context.Context, text string, j *job) jobResult {
 	switch {
 	case text == "" && h.o.Tickets == nil:
-		return end{answer: NotRun(http.StatusServiceUnavailable, "no-tickets", time.Second)}
+		return jobResult{answer: NotRun(http.StatusServiceUnavailable, "no-tickets", time.Second)}
 	case text == "" && h.draining.Load():
-		return end{answer: NotRun(http.StatusServiceUnavailable, "draining", time.Second)}
+		return jobResult{answer: NotRun(http.StatusServiceUnavailable, "draining", time.Second)}
 	case text == "":
-		return end{answer: NotRun(http.StatusPreconditionRequired, "no-ticket", 0)}
+		return jobResult{answer: NotRun(http.StatusPreconditionRequired, "no-ticket", 0)}
 	case h.o.Tickets == nil:
-		return end{answer: Unknown("no-tickets")} // it may have run elsewhere
+		return jobResult{answer: Unknown("no-tickets")} // it may have run elsewhere
 	}
 	j.call.Digest = ticket.DigestOf(j.call.Method, j.call.URI, j.call.Body)
 	d := h.o.Tickets.Begin(text, j.call.Digest, j.deadline)
-	if d.Verdict == VerdictPass {
-		return end{answer: h.passHome(ctx, d, text, j)}
+	if d.Verdict == VerdictForward {
+		return jobResult{answer: h.forwardToHome(ctx, d, text, j)}
 	}
-	return h.decided(ctx, d, j)
+	return h.applyDecision(ctx, d, j)
 }
 
-// decided acts on a verdict of this home.
-func (h *Handler) decided(ctx context.Context, d Decision, j *job) end {
+// applyDecision acts on a verdict of this home.
+func (h *Handler) applyDecision(ctx context.Context, d Decision, j *job) jobResult {
 	switch d.Verdict {
 	case VerdictRun:
 		return h.runOwned(ctx, d, j)
 	case VerdictReplay:
-		return end{answer: d.Answer}
+		return jobResult{answer: d.Answer}
 	case VerdictWait:
-		return end{answer: h.awaitAnswer(ctx, d)}
+		return jobResult{answer: h.awaitAnswer(ctx, d)}
 	case VerdictRefuse:
-		return end{answer: NotRun(d.Status, d.Reason, 0)}
+		return jobResult{answer: NotRun(d.Status, d.Reason, 0)}
 	default:
-		return end{answer: Unknown("ticket")}
+		return jobResult{answer: Unknown("ticket")}
 	}
 }
 
-// passHome has the ticket's home answer. Nothing runs here.
-func (h *Handler) passHome(ctx context.Context, d Decision, text string, j *job) *Answer {
+// forwardToHome has the ticket's home answer. Nothing runs here.
+func (h *Handler) forwardToHome(ctx context.Context, d Decision, text string, j *job) *Answer {
 	call := *j.call
 	call.Waited = time.Since(j.arrived)
 	call.Left = time.Until(j.deadline)
 	if j.body != nil {
 		h.boundBody(&call, j)
 	}
-	answer, err := h.o.Tickets.Pass(ctx, d.Home, text, &call)
+	answer, err := h.o.Tickets.Forward(ctx, d.Home, text, &call)
 	if err != nil {
 		h.log.Info("Home of a ticket gave no answer.", "home", d.Home.String(), "error", err)
 		return Unknown("home-unreachable")
@@ -88,7 +88,7 @@
 // runOwned runs a job whose ticket this call alone may run. A started run isn't
 // bound to the caller's connection: a caller that lost it asks again and gets
 // the recorded answer. A queued one ends when nobody waits for it any more.
-func (h *Handler) runOwned(ctx context.Context, d Decision, j *job) end {
+func (h *Handler) runOwned(ctx context.Context, d Decision, j *job) jobResult {
 	if j.call.BodyOmitted {
 		return h.void(d.ID, dispatch.Refuse{ID: j.id, Reason: reasonBodyOmitted})
 	}
@@ -126,26 +126,26 @@
 }
 
 // startOwned runs the job, unless its ticket was voided while its turn came.
-func (h *Handler) startOwned(ctx context.Context, id TicketID, j *job) end {
+func (h *Handler) startOwned(ctx context.Context, id TicketID, j *job) jobResult {
 	if !h.o.Tickets.Start(id, time.Now()) {
 		h.engine.post(ended{id: j.id})
-		return end{answer: refused(dispatch.Refuse{ID: j.id, Reason: dispatch.ReasonExpired})}
+		return jobResult{answer: refused(dispatch.Refuse{ID: j.id, Reason: dispatch.ReasonExpired})}
 	}
-	return h.runOnceOnly(ctx, id, j)
+	return h.runAndRecord(ctx, id, j)
 }
 
 // void ends a ticketed job that the scheduler gave up. The job is out of the
 // queue and only this call could have started it.
-func (h *Handler) void(id TicketID, r dispatch.Refuse) end {
+func (h *Handler) void(id TicketID, r dispatch.Refuse) jobResult {
 	if !h.o.Tickets.Void(id) {
-		return end{answer: Unknown(string(r.Reason))}
+		return jobResult{answer: Unknown(string(r.Reason))}
 	}
-	return end{answer: refused(r)}
+	return jobResult{answer: refused(r)}
 }
 
-// runOnceOnly runs a started job and records its outcome before the caller
+// runAndRecord runs a started job and records its outcome before the caller
 // learns it.
-func (h *Handler) runOnceOnly(ctx context.Context, id TicketID, j *job) end {
+func (h *Handler) runAndRecord(ctx context.Context, id TicketID, j *job) jobResult {
 	recorded := false
 	record := func(a *Answer) {
 		recorded = true
@@ -156,7 +156,7 @@
 			record(Unknown("aborted"))
 		}
 	}()
-	e, err := h.runHere(ctx, j)
+	e, err := h.runLocal(ctx, j)
 	switch {
 	case err != nil:
 		e = h.failed(j, err)
@@ -169,21 +169,21 @@
 	return e
 }
 
-// RunPassed answers a call that another agent passed to this home. A call of no
+// RunForwarded answers a call that another agent passed to this home. A call of no
 // class can't run here, but its ticket may have run before a change of the
 // configuration: the ticket decides.
-func (h *Handler) RunPassed(ctx context.Context, text string, call *Call) *Answer {
-	j, err := h.passedJob(call)
+func (h *Handler) RunForwarded(ctx context.Context, text string, call *Call) *Answer {
+	j, err := h.forwardedJob(call)
 	if err != nil {
 		j = h.classless(call)
 	}
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
 	d := h.o.Tickets.Begin(text, call.Digest, j.deadline)
-	if d.Verdict == VerdictPass {
+	if d.Verdict == VerdictForward {
 		return Unknown("home-moved")
 	}
-	return h.decided(ctx, d, j).answer
+	return h.applyDecision(ctx, d, j).answer
 }
 
 // classless is a job that can't run: its ticket is voided or its outcome told.
--- a/internal/request/tickets.go
+++ b/internal/request/tickets.go
@@ -33,15 +33,15 @@
 	// Leave tells that one caller of VerdictRun or VerdictWait no longer waits.
 	// A request that nobody waits for is voided while it is queued.
 	Leave(id TicketID)
-	// Pass has the home agent at the control address decide and answer. An
+	// Forward has the home agent at the control address decide and answer. An
 	// error means that the outcome is unknown.
-	Pass(ctx context.Context, home netip.AddrPort, ticket string, call *Call) (*Answer, error)
+	Forward(ctx context.Context, home netip.AddrPort, ticket string, call *Call) (*Answer, error)
 }
 
 // HomeRunner is the handler as the home's net/rpc service sees it: it presents
 // a passed ticket to Begin and, on VerdictRun, dispatches the call here.
 type HomeRunner interface {
-	// RunPassed answers a call that another agent passed to this home. It
+	// RunForwarded answers a call that another agent passed to this home. It
 	// doesn't pass it on.
-	RunPassed(ctx context.Context, ticket string, call *Call) *Answer
+	RunForwarded(ctx context.Context, ticket string, call *Call) *Answer
 }
