--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -8,30 +8,31 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// Outcome is the one end of a request, as the caller is told.
+// Outcome is the final result of a request as it is reported to the caller. Each
+// request has exactly one.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// OutcomeComplete is the upstream's whole answer.
+	// OutcomeComplete means that the upstream's answer is complete.
 	OutcomeComplete Outcome = "complete"
-	// OutcomeNotRun tells that the request never reached an upstream.
+	// OutcomeNotRun means that the request has not run on any upstream and will not.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown tells that the request may have run; it is final.
+	// OutcomeUnknown means that the request may have run. It is final.
 	OutcomeUnknown Outcome = "unknown"
 )
 
 // Names of the system's header fields.
 const (
-	// HeaderTicket names the ticket to run under (request) or a fresh one
-	// (response).
+	// HeaderTicket carries a ticket: in a request the one to run under, in a response a
+	// new one for the next request.
 	HeaderTicket = "Saltbend-Ticket"
 	// HeaderOutcome carries the Outcome of a response.
 	HeaderOutcome = "Saltbend-Outcome"
 )
 
-// Answer is a whole response in memory: what a sibling returns and what the
-// home of a ticket records.
+// Answer is a complete response in memory. Siblings return it, and the home of a ticket
+// records it.
 type Answer struct {
 	Outcome Outcome
 	Status  int
@@ -39,7 +40,7 @@
 	Body    []byte
 }
 
-// Call is a request in memory, as one agent passes it to another.
+// Call is a request in memory in the form in which agents send it to each other.
 type Call struct {
 	Service string
 	Method  string
@@ -47,52 +48,52 @@
 	URI    string
 	Header http.Header
 	Body   []byte
-	// BodyOmitted tells that the body was too long to pass: the home may
-	// replay or void the ticket, but can't run it.
+	// BodyOmitted means that the body was too long to forward. The home can
+	// replay an answer or void the ticket, but can't run the request.
 	BodyOmitted bool
-	// Digest identifies the content of a request under a ticket, as the agent
-	// saw it at which the request arrived.
+	// Digest identifies the content of a request under a ticket. The agent that
+	// received the request from the caller computes it.
 	Digest ticket.Digest
-	// Waited is the time since the arrival and Left the time until the
-	// deadline; durations, since clocks of hosts don't agree.
+	// Waited is the time since the arrival and Left the time until the deadline.
+	// They are durations because the clocks of hosts differ.
 	Waited time.Duration
 	Left   time.Duration
 }
 
-// Verdict is what the ticket's state allows.
+// Verdict says what the state of a ticket allows.
 type Verdict uint8
 
 // Verdicts of Tickets.Begin.
 const (
-	// VerdictRun lets this caller of Begin, and no other, run the request.
+	// VerdictRun allows this caller of Begin, and no other, to run the request.
 	VerdictRun Verdict = iota + 1
-	// VerdictReplay gives the recorded answer.
+	// VerdictReplay comes with the recorded answer.
 	VerdictReplay
-	// VerdictWait gives a channel that delivers the answer of the run in
-	// progress; it is closed without one when none can be had (unknown).
+	// VerdictWait comes with a channel that delivers the answer of the run in progress.
+	// The channel is closed without an answer if there is none (unknown).
 	VerdictWait
-	// VerdictForward names the home agent of the ticket, which decides.
+	// VerdictForward names the ticket's home agent, which has to decide.
 	VerdictForward
-	// VerdictRefuse tells that the ticket can't run: not run, answer 428 or
-	// the given Status.
+	// VerdictRefuse means that the request can't run under the ticket and has not run.
+	// The answer has the given Status, 428 if the ticket is invalid.
 	VerdictRefuse
-	// VerdictUnknown tells that the ticket may have run and no answer can be
-	// had (its home's incarnation is gone).
+	// VerdictUnknown means that the request may have run and that its answer isn't
+	// available, for example because the home's incarnation has ended.
 	VerdictUnknown
 )
 
-// TicketID identifies a ticket at its home.
+// TicketID identifies a ticket within its home.
 type TicketID string
 
-// Decision is the result of Tickets.Begin; fields besides Verdict and ID are
-// set as the verdict says.
+// Decision is the result of Tickets.Begin. ID is set with VerdictRun and VerdictWait;
+// the other fields are set with the verdict that their comment names.
 type Decision struct {
 	Verdict Verdict
 	ID      TicketID
 	Answer  *Answer        // VerdictReplay
 	Wait    <-chan *Answer // VerdictWait
-	// Abandoned is closed when the request was voided because all its callers
-	// left; VerdictRun.
+	// Abandoned is closed when the request is voided because all its callers have
+	// disconnected; VerdictRun.
 	Abandoned <-chan struct{}
 	Home      netip.AddrPort // VerdictPass: control address of the home
 	Status    int            // VerdictRefuse
--- a/internal/request/bench_test.go
+++ b/internal/request/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/saltbend/saltbend/internal/request"
 )
 
-// instant answers at once.
+// instant is an upstream that answers without delay.
 type instant struct{}
 
 func (instant) Run(context.Context, *http.Request, config.Class) (*http.Response, error) {
@@ -21,7 +21,8 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: body}, nil
 }
 
-// BenchmarkLookup is what a lookup costs between HTTP and the upstream.
+// BenchmarkLookup measures the overhead of the handler for one idempotent request, from
+// HTTP to the upstream.
 func BenchmarkLookup(b *testing.B) {
 	h, err := request.NewHandler(b.Context(), request.Options{
 		Service: "exams", Self: address(1), Upstream: instant{}, Logger: slog.New(slog.DiscardHandler),
--- a/internal/request/engine.go
+++ b/internal/request/engine.go
@@ -10,11 +10,11 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// inboxSize is how many messages wait for the engine before senders do.
+// inboxSize is the number of messages that can be pending before senders block.
 const inboxSize = 256
 
-// engine is the one goroutine that owns the scheduler. Handlers and siblings
-// reach it by messages; it answers each job on the job's own channel.
+// engine runs the goroutine that owns the scheduler. Handlers and siblings send
+// messages to it; it sends each job its next action on the job's own channel.
 type engine struct {
 	inbox      chan message
 	sched      *dispatch.Scheduler
@@ -27,7 +27,7 @@
 	done       chan struct{}
 }
 
-// siblingLinks carries messages to siblings; it must not block.
+// siblingLinks sends messages to siblings. Its methods must not block.
 type siblingLinks interface {
 	pull(dispatch.Pull)
 	decline(dispatch.Decline)
@@ -54,7 +54,7 @@
 	return e
 }
 
-// run serves the inbox until ctx ends.
+// run processes messages and timer ticks until ctx ends.
 func (e *engine) run(ctx context.Context) {
 	defer close(e.done)
 	timer := time.NewTimer(time.Hour)
@@ -71,14 +71,13 @@
 		if at, ok := e.sched.NextWake(); ok {
 			timer.Reset(max(time.Until(at), 0))
 		}
-		load, flows := e.sched.Load(), e.sched.FlowTarget()
+		load, flowTarget := e.sched.Load(), e.sched.FlowTarget()
 		e.load.Store(&load)
-		e.flowTarget.Store(&flows)
+		e.flowTarget.Store(&flowTarget)
 	}
 }
 
-// post hands a message to the engine; it reports false when the engine has
-// stopped.
+// post sends a message to the engine. It reports false if the engine has stopped.
 func (e *engine) post(m message) bool {
 	select {
 	case e.inbox <- m:
@@ -107,12 +106,12 @@
 	}
 }
 
-// sendAction gives a job its next action. The channel holds one and a job has at
-// most one to come, so this doesn't block.
+// sendAction sends a job its next action. It doesn't block, because the channel has
+// room for one action and a job has at most one pending.
 func (e *engine) sendAction(id dispatch.ID, a dispatch.Action) {
 	j, ok := e.jobs[id]
 	if !ok {
-		e.log.Error("Action for an unknown request.", "id", uint64(id))
+		e.log.Error("Scheduler returned an action for an unknown request.", "id", uint64(id))
 		return
 	}
 	j.next <- a
@@ -121,5 +120,5 @@
 	}
 }
 
-// nextID returns an ID that no other request of this process has.
+// nextID returns an ID that is unique within this process.
 func (e *engine) nextID() dispatch.ID { return dispatch.ID(e.ids.Add(1)) }
--- a/internal/request/events.go
+++ b/internal/request/events.go
@@ -4,29 +4,30 @@
 	"bytes"
 )
 
-// maxEventBytes bounds an event that is kept back until it is whole, in bytes.
+// maxEventBytes is the size up to which an incomplete event is buffered.
 const maxEventBytes = 64 << 10
 
-// idField begins the line of an event that carries its id.
+// idField is the start of the line with an event's id.
 var idField = []byte("id:")
 
-// events cuts a stream of server-sent events into whole events and remembers
-// the last id, so that another stream can go on where this one was left. The
-// zero value is ready.
+// events splits a stream of server-sent events into complete events and records the id
+// of the last one, so that the stream can be resumed from another source. The zero
+// value is ready for use.
 type events struct {
-	// partial is the beginning of an event that isn't whole yet.
+	// partial is the beginning of an incomplete event.
 	partial []byte
-	// lastID is the id of the last whole event that had one.
+	// lastID is the id of the last complete event that had one.
 	lastID string
-	// resumable tells that the last whole event carried an id and that nothing
-	// after it has been passed on.
+	// resumable is true if the last complete event has an id and no data after it
+	// has been sent, apart from comments.
 	resumable bool
-	// oversized tells that the part has been passed on before it was whole.
+	// oversized is true while the rest of an event follows that was sent before it
+	// was complete.
 	oversized bool
 }
 
-// add adds what was read and returns what may be passed on. The result is
-// valid until the next call.
+// add appends data and returns what can be sent now. The result is valid until the next
+// call.
 func (e *events) add(read []byte) []byte {
 	e.partial = append(e.partial, read...)
 	end := wholeEvents(e.partial)
@@ -40,19 +41,19 @@
 	e.recordIDs(whole)
 	e.partial = append([]byte(nil), e.partial[end:]...)
 	if len(e.partial) == 0 {
-		e.partial = nil // a feed is silent for most of its life
+		e.partial = nil // frees the buffer, because feeds are idle most of the time
 	}
 	return whole
 }
 
-// flushPartial gives up on an event that is too long to be kept back.
+// flushPartial returns an incomplete event that is too long to be buffered further.
 func (e *events) flushPartial() []byte {
 	out := e.partial
 	e.partial, e.oversized, e.resumable = nil, true, false
 	return out
 }
 
-// recordIDs takes whole events that are passed on.
+// recordIDs updates lastID and resumable for complete events that are sent.
 func (e *events) recordIDs(whole []byte) {
 	for len(whole) > 0 {
 		end := firstEvent(whole)
@@ -63,7 +64,7 @@
 
 func (e *events) recordID(event []byte) {
 	if e.oversized {
-		e.oversized = false // the rest of an event whose beginning is gone
+		e.oversized = false // the rest of an event that was partly sent before
 		return
 	}
 	for line := range bytes.Lines(event) {
@@ -74,12 +75,11 @@
 		}
 	}
 	if !isComment(event) {
-		e.resumable = false // it would come again, or never, after a change
+		e.resumable = false // after a failover the event could be repeated or lost
 	}
 }
 
-// isComment reports whether an event has nothing but comments, as keep-alives
-// do.
+// isComment reports whether an event consists of comments only, as keep-alives do.
 func isComment(event []byte) bool {
 	for line := range bytes.Lines(event) {
 		if line = bytes.TrimSpace(line); len(line) > 0 && line[0] != ':' {
@@ -89,10 +89,11 @@
 	return true
 }
 
-// dropPartial forgets a part that was not passed on: its event comes again.
+// dropPartial discards an incomplete event that was not sent. The next source sends it
+// again.
 func (e *events) dropPartial() { e.partial = nil }
 
-// firstEvent returns the length of the first whole event, or 0.
+// firstEvent returns the length of the first complete event, or 0.
 func firstEvent(b []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(b[at:], '\n')
@@ -109,7 +110,7 @@
 	}
 }
 
-// wholeEvents returns the length of all whole events at the beginning of b.
+// wholeEvents returns the total length of the complete events at the start of b.
 func wholeEvents(b []byte) int {
 	end := 0
 	for {
--- a/internal/request/failover.go
+++ b/internal/request/failover.go
@@ -17,11 +17,14 @@
 )
 
 const (
-	// headerLastEventID has a feed go on after the event with that id.
+	// headerLastEventID asks the upstream to resume a feed after the event with that
+	// id.
 	headerLastEventID = "Last-Event-Id"
-	// maxResumes bounds the changes of a feed that brought no event between.
+	// maxResumes bounds the consecutive failovers of a feed without an event in
+	// between.
 	maxResumes = 3
-	// maxConcurrentMigrations is the number of feeds that change their source at once.
+	// maxConcurrentMigrations bounds the feeds that migrate to siblings at the same
+	// time.
 	maxConcurrentMigrations = 32
 )
 
@@ -30,7 +33,7 @@
 	errNoSibling  = errors.New("request: no sibling")
 )
 
-// feedSource is where a feed's events come from: the own upstream or a sibling.
+// feedSource supplies the events of a feed: the own upstream or a sibling.
 type feedSource struct {
 	io.ReadCloser
 	// interrupt makes Read return.
@@ -39,34 +42,36 @@
 
 func (s feedSource) stop() {
 	s.interrupt()
-	_ = s.Close() // nothing is to be had from it any more
+	_ = s.Close() // an error doesn't matter: the source isn't read any more
 }
 
-// failoverFeed is the body of a feed that outlives its source: when that fails,
-// or the agent drains, the feed goes on at a sibling after the last event that
-// the caller got.
+// failoverFeed is the body of a feed (a stream of server-sent events) that can change
+// its source. If the source fails or the agent drains, the feed resumes at a sibling
+// after the last event that was sent to the caller.
 type failoverFeed struct {
 	handler *Handler
 	ctx     context.Context
 	call    *Call
 	class   config.Class
 
-	// out and resumes belong to the reader.
+	// out and resumes are used by the goroutine that calls Read only.
 	out     []byte
 	resumes int
 
 	mu     sync.Mutex
 	events events
 	source feedSource
-	// next is the source that takes over when the reader returns from the one
-	// that was interrupted; what that gives until then comes again.
+	// next replaces source once the reader has returned from the interrupted Read.
+	// Data that source returns until then is dropped, because next sends it again.
 	next *feedSource
-	// migratePending feeds change their source as soon as they can be resumed.
+	// migratePending is set if the feed has to migrate as soon as it can be
+	// resumed.
 	migratePending bool
 	closed         bool
 }
 
-// newFailoverFeed returns a body that outlives the response's own.
+// newFailoverFeed returns a body that reads from the source and can fail over to a
+// sibling.
 func (h *Handler) newFailoverFeed(ctx context.Context, j *job, source feedSource) *failoverFeed {
 	f := &failoverFeed{handler: h, ctx: ctx, call: j.call, class: j.class, source: source}
 	h.mu.Lock()
@@ -75,13 +80,14 @@
 	return f
 }
 
-// canFailOver reports whether the feed of that response can change its source.
+// canFailOver reports whether the feed with that response can be resumed from another
+// source.
 func (h *Handler) canFailOver(j *job, response *http.Response) bool {
 	return h.o.Caller != nil && j.class.Resume && response.StatusCode == http.StatusOK &&
 		upstream.IsEvents(response.Header) && response.Header.Get("Content-Encoding") == ""
 }
 
-// migrateFeeds has all feeds go on at siblings where they can.
+// migrateFeeds migrates all open feeds to siblings where that is possible.
 func (h *Handler) migrateFeeds() {
 	h.mu.Lock()
 	feeds := slices.Collect(maps.Keys(h.feeds))
@@ -94,11 +100,11 @@
 			return nil
 		})
 	}
-	_ = moves.Wait() // none fails: a feed that no sibling takes stays
+	_ = moves.Wait() // always nil: a feed that no sibling accepts stays here
 }
 
-// migrate opens the feed at a sibling and then leaves the present source. A feed
-// that can't be resumed yet leaves when it can.
+// migrate opens the feed at a sibling and then switches to it. A feed that can't be
+// resumed yet is marked to migrate later.
 func (f *failoverFeed) migrate() {
 	for range maxResumes {
 		id, ok := f.resumePoint()
@@ -107,7 +113,7 @@
 		}
 		next, err := f.openAtSibling(id)
 		if err != nil {
-			f.handler.log.Debug("No sibling takes a feed.", "error", err)
+			f.handler.log.Debug("No sibling accepted a feed; it stays on the own upstream.", "error", err)
 			return
 		}
 		if f.switchTo(next, id) {
@@ -117,7 +123,8 @@
 	}
 }
 
-// resumePoint returns the id after which the feed can be resumed.
+// resumePoint returns the id of the event after which the feed can be resumed. If it
+// can't be resumed now, resumePoint sets migratePending.
 func (f *failoverFeed) resumePoint() (id string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,8 +132,9 @@
 	return f.events.lastID, f.events.resumable && !f.closed && f.next == nil
 }
 
-// switchTo interrupts the present source unless events have passed since the
-// next one was opened.
+// switchTo interrupts the present source in favour of next. If the feed has been
+// closed, or events have been sent since next was opened, it stops next and reports
+// false.
 func (f *failoverFeed) switchTo(next feedSource, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,7 +147,7 @@
 	return true
 }
 
-// Read returns whole events.
+// Read returns complete events.
 func (f *failoverFeed) Read(p []byte) (int, error) {
 	for len(f.out) == 0 {
 		n, err := f.current().Read(p)
@@ -158,12 +166,12 @@
 	return n, nil
 }
 
-// add adds what was read; it reports whether there are events to pass on.
+// add appends data from the source and reports whether there are events to send.
 func (f *failoverFeed) add(read []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.next != nil {
-		return false // it comes again from the next source
+		return false // the next source sends this data again
 	}
 	f.out = f.events.add(read)
 	if f.migratePending && f.events.resumable {
@@ -173,7 +181,7 @@
 	return len(f.out) > 0
 }
 
-// rest returns what is left of a feed that ends in the middle of an event.
+// rest returns the remaining data of a feed that ended in the middle of an event.
 func (f *failoverFeed) rest(p []byte, err error) (int, error) {
 	if err != io.EOF || len(f.events.partial) == 0 {
 		return 0, err
@@ -189,8 +197,8 @@
 	return f.source
 }
 
-// failOver changes the source after its Read has failed or was interrupted. It
-// returns the error that ends the feed where it can't.
+// failOver replaces the source after its Read has failed or was interrupted. It returns
+// the error that ends the feed if that isn't possible.
 func (f *failoverFeed) failOver(failure error) error {
 	if f.switchToNext() {
 		return nil
@@ -202,14 +210,14 @@
 	f.resumes++
 	next, err := f.openAtSibling(f.events.lastID)
 	if err != nil {
-		return errors.Wrap(failure, "request: no sibling takes the feed")
+		return errors.Wrap(failure, "request: feed failed and no sibling accepted it")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.setSource(next)
 }
 
-// switchToNext makes the source that was opened in advance the present one.
+// switchToNext replaces the source by the one that was opened in advance, if any.
 func (f *failoverFeed) switchToNext() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,8 +229,8 @@
 	return f.setSource(next) == nil
 }
 
-// setSource makes next the source, unless the feed was closed. It is called with
-// the lock held.
+// setSource makes next the source, unless the feed is closed. The caller holds the
+// lock.
 func (f *failoverFeed) setSource(next feedSource) error {
 	if f.closed {
 		next.stop()
@@ -240,7 +248,8 @@
 	return f.events.resumable && !f.closed
 }
 
-// openAtSibling opens the feed after the event with the id at a sibling.
+// openAtSibling opens the feed at a sibling, starting after the event with the id. It
+// tries the siblings in random order.
 func (f *failoverFeed) openAtSibling(id string) (next feedSource, err error) {
 	call := *f.call
 	call.Header = f.call.Header.Clone()
@@ -256,7 +265,7 @@
 	return feedSource{}, err
 }
 
-// Close ends the feed.
+// Close closes the feed and its sources.
 func (f *failoverFeed) Close() error {
 	f.handler.removeFeed(f)
 	f.mu.Lock()
--- a/internal/request/fake_test.go
+++ b/internal/request/fake_test.go
@@ -32,7 +32,7 @@
 
 const waitTimeout = 10 * time.Second
 
-// exams is a service with all kinds of classes.
+// exams returns a service with one class of each kind.
 func exams(limits config.Limits) config.Service {
 	return config.Service{Name: "exams", Limits: limits, Classes: []config.Class{
 		{Name: "lookup", Methods: []string{"GET"}, Path: "/runners/*", Kind: config.KindRequest, Idempotent: true, Deadline: waitTimeout},
@@ -48,7 +48,7 @@
 	return fleetsource.New(&control.Snapshot{Config: &config.Config{Services: []config.Service{s}}})
 }
 
-// runner is an upstream that holds each request until the test lets it go.
+// runner is an upstream that holds each request until the test sends its answer.
 type runner struct {
 	began  chan *http.Request
 	answer chan reply
@@ -63,7 +63,7 @@
 	events *io.PipeReader // a feed instead of the body
 }
 
-// feed returns an answer whose events the test writes.
+// feed returns an answer with events that the test writes to the pipe.
 func feed() (reply, *io.PipeWriter) {
 	r, w := io.Pipe()
 	return reply{status: http.StatusOK, events: r}, w
@@ -115,7 +115,7 @@
 	return reply{err: &upstream.Error{Outcome: upstream.ErrMayHaveRun, Cause: errors.New("reset")}}
 }
 
-// tickets is a home that knows one state per ticket.
+// tickets is a home with the same decision for every ticket.
 type tickets struct {
 	mu       sync.Mutex
 	decision request.Decision
@@ -149,10 +149,10 @@
 }
 
 func (t *tickets) Forward(context.Context, netip.AddrPort, string, *request.Call) (*request.Answer, error) {
-	return nil, errors.New("no home")
+	return nil, errors.New("home is unreachable")
 }
 
-// agent is a handler with its stand-ins.
+// agent is a handler with its fake dependencies.
 type agent struct {
 	handler  *request.Handler
 	source   *fleetsource.Source
--- a/internal/request/feed.go
+++ b/internal/request/feed.go
@@ -9,8 +9,8 @@
 	"github.com/saltbend/saltbend/internal/upstream"
 )
 
-// serveFeed passes a feed on for as long as it lasts. It takes a connection
-// and no slot.
+// serveFeed serves a feed to the caller until it ends. A feed takes one of the limited
+// connections and no slot.
 func (h *Handler) serveFeed(w http.ResponseWriter, r *http.Request, class config.Class) {
 	j := h.jobOf(r, class)
 	if !h.engine.post(feedOpening{job: j}) {
@@ -25,7 +25,8 @@
 	h.passFeed(w, r, j)
 }
 
-// passFeed ends with the feed, or leaves it to a goroutine that does.
+// passFeed opens the feed at the upstream and streams it to the caller. It returns when
+// the feed has ended or once a background goroutine streams it.
 func (h *Handler) passFeed(w http.ResponseWriter, r *http.Request, j *job) {
 	source, response, err := h.openLocal(r.Context(), j)
 	if err != nil {
--- a/internal/request/follow.go
+++ b/internal/request/follow.go
@@ -7,14 +7,15 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Limits that hold until there is a configuration.
+// Limits that apply until the first configuration arrives.
 const (
 	defaultSlots = 1
 	defaultQueue = 16
 	defaultFeeds = 100
 )
 
-// follow tells the engine of changes of configuration and siblings.
+// follow sends the engine the present limits and siblings after each change of the
+// configuration or the member list.
 func (h *Handler) follow(ctx context.Context) {
 	for {
 		changed := h.o.Source.Changed()
@@ -27,14 +28,14 @@
 	}
 }
 
-// limits returns the limits in force for the own upstream.
+// limits returns the configured limits of the own upstream.
 func (h *Handler) limits() dispatch.Limits {
 	service := h.service()
 	if service == nil {
 		return dispatch.Limits{Slots: defaultSlots, Queue: defaultQueue, Feeds: defaultFeeds}
 	}
 	l := service.Limits
-	feeds := max(l.Connections-l.Slots, 0) // each slot keeps a connection of its own
+	feeds := max(l.Connections-l.Slots, 0) // each slot needs a connection
 	return dispatch.Limits{Slots: l.Slots, Queue: l.Queue, Feeds: feeds}
 }
 
--- a/internal/request/handler.go
+++ b/internal/request/handler.go
@@ -23,17 +23,17 @@
 	"github.com/saltbend/saltbend/internal/upstream"
 )
 
-// part names the package in logs and events.
+// part identifies the package in logs and events.
 const part = "request"
 
 const (
-	// defaultDeadline holds for classes without one.
+	// defaultDeadline applies to classes without a deadline.
 	defaultDeadline = 30 * time.Second
-	// defaultBodyBytes holds for services without a limit.
+	// defaultBodyBytes applies to services without a limit of the body size.
 	defaultBodyBytes = 64 << 10
 )
 
-// Options are what a Handler works with.
+// Options configure a Handler.
 type Options struct {
 	// Service is the name of the service that the agent serves.
 	Service string
@@ -41,20 +41,20 @@
 	Self     netip.AddrPort
 	Source   control.Source
 	Upstream upstream.Runner
-	// Caller and Registry connect siblings; both may be nil for an agent that
-	// works alone.
+	// Caller and Registry send and receive the messages between siblings. Both may
+	// be nil for an agent without siblings.
 	Caller   peer.Caller
 	Registry peer.Registry
-	// Tickets keeps non-idempotent requests to one run; without it they are
-	// answered "not run".
+	// Tickets lets each non-idempotent request run at most once. If it is nil, no
+	// such request is run: the outcome is not run, or unknown with a ticket.
 	Tickets Tickets
-	// Judged, if set, is told of each change of what the upstream has earned.
+	// Judged, if set, is called with each change of the upstream's health verdict.
 	Judged func(health.Verdict)
 	Events *event.Ring
 	Logger *slog.Logger
 }
 
-// Handler serves the callers' requests of one agent.
+// Handler serves the requests of an agent's callers.
 type Handler struct {
 	o       Options
 	log     *slog.Logger
@@ -62,7 +62,8 @@
 	links   *links
 	metrics *counters
 
-	// draining is set when new tickets would outlive their home.
+	// draining is set by Drain. From then on no tickets are issued, because the
+	// process may end before they are used.
 	draining atomic.Bool
 
 	mu      sync.Mutex
@@ -74,7 +75,7 @@
 	relays relays
 }
 
-// NewHandler returns a handler that serves until ctx ends.
+// NewHandler returns a handler and starts its goroutines, which run until ctx ends.
 func NewHandler(ctx context.Context, o Options) (*Handler, error) {
 	h := &Handler{
 		o:       o,
@@ -100,8 +101,8 @@
 	return h, nil
 }
 
-// Drain ends the intake of new requests and feeds; admitted work runs on, and
-// feeds go on at siblings where they can.
+// Drain stops the admission of new requests and feeds. Admitted requests still run, and
+// open feeds migrate to siblings where possible.
 func (h *Handler) Drain() {
 	h.draining.Store(true)
 	h.engine.post(draining{})
@@ -109,17 +110,17 @@
 	h.migrateFeeds()
 }
 
-// Load returns what the agent has in hand.
+// Load returns the present load of the agent.
 func (h *Handler) Load() dispatch.Load { return *h.engine.load.Load() }
 
-// SetConnections takes the number of callers' connections.
+// SetConnections reports the number of connections from callers to the scheduler.
 func (h *Handler) SetConnections(n int) { h.engine.post(connectionsChanged{connections: n}) }
 
-// FlowTarget returns where new flows are better placed than here. It never
+// FlowTarget returns the sibling that may be a better place for new flows. It never
 // blocks.
 func (h *Handler) FlowTarget() dispatch.FlowTarget { return *h.engine.flowTarget.Load() }
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP serves one request of a caller.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	class, ok := h.classify(r)
@@ -142,8 +143,8 @@
 	h.finish(w, class.Name, e)
 }
 
-// badBody answers a request whose body broke off. Under a ticket an earlier
-// attempt may have run.
+// badBody answers a request with a body that could not be read to its end. Under a
+// ticket the outcome is unknown, because an earlier attempt may have run.
 func badBody(r *http.Request) *Answer {
 	if r.Header.Get(HeaderTicket) != "" {
 		return Unknown("body")
@@ -187,8 +188,8 @@
 	return defaultBodyBytes
 }
 
-// newJob reads what the scheduler needs of a request. A short body is read
-// before a slot is taken, so that a slow caller holds none.
+// newJob builds the job of a request. A body within the limit is read before a slot is
+// taken, so that a slow caller doesn't occupy a slot.
 func (h *Handler) newJob(w http.ResponseWriter, r *http.Request, class config.Class, arrived time.Time) (*job, error) {
 	deadline := class.Deadline
 	if deadline <= 0 {
@@ -215,7 +216,7 @@
 	return j, nil
 }
 
-// finish gives the caller the one outcome of the request.
+// finish sends the answer unless it has been streamed, and counts the outcome.
 func (h *Handler) finish(w http.ResponseWriter, class string, e jobResult) {
 	if !e.streamed {
 		h.write(w, class, e.answer)
@@ -223,7 +224,8 @@
 	}
 	h.countStreamed(class, e.cut)
 	if e.cut {
-		panic(http.ErrAbortHandler) // the caller must not take the part for the whole
+		// Otherwise the caller would take a truncated answer for a complete one.
+		panic(http.ErrAbortHandler)
 	}
 }
 
@@ -239,7 +241,7 @@
 	h.metrics.ended(class, a.Outcome)
 	writeHead(w, a, h.freshTicket())
 	if _, err := w.Write(a.Body); err != nil {
-		h.log.Debug("Caller left before its answer.", "error", err)
+		h.log.Debug("Could not write the answer; the caller has probably disconnected.", "error", err)
 	}
 }
 
@@ -250,7 +252,7 @@
 	return h.o.Tickets.Issue()
 }
 
-// stream passes a long answer on as it comes.
+// stream sends a long answer to the caller while it is read.
 func (h *Handler) stream(w http.ResponseWriter, head *Answer, rest io.Reader) error {
 	writeHead(w, head, h.freshTicket())
 	if _, err := w.Write(head.Body); err != nil {
--- a/internal/request/handler_test.go
+++ b/internal/request/handler_test.go
@@ -38,7 +38,7 @@
 		DeferCleanup(cancel)
 	})
 
-	// busy starts an agent whose only slot is taken.
+	// busy starts an agent and occupies its only slot.
 	busy := func() (*agent, <-chan *httptest.ResponseRecorder) {
 		a := startAgent(ctx, 1, one, nil)
 		first := a.send(ctx, "GET", "/runners/first", "", "")
@@ -51,7 +51,7 @@
 		Eventually(func() int { return a.handler.Load().Queued }, waitTimeout).Should(Equal(n))
 	}
 
-	It("gives the whole answer with a fresh ticket", func() {
+	It("returns the complete answer with a new ticket", func() {
 		a := startAgent(ctx, 1, one, nil)
 		a.upstream.answer <- text("found")
 		w := receive(a.send(ctx, "GET", "/runners/7", "", ""))
@@ -61,7 +61,7 @@
 		Expect(w.Header().Get(request.HeaderTicket)).To(Equal("fresh"))
 	})
 
-	It("streams an answer that is longer than its memory", func() {
+	It("streams an answer that exceeds the limit of the body size", func() {
 		a := startAgent(ctx, 1, one, nil)
 		long := strings.Repeat("x", 1000)
 		a.upstream.answer <- text(long)
@@ -70,7 +70,7 @@
 		Expect(outcome(w)).To(Equal(request.OutcomeComplete))
 	})
 
-	It("runs lookups before the others", func() {
+	It("runs queued requests by the priority of their class", func() {
 		a, first := busy()
 		report := a.send(ctx, "GET", "/reports/1", "", "")
 		queued(a, 1)
@@ -85,7 +85,7 @@
 		Expect(a.upstream.ran()).To(Equal([]string{"/runners/first", "/runners/1", "/reports/1"}))
 	})
 
-	It("tells at once that a full queue takes no more, and displaces the less urgent", func() {
+	It("refuses a request when the queue is full, unless it can displace a less urgent one", func() {
 		a, _ := busy()
 		a.send(ctx, "GET", "/reports/1", "", "")
 		queued(a, 1)
@@ -100,7 +100,7 @@
 		Expect(a.upstream.ran()).To(HaveLen(1))
 	})
 
-	It("forgets a queued request whose caller left", func() {
+	It("removes a queued request when its caller disconnects", func() {
 		a, _ := busy()
 		leaving, leave := context.WithCancel(ctx)
 		gone := a.send(leaving, "GET", "/runners/gone", "", "")
@@ -111,7 +111,7 @@
 		Expect(a.upstream.ran()).To(HaveLen(1))
 	})
 
-	It("holds no slot for feeds but bounds them", func() {
+	It("limits the number of feeds, which take no slots", func() {
 		a := startAgent(ctx, 1, one, nil)
 		feed := a.send(ctx, "GET", "/feed", "", "")
 		Eventually(a.upstream.began, waitTimeout).Should(Receive())
@@ -122,7 +122,7 @@
 		Expect(receive(feed).Body.String()).To(Equal("event"))
 	})
 
-	It("retries an idempotent request whose run failed", func() {
+	It("retries an idempotent request after a failed run", func() {
 		a := startAgent(ctx, 1, one, nil)
 		a.upstream.answer <- mayHaveRun()
 		a.upstream.answer <- text("found")
@@ -131,7 +131,7 @@
 		Expect(a.upstream.ran()).To(HaveLen(2))
 	})
 
-	It("gives a cold upstream little weight from the first verdict on", func() {
+	It("gives an upstream in slow start a low weight from the first verdict on", func() {
 		service := exams(one)
 		service.Health = config.Health{Path: "/health", Interval: time.Hour, SlowStart: time.Hour}
 		up := newRunner()
@@ -149,7 +149,7 @@
 		Expect(first.Draws).To(BeTrue())
 	})
 
-	It("admits nothing once it drains, and ends what runs", func() {
+	It("refuses new requests while draining, and completes the running ones", func() {
 		a, first := busy()
 		a.handler.Drain()
 		w := receive(a.send(ctx, "GET", "/runners/late", "", ""))
@@ -158,10 +158,10 @@
 		Expect(outcome(receive(first))).To(Equal(request.OutcomeComplete))
 	})
 
-	Describe("of a non-idempotent request", func() {
+	Describe("with a non-idempotent request", func() {
 		run := request.Decision{Verdict: request.VerdictRun, ID: "t"}
 
-		It("asks for a ticket", func() {
+		It("requires a ticket", func() {
 			a := startAgent(ctx, 1, one, nil)
 			w := receive(a.send(ctx, "POST", "/answers", "a", ""))
 			Expect(w.Code).To(Equal(http.StatusPreconditionRequired))
@@ -169,7 +169,7 @@
 			Expect(a.upstream.ran()).To(BeEmpty())
 		})
 
-		DescribeTable("records one outcome, the one it tells",
+		DescribeTable("records the outcome that it reports to the caller",
 			func(r reply, want request.Outcome) {
 				a := startAgent(ctx, 1, one, nil)
 				a.tickets.decision = run
@@ -186,7 +186,7 @@
 			Entry("upstream crash", mayHaveRun(), request.OutcomeUnknown),
 		)
 
-		It("voids the ticket of a request that it gives up", func() {
+		It("voids the ticket of a refused request", func() {
 			a, _ := busy()
 			a.tickets.decision = run
 			a.handler.Drain()
@@ -196,7 +196,7 @@
 			Expect(a.upstream.ran()).To(HaveLen(1))
 		})
 
-		It("runs on when the caller leaves", func() {
+		It("completes the run after the caller disconnects", func() {
 			a := startAgent(ctx, 1, one, nil)
 			a.tickets.decision = run
 			leaving, leave := context.WithCancel(ctx)
@@ -208,7 +208,7 @@
 			Expect(a.tickets.finished[0].Outcome).To(Equal(request.OutcomeComplete))
 		})
 
-		It("says unknown when the home gives no answer", func() {
+		It("reports the outcome unknown when the home can't be reached", func() {
 			a := startAgent(ctx, 1, one, nil)
 			a.tickets.decision = request.Decision{Verdict: request.VerdictForward, Home: address(9)}
 			w := receive(a.send(ctx, "POST", "/answers", "a", "t"))
--- a/internal/request/health.go
+++ b/internal/request/health.go
@@ -12,16 +12,17 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// verdictInterval is how often a verdict is due without an outcome: a slow start
-// ends, and peers change.
+// verdictInterval is how often the verdict is recomputed without a new outcome, because
+// a slow start progresses with time and the health of peers changes.
 const verdictInterval = 500 * time.Millisecond
 
-// eventHealth is recorded when an upstream starts or ceases to look healthy.
+// eventHealth is recorded when the upstream becomes healthy or unhealthy.
 const eventHealth event.Kind = "upstream-health"
 
-// healthyWeight is the weight from which on a peer is taken for healthy. A
-// cold upstream is healthy too, but indistinguishable by its weight; the panic
-// rule errs towards spreading work.
+// healthyWeight is the announced weight from which a peer counts as healthy. An
+// upstream in slow start is healthy but announces a low weight too, and the two cases
+// can't be told apart. The panic rule then counts too few healthy peers, and spreads
+// work more widely than necessary.
 const healthyWeight = health.FullWeight / 2
 
 func (h *Handler) healthSettings() config.Health {
@@ -31,8 +32,8 @@
 	return config.Health{}
 }
 
-// observe takes the outcome of a run. One that the caller ended says nothing
-// of the upstream.
+// observe records the outcome of a run. A run that the caller cancelled is ignored,
+// because it says nothing about the upstream.
 func (h *Handler) observe(ctx context.Context, e jobResult, err error, latency time.Duration) {
 	if context.Cause(ctx) == context.Canceled {
 		return
@@ -46,12 +47,12 @@
 	})
 }
 
-// observeReport takes what the upstream says of itself.
+// observeReport records a report of the upstream about its own health.
 func (h *Handler) observeReport(r health.Report) {
 	h.updateVerdict(func(now time.Time) { h.tracker.Hear(now, r) })
 }
 
-// refreshVerdict keeps the verdict up to date where nothing happens.
+// refreshVerdict recomputes the verdict periodically.
 func (h *Handler) refreshVerdict(ctx context.Context) {
 	ticker := time.NewTicker(verdictInterval)
 	defer ticker.Stop()
@@ -65,8 +66,8 @@
 	}
 }
 
-// updateVerdict changes the tracker and acts on a new verdict. It holds the lock until
-// all have been told, so that they hear of verdicts in order.
+// updateVerdict applies a change to the tracker and publishes a new verdict. It holds
+// the lock until all receivers are notified, so that they receive verdicts in order.
 func (h *Handler) updateVerdict(change func(now time.Time)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,13 +93,14 @@
 
 func (h *Handler) reportVerdict(v health.Verdict) {
 	detail := fmt.Sprintf("draws=%t weight=%d panic=%t", v.Draws, v.Weight, v.Panic)
-	h.log.Info("Upstream judged.", "draws", v.Draws, "weight", v.Weight, "panic", v.Panic)
+	h.log.Info("Health of the upstream changed.", "draws", v.Draws, "weight", v.Weight, "panic", v.Panic)
 	if h.o.Events != nil {
 		h.o.Events.Add(part, eventHealth, detail)
 	}
 }
 
-// peers counts the service's other upstreams by the weights they announce.
+// peers counts the other upstreams of the service, and the healthy ones by their
+// announced weight.
 func (h *Handler) peers() health.Peers {
 	p := health.Peers{PanicThreshold: h.healthSettings().PanicThreshold}
 	snapshot := h.o.Source.Snapshot()
--- a/internal/request/job.go
+++ b/internal/request/job.go
@@ -13,33 +13,34 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// job is one request on its way through this agent.
+// job is a request while it is processed by this agent.
 type job struct {
 	id       dispatch.ID
 	class    config.Class
 	call     *Call
 	arrived  time.Time
 	deadline time.Time
-	// body is the rest of a body that is too long for call.Body, or nil.
+	// body is the rest of a body that is too long for call.Body, or nil if
+	// call.Body is complete.
 	body io.Reader
-	// stream passes an answer that is too long for memory to the caller as it
-	// comes; nil where an answer has to be whole first.
+	// stream sends an answer that is too long for memory to the caller while it is
+	// read. It is nil if the answer has to fit into memory.
 	stream func(head *Answer, rest io.Reader) error
-	// next carries the scheduler's word; it holds one action.
+	// next delivers the scheduler's next action. It has room for one.
 	next chan dispatch.Action
-	// attempts counts the runs so far; mayHaveRun tells that one of them may
-	// have reached an upstream.
+	// attempts counts the runs so far. mayHaveRun is set if one of them may have
+	// reached an upstream.
 	attempts   int
 	mayHaveRun bool
-	// longAnswer tells that a sibling could not pass the answer on: only this
-	// agent can stream it.
+	// longAnswer is set after a sibling found the answer too long to send. Only
+	// this agent can stream such an answer to the caller.
 	longAnswer bool
-	// fallback is the upstream's own word on its unavailability, which the
-	// caller gets if no other run succeeds.
+	// fallback is the upstream's own answer with status 502, 503 or 504. The caller
+	// gets it if no other run succeeds.
 	fallback *Answer
 }
 
-// jobOf returns the job of a request, without its body and its times.
+// jobOf returns the job of a request without body, arrival and deadline.
 func (h *Handler) jobOf(r *http.Request, class config.Class) *job {
 	return &job{
 		id:    h.engine.nextID(),
@@ -69,7 +70,7 @@
 	}
 }
 
-// upstreamRequest builds the request to the own upstream.
+// upstreamRequest builds the request for the own upstream.
 func (j *job) upstreamRequest(ctx context.Context) (*http.Request, error) {
 	var body io.Reader
 	switch {
@@ -89,15 +90,18 @@
 	return r, nil
 }
 
-// jobResult is how a job ended: an answer to write, or one that has been streamed.
+// jobResult is the result of a job: an answer to send, or a mark that the answer has
+// been streamed.
 type jobResult struct {
 	answer *Answer
-	// streamed answers have been written; cut tells that the end is missing.
+	// streamed means that the answer has been sent; cut means that it was
+	// truncated.
 	streamed bool
 	cut      bool
 }
 
-// readBounded reads up to limit bytes; more tells that there is a rest.
+// readBounded reads up to limit bytes. If the data is longer, it returns limit+1 bytes
+// and more is true.
 func readBounded(r io.Reader, limit int) (head []byte, more bool, err error) {
 	head, err = io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err != nil {
--- a/internal/request/links.go
+++ b/internal/request/links.go
@@ -9,12 +9,12 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// signalTimeout bounds a message between siblings; a later one makes up for a
-// lost one.
+// signalTimeout bounds the delivery of a message between siblings. A lost message needs
+// no retry, because a later one supersedes it.
 const signalTimeout = 2 * time.Second
 
-// links carries messages to siblings, each in a goroutine of its own so that
-// the engine never waits for the network.
+// links sends messages to siblings. Each message has its own goroutine, so that the
+// engine never waits for the network.
 type links struct {
 	ctx    context.Context
 	o      Options
@@ -47,7 +47,7 @@
 
 func (l *links) signal(to netip.AddrPort, method string, args *SignalArgs) {
 	if err := l.call(to, method, args, &SignalReply{}); err != nil {
-		l.log.Debug("Sibling didn't take a message.", "sibling", to.String(), "error", err)
+		l.log.Debug("Could not deliver a message to a sibling.", "sibling", to.String(), "error", err)
 	}
 }
 
--- a/internal/request/message.go
+++ b/internal/request/message.go
@@ -6,7 +6,7 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// arrival submits a job of an own caller.
+// arrival submits a job from one of the agent's own callers.
 type arrival struct {
 	job     *job
 	request dispatch.Request
@@ -24,7 +24,7 @@
 	push    pushArgs
 }
 
-// pushArgs is what a sibling's push says besides the request.
+// pushArgs are the parameters of a sibling's push besides the request.
 type pushArgs struct {
 	from     dispatch.Sibling
 	under    dispatch.Reservation
@@ -38,7 +38,7 @@
 	return e.sched.ArriveMoved(now, m.request, m.push.under, m.push.admit)
 }
 
-// ended frees the slot of a started job.
+// ended frees the slot of a job whose run has ended.
 type ended struct {
 	id      dispatch.ID
 	service time.Duration
@@ -50,7 +50,8 @@
 	return e.sched.Done(now, m.id, m.service, m.whole)
 }
 
-// returned takes back a pushed job that the sibling didn't run.
+// returned gives a pushed job back to the scheduler, because the sibling refused to run
+// it.
 type returned struct{ id dispatch.ID }
 
 func (m returned) apply(e *engine, now time.Time) []dispatch.Action {
@@ -65,7 +66,7 @@
 	return e.sched.Settled(now, m.id)
 }
 
-// removal takes a job out of the queue; reply tells whether it was there.
+// removal removes a job from the queue. The reply reports whether it was queued.
 type removal struct {
 	id    dispatch.ID
 	reply chan<- bool
@@ -80,7 +81,7 @@
 	return actions
 }
 
-// feedOpening asks for a connection for a feed.
+// feedOpening requests a connection for a feed.
 type feedOpening struct{ job *job }
 
 func (m feedOpening) apply(e *engine, now time.Time) []dispatch.Action {
@@ -88,7 +89,7 @@
 	return e.sched.OpenFeed(now, m.job.id)
 }
 
-// feedClosing gives it back.
+// feedClosing releases the connection of a feed.
 type feedClosing struct{ id dispatch.ID }
 
 func (m feedClosing) apply(e *engine, _ time.Time) []dispatch.Action {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// serviceUpdate is a change of what the agent knows of its service.
+// serviceUpdate applies the present limits and siblings of the service.
 type serviceUpdate struct {
 	limits   dispatch.Limits
 	siblings []dispatch.Sibling
@@ -108,7 +109,8 @@
 	return e.sched.SetSiblings(now, m.siblings)
 }
 
-// healthChanged tells what the upstream's health allows.
+// healthChanged applies the slots and the willingness to take siblings' requests that
+// result from the upstream's health.
 type healthChanged struct {
 	slots int
 	draws bool
@@ -118,21 +120,21 @@
 	return e.sched.SetHealth(now, m.slots, m.draws)
 }
 
-// connectionsChanged is the number of callers' connections.
+// connectionsChanged sets the number of connections from callers.
 type connectionsChanged struct{ connections int }
 
 func (m connectionsChanged) apply(e *engine, now time.Time) []dispatch.Action {
 	return e.sched.SetConnections(now, m.connections)
 }
 
-// draining ends the intake.
+// draining stops the admission of requests.
 type draining struct{}
 
 func (draining) apply(e *engine, now time.Time) []dispatch.Action {
 	return e.sched.Drain(now)
 }
 
-// standingReceived is a sibling's standing.
+// standingReceived is a standing received from a sibling.
 type standingReceived struct {
 	from     dispatch.Sibling
 	standing dispatch.Standing
@@ -142,7 +144,7 @@
 	return e.sched.Heard(now, m.from, m.standing)
 }
 
-// offered is a sibling's reserved slot.
+// offered is a sibling's offer of a reserved slot.
 type offered struct {
 	standingReceived
 	held dispatch.Reservation
@@ -153,7 +155,8 @@
 	return e.sched.Offered(now, m.from, m.held)
 }
 
-// declined ends a reservation of this agent.
+// declined ends a reservation of this agent, because the sibling declined it or could
+// not be reached. In the latter case there is no standing and its Seq is 0.
 type declined struct {
 	standingReceived
 	held dispatch.Reservation
--- a/internal/request/metrics.go
+++ b/internal/request/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// counters counts the ends of requests by class and outcome. Classes come from
-// the configuration, so their number is bounded.
+// counters counts requests by class. The classes come from the configuration, so the
+// number of time series is bounded.
 type counters struct{}
 
 func newCounters() *counters { return &counters{} }
--- a/internal/request/outcome_test.go
+++ b/internal/request/outcome_test.go
@@ -22,8 +22,9 @@
 	"github.com/saltbend/saltbend/test/mesh"
 )
 
-// flakyUpstream is the upstreams of a service together: what a request meets depends
-// on its target, and all runs are logged.
+// flakyUpstream stands for all upstreams of a service. It fails some requests,
+// depending on their target and the number of earlier runs, and counts the runs of each
+// target.
 type flakyUpstream struct {
 	mu  sync.Mutex
 	ran map[string]int
@@ -62,10 +63,10 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-var _ = Describe("A service whose upstreams fail while an agent drains", func() {
+var _ = Describe("A service with failing upstreams and a draining agent", func() {
 	const requests, callers = 1500, 50
 
-	It("gives each request one true outcome", func() {
+	It("reports one correct outcome for each request", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		net, service := mesh.New(), &flakyUpstream{ran: map[string]int{}}
@@ -109,19 +110,19 @@
 			seen[outcome(w)]++
 			switch outcome(w) {
 			case request.OutcomeComplete:
-				Expect(w.Body.String()).To(Equal(targets[i]), "the answer is that of the request")
+				Expect(w.Body.String()).To(Equal(targets[i]), "answer belongs to another request")
 			case request.OutcomeNotRun:
-				Expect(runs).To(BeZero(), "told not run: "+targets[i])
+				Expect(runs).To(BeZero(), "outcome was not-run, but an upstream ran "+targets[i])
 			case request.OutcomeUnknown:
 			default:
-				Fail("no outcome for " + targets[i])
+				Fail("response without an outcome header for " + targets[i])
 			}
 			if strings.HasPrefix(targets[i], "/answers") {
 				Expect(runs).To(BeNumerically("<=", 1), targets[i])
 			}
 		}
 		for _, o := range []request.Outcome{request.OutcomeComplete, request.OutcomeNotRun, request.OutcomeUnknown} {
-			Expect(seen[o]).NotTo(BeZero(), "the test should meet "+string(o))
+			Expect(seen[o]).NotTo(BeZero(), "the test never produced the outcome "+string(o))
 		}
 		for _, a := range agents {
 			Eventually(func() int { return a.handler.Load().Running + a.handler.Load().Queued }, waitTimeout).Should(BeZero())
@@ -129,7 +130,7 @@
 	})
 })
 
-// shape returns what the i-th request looks like.
+// shape returns the method, target and ticket of the i-th request.
 func shape(i int) (method, target, ticket string) {
 	switch i % 4 {
 	case 0:
--- a/internal/request/relay.go
+++ b/internal/request/relay.go
@@ -20,41 +20,42 @@
 )
 
 const (
-	// feedPollTimeout is how long a sibling waits for the next event.
+	// feedPollTimeout is how long FeedNext waits for the next event.
 	feedPollTimeout = 10 * time.Second
-	// feedPollMargin is added to it for travel.
+	// feedPollMargin is added to feedPollTimeout on the calling side for the network
+	// round trip.
 	feedPollMargin = 5 * time.Second
-	// relayIdleTimeout ends a relay whose reader has gone without a word.
+	// relayIdleTimeout ends a relay if its reader hasn't called FeedNext for that long.
 	relayIdleTimeout = 30 * time.Second
 	// relayBuffer is the size of one read from the upstream in bytes.
 	relayBuffer = 512
 )
 
-// errNoRelay tells that a relay has ended or never was.
-var errNoRelay = errors.New("request: no such feed")
+// errNoRelay means that a relay has ended or never existed.
+var errNoRelay = errors.New("request: no open feed with that id")
 
-// FeedOpenReply names the relay.
+// FeedOpenReply identifies the relay.
 type FeedOpenReply struct{ Relay dispatch.ID }
 
-// FeedArgs names a relay.
+// FeedArgs identifies a relay.
 type FeedArgs struct{ Relay dispatch.ID }
 
-// FeedNextReply carries whole events; none, and not ended, after a while
-// without any.
+// FeedNextReply carries complete events. It is empty, and not ended, if no event came
+// within feedPollTimeout.
 type FeedNextReply struct {
 	Events []byte
 	Ended  bool
 }
 
-// relay reads a feed of the own upstream for a sibling.
+// relay reads a feed of the own upstream on behalf of a sibling.
 type relay struct {
-	next chan FeedNextReply // unbuffered: what was offered has been taken
+	next chan FeedNextReply // unbuffered, so that a sent reply has been received
 	done <-chan struct{}
 	stop context.CancelFunc
 	idle *time.Timer
 }
 
-// relays are the feeds that siblings read here.
+// relays holds the open relays of this agent.
 type relays struct {
 	mu   sync.Mutex
 	open map[dispatch.ID]*relay
@@ -81,7 +82,7 @@
 	delete(r.open, id)
 }
 
-// stopAll has the owners go on elsewhere.
+// stopAll ends all relays, so that their owners resume the feeds elsewhere.
 func (r *relays) stopAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// FeedOpen opens a feed for a sibling whose upstream leaves.
+// FeedOpen opens a feed for a sibling whose upstream has failed or that is draining.
 func (s *Sibling) FeedOpen(call *Call, reply *FeedOpenReply) error {
 	h := s.handler
 	if call.Service != h.o.Service {
@@ -101,7 +102,7 @@
 		return err
 	}
 	if j.class.Kind != config.KindFeed {
-		return errors.New("request: not a feed")
+		return errors.New("request: class of the forwarded call is not a feed")
 	}
 	reply.Relay = j.id
 	return h.startRelay(j)
@@ -116,7 +117,7 @@
 	source, response, err := h.openLocal(ctx, j)
 	if err == nil && !h.canFailOver(j, response) {
 		_ = source.Close()
-		err = errors.Errorf("request: feed answered %d", response.StatusCode)
+		err = errors.Errorf("request: upstream answered the feed with status %d, or the feed can't be resumed", response.StatusCode)
 	}
 	if err != nil {
 		stop()
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// admitFeed takes a connection for the feed.
+// admitFeed requests a connection for the feed and waits for it.
 func (h *Handler) admitFeed(ctx context.Context, j *job) error {
 	if !h.engine.post(feedOpening{job: j}) {
 		return errors.New(string(reasonStopped))
@@ -145,7 +146,8 @@
 	return nil
 }
 
-// pump passes whole events on until the feed or the relay ends.
+// pump reads complete events from the source and hands them to FeedNext until the feed
+// or the relay ends.
 func (h *Handler) pump(ctx context.Context, id dispatch.ID, one *relay, source feedSource) {
 	defer h.engine.post(feedClosing{id: id})
 	defer h.relays.remove(id)
@@ -178,7 +180,7 @@
 	}
 }
 
-// FeedNext returns the next events.
+// FeedNext returns the next events. It waits up to feedPollTimeout for them.
 func (s *Sibling) FeedNext(args *FeedArgs, reply *FeedNextReply) error {
 	one := s.handler.relays.get(args.Relay)
 	if one == nil {
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// remoteFeed reads a feed at a sibling.
+// remoteFeed reads a feed through a relay at a sibling.
 type remoteFeed struct {
 	ctx     context.Context
 	handler *Handler
@@ -238,7 +240,7 @@
 		err := f.handler.o.Caller.Call(ctx, f.sibling, methodFeedNext, &FeedArgs{Relay: f.relay}, reply)
 		cancel()
 		if err != nil {
-			return 0, errors.Wrap(err, "request: feed at a sibling")
+			return 0, errors.Wrap(err, "request: read feed from sibling")
 		}
 		f.left, f.ended = reply.Events, reply.Ended
 	}
@@ -247,12 +249,13 @@
 	return n, nil
 }
 
-// Close ends the relay; the sibling would find out by itself, later.
+// Close asks the sibling to end the relay. Without this call the relay would end after
+// relayIdleTimeout.
 func (f *remoteFeed) Close() error {
 	go func() {
 		args := FeedArgs{Relay: f.relay}
 		if err := f.handler.links.call(f.sibling, methodFeedClose, &args, &SignalReply{}); err != nil {
-			f.handler.log.Debug("Sibling didn't take the end of a feed.", "error", err)
+			f.handler.log.Debug("Could not close a feed at a sibling.", "error", err)
 		}
 	}()
 	return nil
--- a/internal/request/respond.go
+++ b/internal/request/respond.go
@@ -9,7 +9,7 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// Problem types (RFC 9457) of answers that the system itself gives.
+// Problem types (RFC 9457) of the answers that saltbend itself generates.
 const (
 	problemUnknown = "urn:saltbend:outcome-unknown"
 	problemNotRun  = "urn:saltbend:not-run"
@@ -17,7 +17,7 @@
 
 const problemContentType = "application/problem+json"
 
-// problem is the body of such an answer.
+// problem is the body of an answer that saltbend itself generates.
 type problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -28,13 +28,13 @@
 func problemAnswer(outcome Outcome, p problem) *Answer {
 	body, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // a struct of strings and a number always encodes
+		panic(err) // can't happen: the struct holds only strings and a number
 	}
 	header := http.Header{"Content-Type": {problemContentType}}
 	return &Answer{Outcome: outcome, Status: p.Status, Header: header, Body: body}
 }
 
-// NotRun is the answer to a request that no upstream has seen.
+// NotRun returns the answer to a request that has not reached any upstream.
 func NotRun(status int, reason string, retryAfter time.Duration) *Answer {
 	a := problemAnswer(OutcomeNotRun, problem{
 		Type: problemNotRun, Title: "The request was not run.", Status: status, Reason: reason,
@@ -46,14 +46,14 @@
 	return a
 }
 
-// Unknown is the final answer to a request that may have run.
+// Unknown returns the answer to a request that may have run.
 func Unknown(reason string) *Answer {
 	return problemAnswer(OutcomeUnknown, problem{
 		Type: problemUnknown, Title: "The request may have run.", Status: http.StatusBadGateway, Reason: reason,
 	})
 }
 
-// refused is the answer to a request that the scheduler gave up.
+// refused returns the answer to a request that the scheduler refused.
 func refused(r dispatch.Refuse) *Answer {
 	status := http.StatusServiceUnavailable
 	if r.Reason == dispatch.ReasonFeeds {
@@ -62,7 +62,8 @@
 	return NotRun(status, string(r.Reason), max(r.RetryAfter, time.Second))
 }
 
-// hopHeaders are fields of one connection, which aren't passed on.
+// hopHeaders are header fields that aren't forwarded: those that concern a single
+// connection, and those that saltbend sets itself.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	HeaderTicket, HeaderOutcome,
@@ -76,7 +77,8 @@
 	return out
 }
 
-// writeHead writes status and headers; a fresh ticket comes with each answer.
+// writeHead writes the status and header. Each answer carries a new ticket, unless
+// ticket is empty.
 func writeHead(w http.ResponseWriter, a *Answer, ticket string) {
 	header := w.Header()
 	for name, values := range endToEnd(a.Header) {
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -12,18 +12,18 @@
 	"github.com/saltbend/saltbend/internal/upstream"
 )
 
-// errLongAnswer tells that an answer doesn't fit memory and can't be streamed.
-var errLongAnswer = errors.New("request: answer too long to pass on")
+// errLongAnswer means that an answer exceeds the memory limit and can't be streamed.
+var errLongAnswer = errors.New("request: answer exceeds the size limit and can't be streamed")
 
-// errTransient tells of an answer that speaks of the upstream's state rather
-// than of the request.
-var errTransient = errors.New("request: upstream is unavailable")
+// errTransient stands for an answer with a status that describes the upstream's state
+// rather than the request.
+var errTransient = errors.New("request: upstream answered with status 502, 503 or 504")
 
-// reasonStopped is the end of a request at a process that stops.
+// reasonStopped means that the process is stopping.
 const reasonStopped dispatch.Reason = "stopped"
 
-// runIdempotent runs a job, here or at a sibling, until it succeeds or no
-// retry is allowed.
+// runIdempotent runs a job, on the own upstream or on a sibling, until it succeeds or
+// no further retry is allowed.
 func (h *Handler) runIdempotent(ctx context.Context, j *job) jobResult {
 	h.countRequest()
 	for elsewhere := false; ; elsewhere = true {
@@ -40,8 +40,8 @@
 	}
 }
 
-// runOnce submits the job and follows the scheduler's word. An error is a
-// failed run.
+// runOnce submits the job to the scheduler and carries out its actions. An error means
+// that a run failed.
 func (h *Handler) runOnce(ctx context.Context, j *job, request dispatch.Request) (jobResult, error) {
 	if !h.engine.post(arrival{job: j, request: request}) {
 		return j.refusedResult(dispatch.Refuse{ID: j.id, Reason: reasonStopped}), nil
@@ -62,8 +62,8 @@
 	}
 }
 
-// refusedResult is the end of a job that the scheduler gave up: not run, unless
-// an earlier attempt may have.
+// refusedResult returns the result of a job that the scheduler refused. The outcome is
+// not run, unless an earlier attempt may have run.
 func (j *job) refusedResult(r dispatch.Refuse) jobResult {
 	if j.fallback != nil {
 		return jobResult{answer: j.fallback}
@@ -74,7 +74,7 @@
 	return jobResult{answer: refused(r)}
 }
 
-// failed is the end of a job whose last run failed.
+// failed returns the result of a job whose last run failed.
 func (h *Handler) failed(j *job, err error) jobResult {
 	if j.fallback != nil {
 		return jobResult{answer: j.fallback}
@@ -98,8 +98,9 @@
 	}
 }
 
-// await returns the scheduler's next word on the job. When ctx ends first, the
-// job is taken out of the queue; if it wasn't there, the word is on its way.
+// await returns the scheduler's next action for the job. If ctx ends first, await
+// removes the job from the queue. If the job isn't queued any more, its next action is
+// already on its way, and await returns that.
 func (h *Handler) await(ctx context.Context, j *job) dispatch.Action {
 	select {
 	case a := <-j.next:
@@ -132,8 +133,8 @@
 	}
 }
 
-// runLocal runs a started job on the own upstream and frees its slot when the
-// answer is whole.
+// runLocal runs a started job on the own upstream and frees its slot once the answer is
+// complete.
 func (h *Handler) runLocal(ctx context.Context, j *job) (jobResult, error) {
 	began := time.Now()
 	h.metrics.waited(j.class.Name, began.Sub(j.arrived))
@@ -145,10 +146,10 @@
 	return e, err
 }
 
-// exchange is one run on the own upstream.
+// exchange sends the request to the own upstream once and receives the answer.
 func (h *Handler) exchange(ctx context.Context, j *job) (jobResult, error) {
 	if err := ctx.Err(); err != nil {
-		return jobResult{}, errors.Wrap(err, "request: before the run")
+		return jobResult{}, errors.Wrap(err, "request: ended before it was sent to the upstream")
 	}
 	r, err := j.upstreamRequest(ctx)
 	if err != nil {
@@ -158,14 +159,14 @@
 	response, err := h.o.Upstream.Run(ctx, r, j.class)
 	if err != nil {
 		j.mayHaveRun = j.mayHaveRun || !errors.Is(err, upstream.ErrNotSent)
-		return jobResult{}, errors.Wrap(err, "request: run")
+		return jobResult{}, errors.Wrap(err, "request: run on upstream")
 	}
 	defer response.Body.Close()
 	return h.receive(j, response)
 }
 
-// receive takes the answer of the upstream into memory, or streams it where it
-// is too long for that.
+// receive reads the upstream's answer into memory. An answer that exceeds the limit is
+// streamed.
 func (h *Handler) receive(j *job, response *http.Response) (jobResult, error) {
 	limit := h.bodyBytes()
 	body, more, err := readBounded(response.Body, limit)
@@ -194,7 +195,8 @@
 	return jobResult{streamed: true, cut: err != nil}, nil
 }
 
-// transient reports whether a status speaks of the upstream's state.
+// transient reports whether a status describes the upstream's state rather than the
+// request.
 func transient(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/request/sibling.go
+++ b/internal/request/sibling.go
@@ -23,14 +23,16 @@
 	methodCancel  = siblingService + ".Cancel"
 )
 
-// reasonBodyOmitted is a ticketed call whose body was too long to pass.
+// reasonBodyOmitted means that the body of a call under a ticket was too long to
+// forward.
 const reasonBodyOmitted dispatch.Reason = "body-omitted"
 
-// errOtherService tells that a caller takes this agent for one of its own
-// service, by an address that has changed hands.
-var errOtherService = errors.New("request: not an agent of that service")
+// errOtherService means that the calling agent expected an agent of its own service at
+// this address. That happens after the address has been reused by another agent.
+var errOtherService = errors.New("request: this agent serves another service")
 
-// SignalArgs is a message between siblings.
+// SignalArgs is a message between siblings. Held is the reservation that it concerns,
+// if any.
 type SignalArgs struct {
 	Service  string
 	From     netip.AddrPort
@@ -41,7 +43,8 @@
 // SignalReply is empty.
 type SignalReply struct{}
 
-// RunArgs is a request that the sibling From owns and wants run.
+// RunArgs asks a sibling to run a request that From owns. Under is the reservation for
+// it, if any.
 type RunArgs struct {
 	From     netip.AddrPort
 	ID       dispatch.ID
@@ -51,49 +54,52 @@
 	Call     Call
 }
 
-// RunResult tells what became of a pushed request.
+// RunResult is the result of a pushed request.
 type RunResult uint8
 
 // Results of Sibling.Run.
 const (
-	// RunAnswered comes with the answer.
+	// RunAnswered means that the reply contains the answer.
 	RunAnswered RunResult = iota + 1
-	// RunNotTaken requests have not run.
+	// RunNotTaken means that the sibling refused the request. It has not run.
 	RunNotTaken
-	// RunFailed requests may have run; there is no answer.
+	// RunFailed means that the request may have run and that there is no answer.
 	RunFailed
-	// RunNotSent requests have not run: the sibling tried and failed.
+	// RunNotSent means that the request has not run, because the sibling could not send
+	// it to its upstream or has no idempotent class for it.
 	RunNotSent
-	// RunLongAnswer requests ran, but the answer is too long to pass.
+	// RunLongAnswer means that the request has run, but its answer is too long to send
+	// to the owner.
 	RunLongAnswer
 )
 
-// RunReply is the sibling's word.
+// RunReply is the result of a pushed request. Answer is set with RunAnswered, Reason
+// with the other results except RunLongAnswer.
 type RunReply struct {
 	Result RunResult
 	Answer Answer
 	Reason string
 }
 
-// CancelArgs names a pushed request by its owner.
+// CancelArgs identifies a pushed request by its owner and the owner's ID for it.
 type CancelArgs struct {
 	From netip.AddrPort
 	ID   dispatch.ID
 }
 
-// Sibling is the net/rpc service for the other agents of the service.
+// Sibling is the net/rpc service that the other agents of the service call.
 type Sibling struct {
 	handler *Handler
 	mu      sync.Mutex
 	cancels map[CancelArgs]context.CancelFunc
 }
 
-// Claim takes a sibling's standing.
+// Claim receives a sibling's standing.
 func (s *Sibling) Claim(args *SignalArgs, _ *SignalReply) error {
 	return s.post(args, s.standingOf(args))
 }
 
-// Pull takes a sibling's reserved slot.
+// Pull receives a sibling's offer of a reserved slot.
 func (s *Sibling) Pull(args *SignalArgs, _ *SignalReply) error {
 	return s.post(args, offered{standingReceived: s.standingOf(args), held: args.Held})
 }
@@ -133,7 +139,7 @@
 	return nil
 }
 
-// Cancel ends a request that its owner no longer wants.
+// Cancel cancels a request that its owner doesn't need any more.
 func (s *Sibling) Cancel(args *CancelArgs, _ *SignalReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +149,7 @@
 	return nil
 }
 
-// track makes a run known to Cancel until the returned function is called.
+// track lets Cancel find the run until the returned function is called.
 func (s *Sibling) track(key CancelArgs, cancel context.CancelFunc) (forget func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,17 +164,17 @@
 	}
 }
 
-// forwardedJob builds the job of a call from another agent. Its deadline is
-// counted from now on: the hosts' clocks need not agree.
+// forwardedJob builds the job of a call from another agent. Its deadline is computed
+// from the remaining time in the call, because the clocks of hosts differ.
 func (h *Handler) forwardedJob(call *Call) (*job, error) {
 	now := time.Now()
 	r, err := http.NewRequest(call.Method, call.URI, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "request: passed call")
+		return nil, errors.Wrap(err, "request: invalid forwarded call")
 	}
 	class, ok := h.classify(r)
 	if !ok {
-		return nil, errors.New("request: passed call is of no class")
+		return nil, errors.New("request: forwarded call matches no class of the service")
 	}
 	return &job{
 		id:       h.engine.nextID(),
@@ -203,8 +209,8 @@
 	return RunReply{Result: RunAnswered, Answer: *e.answer}
 }
 
-// runOnSibling runs a job on a sibling. taken is false when the sibling surely
-// didn't run it and the scheduler has it again.
+// runOnSibling runs a job on a sibling. taken is false if the sibling definitely hasn't
+// run it; the job is then back in the scheduler.
 func (h *Handler) runOnSibling(ctx context.Context, j *job, p dispatch.Push) (e jobResult, taken bool, err error) {
 	reply, err := h.callSibling(ctx, j, p)
 	if err == nil && reply.Result == RunNotTaken {
@@ -217,7 +223,7 @@
 	if err != nil {
 		j.mayHaveRun = true
 		h.metrics.moved(j.class.Name, "failed")
-		return jobResult{}, true, errors.Wrap(err, "request: sibling")
+		return jobResult{}, true, errors.Wrap(err, "request: push to sibling")
 	}
 	e, err = j.applyReply(reply)
 	h.metrics.moved(j.class.Name, movedResult(err))
@@ -231,7 +237,7 @@
 	return "answered"
 }
 
-// applyReply is the end that a sibling's reply gives the job.
+// applyReply returns the result that follows from a sibling's reply.
 func (j *job) applyReply(reply *RunReply) (jobResult, error) {
 	switch reply.Result {
 	case RunAnswered:
@@ -241,18 +247,18 @@
 		}
 		return jobResult{answer: &reply.Answer}, nil
 	case RunNotSent:
-		return jobResult{}, errors.Errorf("request: sibling: %s", reply.Reason)
+		return jobResult{}, errors.Errorf("request: not run on sibling: %s", reply.Reason)
 	case RunLongAnswer:
 		j.mayHaveRun, j.longAnswer = true, true
 		return jobResult{}, errLongAnswer
 	default:
 		j.mayHaveRun = true
-		return jobResult{}, errors.Errorf("request: sibling: %s", reply.Reason)
+		return jobResult{}, errors.Errorf("request: run on sibling failed: %s", reply.Reason)
 	}
 }
 
-// callSibling sends the job and waits; when ctx ends first, the sibling is
-// told to cancel it.
+// callSibling sends the job to a sibling and waits for the reply. If ctx ends first, it
+// cancels the job there.
 func (h *Handler) callSibling(ctx context.Context, j *job, p dispatch.Push) (*RunReply, error) {
 	args := RunArgs{
 		From: h.o.Self, ID: j.id, Under: p.Reservation, Admit: p.Admit, Standing: p.Standing, Call: *j.call,
@@ -270,6 +276,6 @@
 func (h *Handler) cancelOnSibling(to netip.AddrPort, id dispatch.ID) {
 	args := CancelArgs{From: h.o.Self, ID: id}
 	if err := h.links.call(to, methodCancel, &args, &SignalReply{}); err != nil {
-		h.log.Debug("Sibling didn't take a cancellation.", "sibling", to.String(), "error", err)
+		h.log.Debug("Could not cancel a request at a sibling.", "sibling", to.String(), "error", err)
 	}
 }
--- a/internal/request/sibling_test.go
+++ b/internal/request/sibling_test.go
@@ -38,7 +38,7 @@
 		b.source.SetAgents(agents)
 	})
 
-	It("run an idempotent request where a slot is free", func() {
+	It("run an idempotent request if they have a free slot", func() {
 		first := a.send(ctx, "GET", "/runners/1", "", "")
 		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		second := a.send(ctx, "GET", "/runners/2", "", "")
@@ -49,7 +49,7 @@
 		Expect(receive(first).Body.String()).To(Equal("one"))
 	})
 
-	It("never move a non-idempotent request", func() {
+	It("don't receive non-idempotent requests", func() {
 		a.tickets.decision = request.Decision{Verdict: request.VerdictRun, ID: "t"}
 		a.send(ctx, "GET", "/runners/1", "", "")
 		Eventually(a.upstream.began, waitTimeout).Should(Receive())
@@ -61,7 +61,7 @@
 		Expect(b.upstream.ran()).To(BeEmpty())
 	})
 
-	It("cancel what the owner's caller no longer wants", func() {
+	It("cancel a request when its caller disconnects from the owner", func() {
 		a.send(ctx, "GET", "/runners/1", "", "")
 		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		leaving, leave := context.WithCancel(ctx)
@@ -72,11 +72,11 @@
 		Eventually(func() int { return b.handler.Load().Running }, waitTimeout).Should(BeZero())
 	})
 
-	It("take the new idempotent requests of one that drains", func() {
+	It("run new idempotent requests of a draining agent", func() {
 		first := a.send(ctx, "GET", "/runners/1", "", "")
 		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		second := a.send(ctx, "GET", "/runners/2", "", "")
-		Eventually(b.upstream.began, waitTimeout).Should(Receive()) // they know each other
+		Eventually(b.upstream.began, waitTimeout).Should(Receive()) // so each agent has the other as a sibling
 		a.handler.Drain()
 		third := a.send(ctx, "GET", "/runners/3", "", "")
 		b.upstream.answer <- text("two")
@@ -88,7 +88,7 @@
 		Expect(a.upstream.ran()).To(Equal([]string{"/runners/1"}))
 	})
 
-	It("give an answer that is too long to pass from the owner", func() {
+	It("leave a request to its owner when the answer is too long to send", func() {
 		a.send(ctx, "GET", "/runners/1", "", "")
 		Eventually(a.upstream.began, waitTimeout).Should(Receive())
 		second := a.send(ctx, "GET", "/runners/2", "", "")
@@ -100,7 +100,7 @@
 		Expect(receive(second).Body.Len()).To(Equal(len(long)))
 	})
 
-	Describe("of one that drains, and has a feed open", func() {
+	Describe("of a draining agent with an open feed", func() {
 		var here *io.PipeWriter
 		var caller <-chan *httptest.ResponseRecorder
 
@@ -116,9 +116,9 @@
 			Expect(io.WriteString(w, text)).To(Equal(len(text)))
 		}
 
-		It("carry it on after the last event, without the caller noticing", func() {
+		It("resume the feed after the last event, on the same connection to the caller", func() {
 			write(here, "id: 1\ndata: a\n\n")
-			write(here, "id: 2\nda") // comes again, whole
+			write(here, "id: 2\nda") // incomplete; the sibling has to send the whole event
 			answer, there := feed()
 			b.upstream.answer <- answer
 			go a.handler.Drain()
@@ -133,7 +133,7 @@
 			Eventually(func() int { return b.handler.Load().Feeds }, waitTimeout).Should(BeZero())
 		})
 
-		It("leave it where it is when its events have no ids", func() {
+		It("don't receive a feed without event ids", func() {
 			write(here, "data: a\n\n")
 			a.handler.Drain()
 			write(here, "data: b\n\n")
@@ -142,7 +142,7 @@
 			Expect(b.upstream.ran()).To(BeEmpty())
 		})
 
-		It("leave it where it is when its class isn't resumed", func() {
+		It("don't receive a feed of a class that can't be resumed", func() {
 			answer, local := feed()
 			a.upstream.answer <- answer
 			caller := a.send(ctx, "GET", "/local-feed", "", "")
@@ -156,7 +156,7 @@
 			Expect(here.Close()).To(Succeed())
 		})
 
-		It("leave it where it is when none of them takes it", func() {
+		It("let the feed continue at the agent when none of them accepts it", func() {
 			write(here, "id: 1\ndata: a\n\n")
 			b.handler.Drain()
 			a.handler.Drain()
@@ -165,7 +165,7 @@
 			Expect(receive(caller).Body.String()).To(Equal("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
 		})
 
-		It("carry it on when its upstream fails", func() {
+		It("resume the feed when the upstream of the agent fails", func() {
 			write(here, "id: 1\ndata: a\n\n")
 			answer, there := feed()
 			b.upstream.answer <- answer
--- a/internal/request/ticketed.go
+++ b/internal/request/ticketed.go
@@ -9,7 +9,7 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// runTicketed runs a non-idempotent job under its ticket, at most once.
+// runTicketed runs a non-idempotent job at most once under its ticket.
 func (h *Handler) runTicketed(ctx context.Context, text string, j *job) jobResult {
 	switch {
 	case text == "" && h.o.Tickets == nil:
@@ -19,7 +19,7 @@
 	case text == "":
 		return jobResult{answer: NotRun(http.StatusPreconditionRequired, "no-ticket", 0)}
 	case h.o.Tickets == nil:
-		return jobResult{answer: Unknown("no-tickets")} // it may have run elsewhere
+		return jobResult{answer: Unknown("no-tickets")} // it may have run at another agent
 	}
 	j.call.Digest = ticket.DigestOf(j.call.Method, j.call.URI, j.call.Body)
 	d := h.o.Tickets.Begin(text, j.call.Digest, j.deadline)
@@ -29,7 +29,7 @@
 	return h.applyDecision(ctx, d, j)
 }
 
-// applyDecision acts on a verdict of this home.
+// applyDecision acts on a decision of this agent as the home of the ticket.
 func (h *Handler) applyDecision(ctx context.Context, d Decision, j *job) jobResult {
 	switch d.Verdict {
 	case VerdictRun:
@@ -45,7 +45,7 @@
 	}
 }
 
-// forwardToHome has the ticket's home answer. Nothing runs here.
+// forwardToHome forwards the job to the ticket's home. Nothing runs at this agent.
 func (h *Handler) forwardToHome(ctx context.Context, d Decision, text string, j *job) *Answer {
 	call := *j.call
 	call.Waited = time.Since(j.arrived)
@@ -55,14 +55,14 @@
 	}
 	answer, err := h.o.Tickets.Forward(ctx, d.Home, text, &call)
 	if err != nil {
-		h.log.Info("Home of a ticket gave no answer.", "home", d.Home.String(), "error", err)
+		h.log.Info("Could not get an answer from the home of a ticket.", "home", d.Home.String(), "error", err)
 		return Unknown("home-unreachable")
 	}
 	return answer
 }
 
-// boundBody reads a streamed body into the call if it fits, and omits it
-// otherwise.
+// boundBody reads a streamed body into the call if it is within the limit, and omits
+// the whole body otherwise.
 func (h *Handler) boundBody(call *Call, j *job) {
 	rest, more, err := readBounded(j.body, h.bodyBytes()-len(call.Body))
 	if err != nil || more {
@@ -85,9 +85,9 @@
 	}
 }
 
-// runOwned runs a job whose ticket this call alone may run. A started run isn't
-// bound to the caller's connection: a caller that lost it asks again and gets
-// the recorded answer. A queued one ends when nobody waits for it any more.
+// runOwned runs a job that only this call may run under its ticket. Once started, the
+// run continues if the caller disconnects: the caller can send the ticket again and
+// gets the recorded answer. A queued job ends when no caller waits for it any more.
 func (h *Handler) runOwned(ctx context.Context, d Decision, j *job) jobResult {
 	if j.call.BodyOmitted {
 		return h.void(d.ID, dispatch.Refuse{ID: j.id, Reason: reasonBodyOmitted})
@@ -110,8 +110,7 @@
 	}
 }
 
-// awaitTurn waits in the queue until the scheduler speaks or the ticket is
-// abandoned.
+// awaitTurn waits for the scheduler's action or until the ticket is abandoned.
 func (h *Handler) awaitTurn(ctx context.Context, d Decision, j *job) dispatch.Action {
 	queued, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -125,7 +124,7 @@
 	return h.await(queued, j)
 }
 
-// startOwned runs the job, unless its ticket was voided while its turn came.
+// startOwned runs the job, unless its ticket was voided before it got its slot.
 func (h *Handler) startOwned(ctx context.Context, id TicketID, j *job) jobResult {
 	if !h.o.Tickets.Start(id, time.Now()) {
 		h.engine.post(ended{id: j.id})
@@ -134,8 +133,8 @@
 	return h.runAndRecord(ctx, id, j)
 }
 
-// void ends a ticketed job that the scheduler gave up. The job is out of the
-// queue and only this call could have started it.
+// void voids the ticket of a job that was refused. The job isn't queued any more, and
+// only this call could have started it.
 func (h *Handler) void(id TicketID, r dispatch.Refuse) jobResult {
 	if !h.o.Tickets.Void(id) {
 		return jobResult{answer: Unknown(string(r.Reason))}
@@ -143,8 +142,8 @@
 	return jobResult{answer: refused(r)}
 }
 
-// runAndRecord runs a started job and records its outcome before the caller
-// learns it.
+// runAndRecord runs a started job and records its outcome before it is sent to the
+// caller.
 func (h *Handler) runAndRecord(ctx context.Context, id TicketID, j *job) jobResult {
 	recorded := false
 	record := func(a *Answer) {
@@ -161,7 +160,7 @@
 	case err != nil:
 		e = h.failed(j, err)
 	case e.streamed:
-		// The answer went out but was too long to keep.
+		// The answer was streamed to the caller but is too long to record.
 		record(Unknown("answer-not-kept"))
 		return e
 	}
@@ -169,9 +168,9 @@
 	return e
 }
 
-// RunForwarded answers a call that another agent passed to this home. A call of no
-// class can't run here, but its ticket may have run before a change of the
-// configuration: the ticket decides.
+// RunForwarded answers a call that another agent forwarded to this agent as the
+// ticket's home. A call that matches no class can't run here, but it may have run
+// before the configuration changed, so it is still decided by its ticket.
 func (h *Handler) RunForwarded(ctx context.Context, text string, call *Call) *Answer {
 	j, err := h.forwardedJob(call)
 	if err != nil {
@@ -186,7 +185,8 @@
 	return h.applyDecision(ctx, d, j).answer
 }
 
-// classless is a job that can't run: its ticket is voided or its outcome told.
+// classless returns a job that can't run: its ticket is voided or its recorded outcome
+// replayed.
 func (h *Handler) classless(call *Call) *job {
 	omitted := *call
 	omitted.BodyOmitted = true
@@ -199,8 +199,8 @@
 	}
 }
 
-// serveClassless answers a request of no class. One that brings a ticket may
-// have run while the configuration had a class for it.
+// serveClassless answers a request that matches no class. If it has a ticket, it may
+// have run under an earlier configuration that had a class for it.
 func (h *Handler) serveClassless(ctx context.Context, text string, j *job) *Answer {
 	if text == "" {
 		return NotRun(http.StatusNotFound, "no-class", 0)
--- a/internal/request/tickets.go
+++ b/internal/request/tickets.go
@@ -8,30 +8,31 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// Tickets keeps non-idempotent requests to one run. The methods are safe for
-// concurrent use and don't block, but for Pass.
+// Tickets lets each non-idempotent request run at most once. A ticket is a token that a
+// caller sends with its request; the agent that issued it is its home. The methods are
+// safe for concurrent use, and all except Forward don't block.
 //
-// After VerdictRun the handler alone may start the request. It calls Start
-// right before it sends the request to the upstream, and Finish after that; or
-// Void when the scheduler gave the request up first.
+// After VerdictRun only the handler may start the request. It calls Start right before
+// it sends the request to the upstream and Finish afterwards, or Void if the scheduler
+// refused the request.
 type Tickets interface {
-	// Issue returns a fresh ticket whose home is this process.
+	// Issue returns a new ticket with this process as its home.
 	Issue() string
-	// Begin presents a ticket whose request has to be done by the deadline. The
-	// digest binds the ticket to the content of its first request.
+	// Begin decides about a request under a ticket. The request has to end by the
+	// deadline. The digest binds the ticket to the content of its first request.
 	Begin(ticket string, digest ticket.Digest, deadline time.Time) Decision
-	// Start lets the request run, or voids it in the same step and reports
-	// false: its deadline is past or all its callers have left. It did not run
-	// and never will.
+	// Start reports whether the request may run now. If its deadline has passed or
+	// all its callers have disconnected, Start atomically voids the ticket and
+	// returns false: the request has not run and will not.
 	Start(id TicketID, now time.Time) bool
-	// Finish records the answer of a run: complete, unknown, or not run when
-	// the upstream surely never saw it.
+	// Finish records the answer of a run: complete, unknown, or not run if the
+	// request definitely didn't reach the upstream.
 	Finish(id TicketID, answer *Answer)
-	// Void records that the request was removed before its start. It reports
-	// false when the ticket had run; the caller is then told "unknown".
+	// Void records that the request was removed before its start. It returns false
+	// if the request may have run; the caller then gets the outcome "unknown".
 	Void(id TicketID) bool
-	// Leave tells that one caller of VerdictRun or VerdictWait no longer waits.
-	// A request that nobody waits for is voided while it is queued.
+	// Leave records that one caller with VerdictRun or VerdictWait doesn't wait any
+	// more. A queued request without waiting callers is voided.
 	Leave(id TicketID)
 	// Forward has the home agent at the control address decide and answer. An
 	// error means that the outcome is unknown.
