--- a/internal/ticket/ledger.go
+++ b/internal/ticket/ledger.go
@@ -59,7 +59,7 @@
 	if !l.known(n) {
 		return markSpent
 	}
-	i, shift := l.place(n)
+	i, shift := l.position(n)
 	return mark(l.bits[i]>>shift) & markMask
 }
 
@@ -68,11 +68,11 @@
 	if !l.known(n) {
 		return
 	}
-	i, shift := l.place(n)
+	i, shift := l.position(n)
 	l.bits[i] = l.bits[i]&^(markMask<<shift) | byte(m)<<shift
 }
 
-func (l *ledger) place(n uint64) (index int, shift uint) {
+func (l *ledger) position(n uint64) (index int, shift uint) {
 	slot := n % l.span()
 	return int(slot / marksPerByte), uint(slot%marksPerByte) * markBits
 }
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCodecOpensWhatItSealedAndNothingElse(t *testing.T) {
+func TestCodecOpensOnlyUnchangedTickets(t *testing.T) {
 	c := codec(t, secretOne)
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawTicket(t)
@@ -72,7 +72,7 @@
 	g.Expect(err).To(Equal(ErrForged))
 }
 
-func TestDigestKeepsPartsApart(t *testing.T) {
+func TestDigestSeparatesMethodTargetAndBody(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(DigestOf("POST", "/a", []byte("bc"))).NotTo(Equal(DigestOf("POST", "/ab", []byte("c"))))
 	g.Expect(DigestOf("POST", "/a", nil)).NotTo(Equal(DigestOf("PUT", "/a", nil)))
--- a/internal/ticket/window.go
+++ b/internal/ticket/window.go
@@ -172,7 +172,7 @@
 // forgetting the oldest record, the request is refused for good.
 func (w *Window) enqueue(nonce uint64, digest Digest, deadline time.Time) (Verdict, Result) {
 	if !w.closed && len(w.entries) >= w.bounds.Entries {
-		w.forgetOldest()
+		w.evictOldest()
 	}
 	if w.closed || len(w.entries) >= w.bounds.Entries {
 		w.ledger.set(nonce, markVoided)
@@ -232,15 +232,15 @@
 		return
 	}
 	for w.bytes+size > w.bounds.Bytes {
-		w.forgetOldest()
+		w.evictOldest()
 	}
 	e.state, e.answer = recorded, r.Answer
 	w.order.PushBack(e)
 	w.bytes += size
 }
 
-// forgetOldest gives up the oldest record: its ticket is spent from now on.
-func (w *Window) forgetOldest() {
+// evictOldest gives up the oldest record: its ticket is spent from now on.
+func (w *Window) evictOldest() {
 	oldest := w.order.Front()
 	if oldest == nil {
 		return
--- a/internal/ticket/window_test.go
+++ b/internal/ticket/window_test.go
@@ -28,11 +28,11 @@
 // schedule drives a window with random steps and checks after each what must
 // hold, whatever the bounds force it to forget.
 type schedule struct {
-	w      *Window
-	bounds Bounds
-	now    time.Time
-	past   []*history
-	late   map[uint64]time.Time
+	w         *Window
+	bounds    Bounds
+	now       time.Time
+	histories []*history
+	deadlines map[uint64]time.Time
 }
 
 // nonce draws one of the last tickets most times, so that steps meet, or any,
@@ -40,24 +40,24 @@
 func (s *schedule) nonce(t *rapid.T) uint64 {
 	first := 0
 	if rapid.IntRange(0, 3).Draw(t, "any") > 0 {
-		first = max(0, len(s.past)-recent)
+		first = max(0, len(s.histories)-recent)
 	}
-	return uint64(rapid.IntRange(first, len(s.past)).Draw(t, "nonce"))
+	return uint64(rapid.IntRange(first, len(s.histories)).Draw(t, "nonce"))
 }
 
-func (s *schedule) of(n uint64) *history {
-	if n < uint64(len(s.past)) {
-		return s.past[n]
+func (s *schedule) historyOf(n uint64) *history {
+	if n < uint64(len(s.histories)) {
+		return s.histories[n]
 	}
 	return &history{denied: map[Digest]bool{}}
 }
 
 func (s *schedule) issue(t *rapid.T) {
 	n := s.w.Issue()
-	if n != uint64(len(s.past)) {
-		t.Fatalf("nonce %d was issued, want %d", n, len(s.past))
+	if n != uint64(len(s.histories)) {
+		t.Fatalf("nonce %d was issued, want %d", n, len(s.histories))
 	}
-	s.past = append(s.past, &history{denied: map[Digest]bool{}})
+	s.histories = append(s.histories, &history{denied: map[Digest]bool{}})
 }
 
 func (s *schedule) admit(t *rapid.T) { s.admitAt(t, s.nonce(t)) }
@@ -66,15 +66,15 @@
 	body := Digest{rapid.Byte().Draw(t, "body") % 2}
 	deadline := s.now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "left")) * time.Second)
 	verdict, result := s.w.Admit(n, body, deadline)
-	h := s.of(n)
+	h := s.historyOf(n)
 	switch {
-	case verdict == Admitted && n >= uint64(len(s.past)):
+	case verdict == Admitted && n >= uint64(len(s.histories)):
 		t.Fatalf("a ticket was admitted that was never issued")
 	case verdict == Admitted && h.admitted:
 		t.Fatalf("%d: admitted twice", n)
 	case verdict == Admitted:
 		h.admitted = true
-		s.late[n] = deadline
+		s.deadlines[n] = deadline
 		h.body = body
 	case verdict == Mismatch && h.body == body:
 		t.Fatalf("%d: the ticket's own request was refused", n)
@@ -90,7 +90,7 @@
 }
 
 func (s *schedule) deny(t *rapid.T, n uint64, body Digest) {
-	h := s.of(n)
+	h := s.historyOf(n)
 	if h.runs > 0 && h.body == body {
 		t.Fatalf("%d: told not run, but it ran", n)
 	}
@@ -103,14 +103,14 @@
 	if !s.w.Start(n, s.now) {
 		return
 	}
-	h := s.of(n)
+	h := s.historyOf(n)
 	h.runs++
 	switch {
 	case h.runs > 1:
 		t.Fatalf("%d: ran twice", n)
 	case h.denied[h.body]:
 		t.Fatalf("%d: ran after a not run", n)
-	case !s.now.Before(s.late[n]):
+	case !s.now.Before(s.deadlines[n]):
 		t.Fatalf("%d: started after its deadline", n)
 	}
 }
@@ -126,7 +126,7 @@
 func (s *schedule) finish(t *rapid.T) { s.finishAt(t, s.nonce(t)) }
 
 func (s *schedule) finishAt(t *rapid.T, n uint64) {
-	h := s.of(n)
+	h := s.historyOf(n)
 	if h.runs == 0 || h.finish || h.unknown {
 		return
 	}
@@ -152,7 +152,7 @@
 // useFresh does so with a ticket that was never used.
 func (s *schedule) useFresh(t *rapid.T) {
 	s.issue(t)
-	n := uint64(len(s.past) - 1)
+	n := uint64(len(s.histories) - 1)
 	s.admitAt(t, n)
 	s.startAt(t, n)
 	s.finishAt(t, n)
@@ -176,7 +176,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &schedule{w: w, bounds: bounds, now: epoch, late: map[uint64]time.Time{}}
+		s := &schedule{w: w, bounds: bounds, now: epoch, deadlines: map[uint64]time.Time{}}
 		s.issue(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"":       s.check,
@@ -201,13 +201,13 @@
 	}
 	s.w.Close()
 	closing, _ := s.w.Closing()
-	for n := range uint64(len(s.past) + 1) {
+	for n := range uint64(len(s.histories) + 1) {
 		if closing.Outcome(n) == NotRun {
 			s.deny(t, n, Digest{0})
 			s.deny(t, n, Digest{1})
 		}
 	}
-	for n := range uint64(len(s.past)) {
+	for n := range uint64(len(s.histories)) {
 		if v, _ := s.w.Admit(n, Digest{}, s.now.Add(time.Hour)); v == Admitted {
 			t.Fatalf("%d: admitted after the close", n)
 		}
@@ -217,7 +217,7 @@
 	}
 }
 
-func TestClosingSpeaksOnlyOfWhatItNames(t *testing.T) {
+func TestClosingIsUnknownOutsideItsRange(t *testing.T) {
 	g := NewWithT(t)
 	w := newWindow(t, Bounds{Entries: 4, Bytes: 100, Span: 8})
 	for range 10 {
@@ -225,14 +225,14 @@
 	}
 	ran := run(g, w, "x")
 	w.Close()
-	late := w.Issue()
+	lastIssued := w.Issue()
 	c, ok := w.Closing()
 	g.Expect(ok).To(BeTrue())
 	g.Expect(c.Outcome(0)).To(Equal(Unknown))
 	g.Expect(c.Outcome(ran)).To(Equal(Unknown))
 	g.Expect(c.Outcome(ran - 1)).To(Equal(NotRun))
-	g.Expect(c.Outcome(late)).To(Equal(NotRun))
-	g.Expect(c.Outcome(late + 1)).To(Equal(Unknown))
+	g.Expect(c.Outcome(lastIssued)).To(Equal(NotRun))
+	g.Expect(c.Outcome(lastIssued + 1)).To(Equal(Unknown))
 }
 
 func newWindow(t *testing.T, b Bounds) *Window {
@@ -252,7 +252,7 @@
 	return n
 }
 
-func TestWindowRepeatsTheAnswerUntilItsBounds(t *testing.T) {
+func TestWindowReplaysAnswersWithinItsBounds(t *testing.T) {
 	for name, bounds := range map[string]Bounds{
 		"entries": {Entries: 2, Bytes: 100, Span: 16},
 		"bytes":   {Entries: 9, Bytes: 5, Span: 16},
@@ -273,7 +273,7 @@
 	}
 }
 
-func TestWindowNeverRunsBelowItsLowWaterMark(t *testing.T) {
+func TestTicketBelowLowWaterMarkIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	w := newWindow(t, Bounds{Entries: 4, Bytes: 100, Span: 4})
 	old := w.Issue()
@@ -286,7 +286,7 @@
 	g.Expect(w.Void(old)).To(BeFalse())
 }
 
-func TestWindowKeepsUnusedAndVoidedTicketsApartWithinTheSpan(t *testing.T) {
+func TestUnusedAndVoidedTicketsStayDistinctWithinTheSpan(t *testing.T) {
 	g := NewWithT(t)
 	w := newWindow(t, Bounds{Entries: 1, Bytes: 100, Span: 64})
 	unused, voided := w.Issue(), w.Issue()
@@ -300,7 +300,7 @@
 	g.Expect(verdict).To(Equal(Admitted))
 }
 
-func TestWindowVoidsOnlyWhatDidNotStart(t *testing.T) {
+func TestStartedTicketCannotBeVoided(t *testing.T) {
 	g := NewWithT(t)
 	w := newWindow(t, Bounds{Entries: 4, Bytes: 100, Span: 64})
 	n := w.Issue()
@@ -311,7 +311,7 @@
 	g.Expect(w.Void(n)).To(BeFalse())
 }
 
-func TestWindowRefusesWhenAllEntriesAreAtWork(t *testing.T) {
+func TestAdmitIsRefusedWhenAllEntriesAreInUse(t *testing.T) {
 	g := NewWithT(t)
 	w := newWindow(t, Bounds{Entries: 1, Bytes: 100, Span: 64})
 	first, second := w.Issue(), w.Issue()
