--- a/internal/ticket/bench_test.go
+++ b/internal/ticket/bench_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// BenchmarkWindow takes a ticket from its issue to a recorded answer of 1 KiB,
-// in a window that is full and forgets as many.
+// BenchmarkWindow takes a ticket from its issue to a recorded answer of 1 KiB, in a
+// full window that evicts an answer for each new one.
 func BenchmarkWindow(b *testing.B) {
 	w, err := New(DefaultBounds)
 	if err != nil {
--- a/internal/ticket/closing.go
+++ b/internal/ticket/closing.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// maxSpent bounds the nonces that a closing names; it speaks of fewer tickets
-// rather than naming more.
+// maxSpent bounds the nonces that a closing lists. If more tickets may have run, the
+// closing covers a shorter range of nonces.
 const maxSpent = 1 << 17
 
-// Closing is the last word of an incarnation that stops in good order: which
-// of its tickets may have run. The others never did and never will, so any
-// process that holds the closing may say so. It is immutable.
+// Closing is the final record of an incarnation that has stopped gracefully: it lists
+// which of its tickets may have run. All other tickets in its range have not run and
+// never will, so any process that has the closing may answer "not run" for them. A
+// Closing is immutable.
 type Closing struct {
 	Home        netip.AddrPort
 	Incarnation uint64
-	// Low and Next bound the nonces that the closing speaks of: from Low, below
-	// Next.
+	// Low and Next are the range of nonces that the closing covers, from Low up to
+	// but not including Next.
 	Low  uint64
 	Next uint64
-	// Spent are the nonces in that range that may have run, ascending.
+	// Spent lists the nonces in that range that may have run, in ascending order.
 	Spent []uint64
 }
 
-// Outcome returns what the closing says of a nonce: NotRun or Unknown.
+// Outcome returns the outcome of a nonce according to the closing: NotRun or Unknown.
 func (c *Closing) Outcome(nonce uint64) Outcome {
 	if nonce < c.Low || nonce >= c.Next {
 		return Unknown
@@ -34,9 +35,9 @@
 	return NotRun
 }
 
-// Close ends the window: what is queued and unused is voided in this step, and
-// nothing is started any more. What runs may still finish. It returns the
-// nonces of the requests that were queued.
+// Close closes the window: it voids all queued and unused tickets, and no request is
+// started afterwards. Running requests may still finish. It returns the nonces of the
+// requests that were queued.
 func (w *Window) Close() (voided []uint64) {
 	w.closed = true
 	for nonce, e := range w.entries {
@@ -48,8 +49,9 @@
 	return voided
 }
 
-// Closing returns the last word of a closed window; Home and Incarnation are
-// left to the caller. An open window has none: what is unused may yet run.
+// Closing returns the final record of a closed window, without Home and Incarnation,
+// which the caller sets. ok is false if the window is open, because unused tickets may
+// still run.
 func (w *Window) Closing() (c Closing, ok bool) {
 	if !w.closed {
 		return Closing{}, false
--- a/internal/ticket/ledger.go
+++ b/internal/ticket/ledger.go
@@ -1,16 +1,17 @@
 package ticket
 
-// mark is what the ledger keeps of one nonce.
+// mark is the state of one nonce in the ledger.
 type mark uint8
 
 const (
-	// markUnused says that the nonce was issued and never used.
+	// markUnused means that the nonce was issued and not used.
 	markUnused mark = iota
-	// markSpent says that the nonce may have run and its record is gone.
+	// markSpent means that the nonce may have run and that its answer isn't recorded
+	// any more.
 	markSpent
-	// markVoided says that the nonce never ran and never will.
+	// markVoided means that the nonce has not run and never will.
 	markVoided
-	// markHeld says that the window holds an entry for the nonce.
+	// markHeld means that the window has an entry for the nonce.
 	markHeld
 )
 
@@ -20,11 +21,11 @@
 	markMask     = 1<<markBits - 1
 )
 
-// ledger keeps two bits for each of the last span issued nonces, in a ring.
-// All nonces below low are forgotten: that whole range is one number.
+// ledger stores the mark of each of the last issued nonces, up to its span, in two bits
+// per nonce. The storage is a ring. Nonces below low are no longer stored.
 type ledger struct {
 	bits []byte
-	low  uint64 // first nonce that is still known
+	low  uint64 // lowest nonce that is still stored
 	next uint64 // next nonce to issue
 }
 
@@ -37,7 +38,8 @@
 	return uint64(len(l.bits)) * marksPerByte
 }
 
-// issue returns the next nonce and forgets the oldest when the ring is full.
+// issue returns the next nonce. When the ring is full, the mark of the oldest nonce is
+// overwritten.
 func (l *ledger) issue() uint64 {
 	n := l.next
 	l.next++
@@ -48,13 +50,13 @@
 	return n
 }
 
-// known reports whether the ledger still tells about n.
+// known reports whether the ledger stores a mark for n.
 func (l *ledger) known(n uint64) bool {
 	return n >= l.low && n < l.next
 }
 
-// get returns the mark of a known nonce; any other counts as spent, because
-// it can't be shown not to have run.
+// get returns the mark of a nonce. A nonce without a stored mark counts as spent,
+// because nothing proves that it has not run.
 func (l *ledger) get(n uint64) mark {
 	if !l.known(n) {
 		return markSpent
@@ -63,7 +65,7 @@
 	return mark(l.bits[i]>>shift) & markMask
 }
 
-// set changes the mark of a known nonce; it does nothing for any other.
+// set changes the mark of a nonce. It does nothing for a nonce that isn't stored.
 func (l *ledger) set(n uint64, m mark) {
 	if !l.known(n) {
 		return
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -1,7 +1,9 @@
-// Package ticket decides which non-idempotent requests run. A ticket names the
-// one process incarnation that may run it, its home, and a number that the
-// home issued; the home's Window runs each number at most once and repeats the
-// outcome. The package is pure: no clock, no sockets, no goroutines.
+// Package ticket ensures that a non-idempotent request runs at most once. A ticket is a
+// token with the address of its home, the agent that issued it, the home's incarnation,
+// which identifies one run of the agent's process, and a nonce. Only that incarnation
+// may run a request under the ticket. Its Window lets each nonce run at most once and
+// replays the recorded outcome. The package does no I/O, reads no clock and starts no
+// goroutines.
 package ticket
 
 import (
@@ -17,8 +19,8 @@
 	"github.com/saltbend/saltbend/internal/keyring"
 )
 
-// Header is the HTTP header that carries a ticket's text form: in a request
-// the ticket to run under, in a response a fresh one.
+// Header is the HTTP header with a ticket's text form: in a request the ticket to run
+// under, in a response a new one.
 const Header = "Saltbend-Ticket"
 
 // Layout of the sealed form:
@@ -39,23 +41,23 @@
 
 // Errors of Codec.Open.
 var (
-	ErrText    = errors.New("ticket: malformed text")
+	ErrText    = errors.New("ticket: malformed text form")
 	ErrKey     = errors.New("ticket: unknown key id")
 	ErrForged  = errors.New("ticket: MAC does not match")
-	ErrService = errors.New("ticket: other service")
+	ErrService = errors.New("ticket: issued for another service")
 )
 
-// Ticket is the right to run one non-idempotent request once. It holds no
-// time: the nonces of an incarnation rise, which orders its tickets by age
-// without any agreement of clocks.
+// Ticket allows one non-idempotent request to run once. It contains no time: an
+// incarnation issues its nonces in ascending order, so they order its tickets by age
+// without synchronised clocks.
 type Ticket struct {
 	// Home is the control address of the agent that issued the ticket.
 	Home netip.AddrPort
-	// Incarnation is the one of Home that issued the ticket; no other runs it.
+	// Incarnation identifies the process at Home that issued the ticket. No other
+	// process runs a request under it.
 	Incarnation uint64
 	Service     config.Tag
-	// Nonce is the ticket's number; it rises by one with each ticket of an
-	// incarnation.
+	// Nonce numbers the tickets of an incarnation consecutively.
 	Nonce uint64
 }
 
@@ -64,13 +66,13 @@
 	mac []byte
 }
 
-// Codec seals and opens tickets. It is safe for concurrent use.
+// Codec encodes and authenticates tickets. It is safe for concurrent use.
 type Codec struct {
 	keys []key
 }
 
-// NewCodec returns a codec that seals with the ring's current secret and opens
-// with any of them.
+// NewCodec returns a codec that seals tickets with the ring's current secret and opens
+// tickets sealed with any secret of the ring.
 func NewCodec(ring *keyring.Ring) *Codec {
 	c := &Codec{}
 	for _, k := range ring.Derive(keyring.PurposeTicket, keySize) {
@@ -94,7 +96,8 @@
 	return base64.RawURLEncoding.EncodeToString(b[:])
 }
 
-// Open checks the text form of a ticket that arrived for the service.
+// Open decodes and verifies the text form of a ticket. It returns ErrService if the
+// ticket was issued for another service.
 func (c *Codec) Open(text string, service config.Tag) (Ticket, error) {
 	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || len(b) != sealedSize {
@@ -134,12 +137,11 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Digest identifies a request's content, so that a ticket stays bound to the
-// request that it was first used for.
+// Digest identifies the content of a request. It binds a ticket to the request that it
+// is first used for.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest of a request. The target is the path with its
-// query.
+// DigestOf returns the digest of a request. The target is the path with its query.
 func DigestOf(method, target string, body []byte) Digest {
 	h := sha256.New()
 	var size [8]byte
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -46,13 +46,13 @@
 			t.Fatalf("got %v, %v, want %v", got, err, want)
 		}
 		if _, err := c.Open(text, want.Service+1); err != ErrService {
-			t.Fatalf("another service's ticket: %v", err)
+			t.Fatalf("opening a ticket of another service returned %v, want ErrService", err)
 		}
 		at := rapid.IntRange(0, len(text)-1).Draw(t, "at")
 		with := rapid.SampledFrom([]byte("AZaz09-_=. ")).Draw(t, "with")
 		if changed := text[:at] + string(with) + text[at+1:]; changed != text {
 			if _, err := c.Open(changed, want.Service); err == nil {
-				t.Fatalf("a changed ticket was opened: %s", changed)
+				t.Fatalf("opened a ticket with a changed character: %s", changed)
 			}
 		}
 	})
--- a/internal/ticket/window.go
+++ b/internal/ticket/window.go
@@ -7,16 +7,16 @@
 	"github.com/pkg/errors"
 )
 
-// Outcome is how a request ended.
+// Outcome is the final result of a request.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
-	// Complete says that the request ran and its whole answer is known.
+	// Complete means that the request has run and its complete answer is known.
 	Complete Outcome = iota + 1
-	// NotRun says that the request did not run and never will under its ticket.
+	// NotRun means that the request has not run and never will under its ticket.
 	NotRun
-	// Unknown says that the request may have run. It claims nothing else.
+	// Unknown means that the request may have run.
 	Unknown
 )
 
@@ -57,43 +57,44 @@
 	Answer  Answer
 }
 
-// Verdict tells what to do with a request that arrived under a ticket.
+// Verdict says what to do with a request that arrived under a ticket.
 type Verdict uint8
 
 // Verdicts of Window.Admit.
 const (
-	// Admitted says that the request is now queued and may be started.
+	// Admitted means that the request is now queued and may be started.
 	Admitted Verdict = iota + 1
-	// Joined says that the same request is queued or running already: its one
-	// outcome is also this request's.
+	// Joined means that the same request is already queued or running. This one gets
+	// the same outcome.
 	Joined
-	// Settled says that the outcome is known; it comes along.
+	// Settled means that the outcome is known; Admit returns it as the Result.
 	Settled
-	// Mismatch says that the ticket belongs to another request. This one did
-	// not run and never will under this ticket.
+	// Mismatch means that the ticket was used for another request. This one has not run
+	// and never will under this ticket.
 	Mismatch
 )
 
 // Errors of New.
 var (
-	errEntries = errors.New("ticket: the window needs at least one entry")
-	errBytes   = errors.New("ticket: the window's byte bound must not be negative")
-	errSpan    = errors.New("ticket: the window needs a span of at least one ticket")
+	errEntries = errors.New("ticket: the window's bound of entries must be at least 1")
+	errBytes   = errors.New("ticket: the window's bound of bytes must not be negative")
+	errSpan    = errors.New("ticket: the window's span must be at least 1")
 )
 
-// Bounds limit what a window keeps.
+// Bounds limit the memory of a window.
 type Bounds struct {
-	// Entries bounds queued, running and recorded requests together.
+	// Entries bounds the number of queued, running and recorded requests together.
 	Entries int
-	// Bytes bounds the recorded answers; a larger answer is not recorded.
+	// Bytes bounds the total size of the recorded answers. A single answer beyond
+	// it isn't recorded.
 	Bytes int
-	// Span is the number of issued tickets, newest first, of which the window
-	// knows whether they were used. It costs two bits each.
+	// Span is the number of latest issued tickets for which the window knows
+	// whether they were used. Each takes two bits.
 	Span int
 }
 
-// DefaultBounds keep some minutes of answers of one upstream: 4,096 answers in
-// at most 8 MiB, and two million issued tickets in 512 KiB.
+// DefaultBounds suffice for the answers of one upstream over some minutes: 4,096
+// answers in at most 8 MiB, and two million issued tickets in 512 KiB.
 var DefaultBounds = Bounds{Entries: 4096, Bytes: 8 << 20, Span: 1 << 21}
 
 type state uint8
@@ -112,8 +113,9 @@
 	answer   Answer
 }
 
-// Window holds the state of every ticket that one incarnation has issued. Each
-// method is one step: its caller serialises them. Times are the home's own.
+// Window holds the state of every ticket that one incarnation has issued. Each method
+// is one atomic step. A Window isn't safe for concurrent use. Times are compared with
+// the home's own clock only.
 type Window struct {
 	bounds  Bounds
 	ledger  ledger
@@ -136,13 +138,13 @@
 	return &Window{bounds: b, ledger: newLedger(b.Span), entries: map[uint64]*entry{}, order: list.New()}, nil
 }
 
-// Issue returns the nonce of a fresh ticket.
+// Issue returns the nonce of a new ticket.
 func (w *Window) Issue() uint64 {
 	return w.ledger.issue()
 }
 
-// Admit takes in a request under a ticket that this incarnation issued. The
-// result is meaningful for Settled only.
+// Admit handles a request under a ticket that this incarnation issued. The Result is
+// set with Settled only.
 func (w *Window) Admit(nonce uint64, digest Digest, deadline time.Time) (Verdict, Result) {
 	if e := w.entries[nonce]; e != nil {
 		return e.rejoin(digest)
@@ -168,8 +170,8 @@
 	}
 }
 
-// enqueue admits a first use. In a closed window, or with no room even after
-// forgetting the oldest record, the request is refused for good.
+// enqueue admits the first use of a ticket. If the window is closed, or is full of
+// queued and running requests, it voids the ticket instead.
 func (w *Window) enqueue(nonce uint64, digest Digest, deadline time.Time) (Verdict, Result) {
 	if !w.closed && len(w.entries) >= w.bounds.Entries {
 		w.evictOldest()
@@ -183,9 +185,9 @@
 	return Admitted, Result{}
 }
 
-// Start moves a queued request to running and reports whether it may run. A
-// request whose deadline is past is voided in the same step, so a process that
-// was paused does not run what its caller no longer waits for.
+// Start changes a queued request to running and reports whether it may run. If the
+// deadline has passed, it voids the ticket in the same step. So a process that was
+// paused doesn't run a request that its caller has stopped waiting for.
 func (w *Window) Start(nonce uint64, now time.Time) bool {
 	e := w.entries[nonce]
 	if e == nil || e.state != queued {
@@ -199,8 +201,8 @@
 	return true
 }
 
-// Void removes a queued or unused ticket for good and reports whether the
-// ticket is known never to have run: only then may a caller be told so.
+// Void voids a queued or unused ticket. It reports whether the ticket definitely has
+// not run and never will; only then may a caller get the outcome "not run".
 func (w *Window) Void(nonce uint64) bool {
 	if e := w.entries[nonce]; e != nil {
 		if e.state != queued {
@@ -215,8 +217,8 @@
 	return w.ledger.get(nonce) == markVoided
 }
 
-// Finish records how a running request ended. NotRun is for a request that the
-// upstream surely never saw.
+// Finish records the result of a running request. NotRun is only allowed if the request
+// definitely didn't reach the upstream.
 func (w *Window) Finish(nonce uint64, r Result) {
 	e := w.entries[nonce]
 	if e == nil || e.state != running {
@@ -239,7 +241,8 @@
 	w.bytes += size
 }
 
-// evictOldest gives up the oldest record: its ticket is spent from now on.
+// evictOldest removes the oldest recorded answer. Its ticket counts as spent
+// afterwards.
 func (w *Window) evictOldest() {
 	oldest := w.order.Front()
 	if oldest == nil {
@@ -255,15 +258,16 @@
 	w.ledger.set(e.nonce, m)
 }
 
-// Usage is what a window holds at one moment.
+// Usage describes the present content of a window.
 type Usage struct {
 	Entries int
 	Bytes   int
-	// Forgotten is the number of issued tickets below the low-water mark.
+	// Forgotten is the number of issued tickets below the low-water mark, for which
+	// the window no longer stores whether they were used.
 	Forgotten uint64
 }
 
-// Usage returns what the window holds.
+// Usage returns the present content of the window.
 func (w *Window) Usage() Usage {
 	return Usage{Entries: len(w.entries), Bytes: w.bytes, Forgotten: w.ledger.low}
 }
--- a/internal/ticket/window_test.go
+++ b/internal/ticket/window_test.go
@@ -11,22 +11,22 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// history is what really happened under one nonce, and what was told.
+// history records what happened under one nonce and which outcomes were reported.
 type history struct {
 	runs     int
 	admitted bool
-	body     Digest // of the run
+	body     Digest // of the admitted request
 	answer   string
 	finish   bool
 	unknown  bool // the run ended without an answer
 	denied   map[Digest]bool
 }
 
-// recent is the number of tickets on which most steps of a schedule fall.
+// recent is the number of latest tickets that most steps of a schedule use.
 const recent = 2
 
-// schedule drives a window with random steps and checks after each what must
-// hold, whatever the bounds force it to forget.
+// schedule applies random steps to a window. After each step it checks the properties
+// that hold whatever the bounds make the window evict.
 type schedule struct {
 	w         *Window
 	bounds    Bounds
@@ -35,8 +35,9 @@
 	deadlines map[uint64]time.Time
 }
 
-// nonce draws one of the last tickets most times, so that steps meet, or any,
-// or one that was never issued.
+// nonce draws a nonce. Most times it is one of the latest tickets, so that steps
+// concern the same ticket; otherwise it is any nonce, including one that was never
+// issued.
 func (s *schedule) nonce(t *rapid.T) uint64 {
 	first := 0
 	if rapid.IntRange(0, 3).Draw(t, "any") > 0 {
@@ -69,7 +70,7 @@
 	h := s.historyOf(n)
 	switch {
 	case verdict == Admitted && n >= uint64(len(s.histories)):
-		t.Fatalf("a ticket was admitted that was never issued")
+		t.Fatalf("admitted a ticket that was never issued")
 	case verdict == Admitted && h.admitted:
 		t.Fatalf("%d: admitted twice", n)
 	case verdict == Admitted:
@@ -77,14 +78,14 @@
 		s.deadlines[n] = deadline
 		h.body = body
 	case verdict == Mismatch && h.body == body:
-		t.Fatalf("%d: the ticket's own request was refused", n)
+		t.Fatalf("%d: the request that the ticket is bound to was refused as a mismatch", n)
 	case verdict == Joined && h.body != body:
-		t.Fatalf("%d: another request joined", n)
+		t.Fatalf("%d: a request with another digest joined", n)
 	case verdict == Mismatch || verdict == Settled && result.Outcome == NotRun:
 		s.deny(t, n, body)
 	case verdict == Settled && result.Outcome == Complete:
 		if !h.finish || h.body != body || string(result.Answer.Body) != h.answer {
-			t.Fatalf("%d: replayed %q, recorded was %q", n, result.Answer.Body, h.answer)
+			t.Fatalf("%d: replayed %q, want the recorded %q", n, result.Answer.Body, h.answer)
 		}
 	}
 }
@@ -92,7 +93,7 @@
 func (s *schedule) deny(t *rapid.T, n uint64, body Digest) {
 	h := s.historyOf(n)
 	if h.runs > 0 && h.body == body {
-		t.Fatalf("%d: told not run, but it ran", n)
+		t.Fatalf("%d: reported as not run, but it ran", n)
 	}
 	h.denied[body] = true
 }
@@ -109,7 +110,7 @@
 	case h.runs > 1:
 		t.Fatalf("%d: ran twice", n)
 	case h.denied[h.body]:
-		t.Fatalf("%d: ran after a not run", n)
+		t.Fatalf("%d: ran after it was reported as not run", n)
 	case !s.now.Before(s.deadlines[n]):
 		t.Fatalf("%d: started after its deadline", n)
 	}
@@ -140,8 +141,8 @@
 	s.w.Finish(n, Result{Outcome: Complete, Answer: Answer{Status: 200, Body: []byte(h.answer)}})
 }
 
-// use takes a ticket from its admission to its end, so that bounds are met
-// often.
+// use takes a ticket from its admission to its end in one step, so that the window
+// often reaches its bounds.
 func (s *schedule) use(t *rapid.T) {
 	n := s.nonce(t)
 	s.admitAt(t, n)
@@ -149,7 +150,7 @@
 	s.finishAt(t, n)
 }
 
-// useFresh does so with a ticket that was never used.
+// useFresh does the same as use with a new ticket.
 func (s *schedule) useFresh(t *rapid.T) {
 	s.issue(t)
 	n := uint64(len(s.histories) - 1)
@@ -161,7 +162,7 @@
 func (s *schedule) check(t *rapid.T) {
 	u := s.w.Usage()
 	if u.Entries > s.bounds.Entries || u.Bytes > s.bounds.Bytes {
-		t.Fatalf("holds %+v beyond %+v", u, s.bounds)
+		t.Fatalf("window holds %+v, bounds are %+v", u, s.bounds)
 	}
 }
 
@@ -193,11 +194,11 @@
 	})
 }
 
-// close ends the window and checks its last word against what happened, and
-// against what it still lets happen.
+// close closes the window and checks its closing against the recorded histories, and
+// that no request is admitted or started afterwards.
 func (s *schedule) close(t *rapid.T) {
 	if _, ok := s.w.Closing(); ok {
-		t.Fatalf("an open window gave its last word")
+		t.Fatalf("an open window returned a closing")
 	}
 	s.w.Close()
 	closing, _ := s.w.Closing()
@@ -242,7 +243,7 @@
 	return w
 }
 
-// run takes a fresh ticket to a recorded answer.
+// run takes a new ticket to a recorded answer.
 func run(g *WithT, w *Window, answer string) uint64 {
 	n := w.Issue()
 	verdict, _ := w.Admit(n, Digest{}, epoch.Add(time.Second))
