--- a/internal/dispatch/flows.go
+++ b/internal/dispatch/flows.go
@@ -4,11 +4,12 @@
 
 const (
 	// flowStep is the change of the number of connections that is worth an announcement
-	// to siblings, and the least difference that moves a new flow to a sibling.
+	// to siblings. It is also the least difference at which a new flow goes to a
+	// sibling.
 	flowStep = 16
-	// flowMargin is the fraction of the sibling's connections by which the difference
-	// must exceed it as well, because the known numbers of siblings are always somewhat
-	// outdated.
+	// flowMargin is the least difference as a fraction of the sibling's connections;
+	// the larger of flowStep and this share applies. It makes up for the known numbers
+	// of siblings, which are always somewhat outdated.
 	flowMargin = 0.1
 )
 
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -45,9 +45,9 @@
 	out      []Action
 }
 
-// New returns the scheduler of an agent with an idle upstream. Sequence numbers of
-// standings start at the epoch. The epoch must increase with each start of the agent,
-// because siblings ignore standings with a lower number than the last one.
+// New returns the scheduler of an agent with an idle upstream. The sequence numbers of
+// its standings start at the epoch. The epoch must increase with each start of the
+// agent, because siblings ignore a standing whose number isn't above the last one.
 func New(limits Limits, epoch uint64, rng *rand.Rand, options Options) *Scheduler {
 	return &Scheduler{
 		limits:   limits,
