--- a/internal/ticket/window.go
+++ b/internal/ticket/window.go
@@ -20,7 +20,7 @@
 	Unknown
 )
 
-// String returns the outcome's name as it stands in an HTTP header.
+// String returns the outcome's name as it is written in the HTTP header.
 func (o Outcome) String() string {
 	switch o {
 	case Complete:
@@ -32,7 +32,7 @@
 	}
 }
 
-// Answer is an upstream's whole answer.
+// Answer is the complete answer of an upstream.
 type Answer struct {
 	Status int
 	Header map[string][]string
@@ -51,7 +51,7 @@
 	return n
 }
 
-// Result is an outcome with the answer of a complete one.
+// Result is an outcome and, with Complete, the answer.
 type Result struct {
 	Outcome Outcome
 	Answer  Answer
@@ -114,8 +114,8 @@
 }
 
 // Window holds the state of every ticket that one incarnation has issued. Each method
-// is one atomic step. A Window isn't safe for concurrent use. Times are compared with
-// the home's own clock only.
+// is one complete step, and the owner of the window must serialise the calls. Times are
+// compared with the home's own clock only.
 type Window struct {
 	bounds  Bounds
 	ledger  ledger
@@ -170,8 +170,9 @@
 	}
 }
 
-// enqueue admits the first use of a ticket. If the window is closed, or is full of
-// queued and running requests, it voids the ticket instead.
+// enqueue admits the first use of a ticket, and evicts the oldest recorded answer if
+// the window is full. If the window is closed, or full of queued and running requests,
+// it voids the ticket instead.
 func (w *Window) enqueue(nonce uint64, digest Digest, deadline time.Time) (Verdict, Result) {
 	if !w.closed && len(w.entries) >= w.bounds.Entries {
 		w.evictOldest()
