--- a/internal/request/ticketed.go
+++ b/internal/request/ticketed.go
@@ -133,8 +133,8 @@
 	return h.runAndRecord(ctx, id, j)
 }
 
-// void voids the ticket of a job that was refused. The job isn't queued any more, and
-// only this call could have started it.
+// void ends a job that was refused, and voids its ticket. The job can't have run: it
+// isn't queued any more, and only this call could have started it.
 func (h *Handler) void(id TicketID, r dispatch.Refuse) jobResult {
 	if !h.o.Tickets.Void(id) {
 		return jobResult{answer: Unknown(string(r.Reason))}
--- a/internal/request/tickets.go
+++ b/internal/request/tickets.go
@@ -34,15 +34,15 @@
 	// Leave records that one caller with VerdictRun or VerdictWait doesn't wait any
 	// more. A queued request without waiting callers is voided.
 	Leave(id TicketID)
-	// Forward has the home agent at the control address decide and answer. An
-	// error means that the outcome is unknown.
+	// Forward sends the call to the home agent at the control address, which
+	// decides and answers. An error means that the outcome is unknown.
 	Forward(ctx context.Context, home netip.AddrPort, ticket string, call *Call) (*Answer, error)
 }
 
-// HomeRunner is the handler as the home's net/rpc service sees it: it presents
-// a passed ticket to Begin and, on VerdictRun, dispatches the call here.
+// HomeRunner is the part of the Handler that the net/rpc service of package home uses.
 type HomeRunner interface {
-	// RunForwarded answers a call that another agent passed to this home. It
-	// doesn't pass it on.
+	// RunForwarded answers a call that another agent forwarded to this agent as
+	// the home of the ticket. It presents the ticket to Begin, runs the call on
+	// VerdictRun, and never forwards it further.
 	RunForwarded(ctx context.Context, ticket string, call *Call) *Answer
 }
