--- a/internal/home/closing.go
+++ b/internal/home/closing.go
@@ -16,8 +16,8 @@
 // maxClosings bounds the closings that a process holds; the oldest goes first.
 const maxClosings = 32
 
-// handOnTimeout bounds the last word of a process that stops.
-const handOnTimeout = 2 * time.Second
+// inheritTimeout bounds the last word of a process that stops.
+const inheritTimeout = 2 * time.Second
 
 // closings are the last words of homes that stopped in good order. A process
 // that stops hands them on with its own, so that they outlive a restart of all
@@ -85,28 +85,28 @@
 	h.mu.Unlock()
 	own.Home, own.Incarnation = h.o.Self.Control, h.o.Self.Incarnation
 	h.closings.add(own)
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOnTimeout)
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), inheritTimeout)
 	defer cancel()
-	h.handOn(bounded)
+	h.sendClosings(bounded)
 }
 
 // whenIdle returns a channel that is closed when no ticket is running.
 func (h *Home) whenIdle() <-chan struct{} {
 	idle := make(chan struct{})
 	h.idle = idle
-	h.tellIdle() // sets h.idle to nil if there is nothing to wait for
+	h.signalIdle() // sets h.idle to nil if there is nothing to wait for
 	return idle
 }
 
-func (h *Home) tellIdle() {
+func (h *Home) signalIdle() {
 	if h.idle != nil && len(h.runs) == 0 {
 		close(h.idle)
 		h.idle = nil
 	}
 }
 
-// handOn gives all closings to each sibling.
-func (h *Home) handOn(ctx context.Context) {
+// sendClosings gives all closings to each sibling.
+func (h *Home) sendClosings(ctx context.Context) {
 	snapshot := h.o.Source.Snapshot()
 	if snapshot == nil {
 		return
@@ -116,13 +116,13 @@
 		if m.Control == h.o.Self.Control || m.Service != h.o.Self.Service {
 			continue
 		}
-		calls.Go(func() { h.handTo(ctx, m.Control) })
+		calls.Go(func() { h.sendClosingsTo(ctx, m.Control) })
 	}
 	calls.Wait()
 }
 
-// handTo gives one closing at a time, to stay within the bound of a message.
-func (h *Home) handTo(ctx context.Context, sibling netip.AddrPort) {
+// sendClosingsTo gives one closing at a time, to stay within the bound of a message.
+func (h *Home) sendClosingsTo(ctx context.Context, sibling netip.AddrPort) {
 	for _, closing := range h.closings.all() {
 		args := &InheritArgs{Service: h.o.Self.Service, Closing: closing}
 		if err := h.o.Caller.Call(ctx, sibling, methodInherit, args, &InheritReply{}); err != nil {
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// closed is the decision about a ticket whose home has stopped in good order.
-func closed(o ticket.Outcome) request.Decision {
+// afterClose is the decision about a ticket whose home has stopped in good order.
+func afterClose(o ticket.Outcome) request.Decision {
 	return settled(ticket.Result{Outcome: o})
 }
--- a/internal/home/faults_test.go
+++ b/internal/home/faults_test.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// brief is the deadline where a test waits for it to pass.
-	brief = 1500 * time.Millisecond
-	// long is the deadline where an outcome must come without it.
-	long = 10 * time.Minute
-	// aWhile is how long a test watches that something doesn't happen; a longer
+	// shortDeadline is the deadline where a test waits for it to pass.
+	shortDeadline = 1500 * time.Millisecond
+	// longDeadline is the deadline where an outcome must come without it.
+	longDeadline = 10 * time.Minute
+	// observationTime is how long a test watches that something doesn't happen; a longer
 	// time finds more faults, none makes a sound program fail.
-	aWhile = 300 * time.Millisecond
+	observationTime = 300 * time.Millisecond
 	// newTickets is how many tickets a restarted home issues before it meets an
 	// old one, so that the old one's nonce is among them.
 	newTickets = 8
-	// fleetsAtOnce is how many fleets of four processes run side by side.
-	fleetsAtOnce = 3
+	// maxParallelFleets is how many fleets of four processes run side by side.
+	maxParallelFleets = 3
 )
 
-var turn = make(chan struct{}, fleetsAtOnce)
+var fleetSlots = make(chan struct{}, maxParallelFleets)
 
-// takeTurn bounds the processes that tests start side by side.
-func takeTurn(t *testing.T) {
+// acquireFleetSlot bounds the processes that tests start side by side.
+func acquireFleetSlot(t *testing.T) {
 	t.Parallel()
-	turn <- struct{}{}
-	t.Cleanup(func() { <-turn })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 }
 
 // step is a moment in the life of a request that is passed to its home.
@@ -42,40 +42,40 @@
 	body string
 	// reach sends the request through the first agent and returns when it has
 	// come so far; before is called where the fault has to precede it.
-	reach func(f *fleet, body string, before func()) <-chan told
+	reach func(f *fleet, body string, before func()) <-chan reply
 }
 
 var steps = []step{
-	{"on its way", "victim", func(f *fleet, body string, before func()) <-chan told {
+	{"on its way", "victim", func(f *fleet, body string, before func()) <-chan reply {
 		before()
 		return f.others[0].send(f.ticket, body)
 	}},
-	{"queued", "victim", func(f *fleet, body string, before func()) <-chan told {
+	{"queued", "victim", func(f *fleet, body string, before func()) <-chan reply {
 		blocker := f.result(f.home.send("", "nothing")).Ticket
 		f.home.send(blocker, hold+"blocker")
 		f.running(hold + "blocker")
 		attempt := f.others[0].send(f.ticket, body)
-		f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_entries") }, patience).Should(Equal("3"))
+		f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_entries") }, waitTimeout).Should(Equal("3"))
 		before()
 		return attempt
 	}},
-	{"running", hold + "victim", func(f *fleet, body string, before func()) <-chan told {
+	{"running", hold + "victim", func(f *fleet, body string, before func()) <-chan reply {
 		attempt := f.others[0].send(f.ticket, body)
 		f.running(body)
 		before()
 		return attempt
 	}},
-	{"answered", hold + "victim", func(f *fleet, body string, before func()) <-chan told {
+	{"answered", hold + "victim", func(f *fleet, body string, before func()) <-chan reply {
 		attempt := f.others[0].send(f.ticket, body)
 		f.running(body)
-		f.toxic("downstream")
+		f.blackhole("downstream")
 		recorded := f.home.metric("saltbend_ticket_window_bytes")
 		f.upstream.release(body)
-		f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_bytes") }, patience).ShouldNot(Equal(recorded))
+		f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_bytes") }, waitTimeout).ShouldNot(Equal(recorded))
 		before()
 		return attempt
 	}},
-	{"recorded", "victim", func(f *fleet, body string, before func()) <-chan told {
+	{"recorded", "victim", func(f *fleet, body string, before func()) <-chan reply {
 		attempt := f.others[0].send(f.ticket, body)
 		f.Expect(f.outcome(attempt)).To(Equal(request.OutcomeComplete))
 		before()
@@ -87,14 +87,14 @@
 type fault struct {
 	name     string
 	deadline time.Duration
-	strike   func(f *fleet)
+	inject   func(f *fleet)
 	// recover ends the fault and returns the agent at which the caller tries
 	// for the last time.
 	recover func(f *fleet, victim string) *node
 }
 
 var faults = []fault{
-	{"killed and restarted", long, func(f *fleet) { f.home.kill() }, func(f *fleet, victim string) *node {
+	{"killed and restarted", longDeadline, func(f *fleet) { f.home.kill() }, func(f *fleet, victim string) *node {
 		f.home = startNode(f.t, f.home.Peer) // a new incarnation at the old address
 		f.start(f.home, f.control)
 		for range newTickets {
@@ -103,28 +103,28 @@
 		f.Expect(f.outcome(f.others[1].send(f.ticket, victim))).To(Equal(request.OutcomeUnknown))
 		return f.home
 	}},
-	{"frozen past the deadline", brief, func(f *fleet) { f.home.freeze() }, func(f *fleet, _ string) *node {
+	{"frozen past the deadline", shortDeadline, func(f *fleet) { f.home.freeze() }, func(f *fleet, _ string) *node {
 		f.home.signal(syscall.SIGCONT)
 		return f.home
 	}},
-	{"cut off", long, func(f *fleet) { f.proxy.Stop() }, func(f *fleet, _ string) *node { return f.home }},
-	{"cut off in silence", brief, func(f *fleet) {
-		f.toxic("upstream")
+	{"cut off", longDeadline, func(f *fleet) { f.proxy.Stop() }, func(f *fleet, _ string) *node { return f.home }},
+	{"cut off in silence", shortDeadline, func(f *fleet) {
+		f.blackhole("upstream")
 		if f.proxy.Toxics.GetToxic("downstream") == nil {
-			f.toxic("downstream")
+			f.blackhole("downstream")
 		}
 	}, func(f *fleet, _ string) *node { return f.home }},
 }
 
 // The caller of a request whose home fails at any step tries again elsewhere,
 // and once more when the fault is over.
-func TestHomeFailsAtEveryStep(t *testing.T) {
+func TestNoRequestRunsTwiceWhenHomeFails(t *testing.T) {
 	for _, fault := range faults {
 		for _, step := range steps {
 			t.Run(fault.name+"/"+step.name, func(t *testing.T) {
-				takeTurn(t)
+				acquireFleetSlot(t)
 				f := startFleet(t, fault.deadline)
-				attempt := step.reach(f, step.body, func() { fault.strike(f) })
+				attempt := step.reach(f, step.body, func() { fault.inject(f) })
 				if attempt != nil {
 					f.Expect(f.outcome(attempt)).To(Equal(request.OutcomeUnknown))
 				}
@@ -133,8 +133,8 @@
 				last := agent.send(f.ticket, step.body)
 				f.upstream.release(hold + "blocker")
 				f.upstream.release(step.body)
-				f.Expect(f.outcome(last)).To(BeElementOf(lastOutcomes(fault.name, step.name)), "%+v", f.told)
-				f.fence(f.home)
+				f.Expect(f.outcome(last)).To(BeElementOf(lastOutcomes(fault.name, step.name)), "%+v", f.responses)
+				f.waitUntilIdle(f.home)
 				f.check(step.body)
 			})
 		}
@@ -156,8 +156,8 @@
 }
 
 func TestUpstreamCrashesMidRun(t *testing.T) {
-	takeTurn(t)
-	f := startFleet(t, long)
+	acquireFleetSlot(t)
+	f := startFleet(t, longDeadline)
 	body := crash + "victim"
 	passed := f.others[0].send(f.ticket, body)
 	f.running(body)
@@ -166,13 +166,13 @@
 	f.Expect(f.outcome(passed)).To(Equal(request.OutcomeUnknown))
 	f.Expect(f.outcome(joined)).To(Equal(request.OutcomeUnknown))
 	f.Expect(f.outcome(f.others[1].send(f.ticket, body))).To(Equal(request.OutcomeUnknown))
-	f.fence(f.home)
+	f.waitUntilIdle(f.home)
 	f.Expect(f.upstream.ran(body)).To(Equal(1))
 }
 
 func TestCallersOfOneTicketGetOneAnswer(t *testing.T) {
-	takeTurn(t)
-	f := startFleet(t, long)
+	acquireFleetSlot(t)
+	f := startFleet(t, longDeadline)
 	body := hold + "victim"
 	first := f.others[0].send(f.ticket, body)
 	f.running(body)
@@ -181,7 +181,7 @@
 	f.Expect(other.Outcome).To(Equal(request.OutcomeNotRun))
 	f.Expect(other.Status).To(Equal(http.StatusUnprocessableEntity))
 	f.upstream.release(body)
-	for _, attempt := range []<-chan told{first, second, third, f.others[1].send(f.ticket, body)} {
+	for _, attempt := range []<-chan reply{first, second, third, f.others[1].send(f.ticket, body)} {
 		f.Expect(f.outcome(attempt)).To(Equal(request.OutcomeComplete))
 	}
 	f.check(body)
@@ -190,15 +190,15 @@
 
 // A home that doesn't answer is given up as soon as the member list says that
 // it is gone.
-func TestMemberListEndsTheWaitForAHome(t *testing.T) {
+func TestForwardFailsWhenHomeLeavesMemberList(t *testing.T) {
 	for name, after := range map[string][]member.Member{
 		"vanished": nil,
 		"replaced": {{Incarnation: ^uint64(0)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			takeTurn(t)
-			f := startFleet(t, long)
-			f.tellMembers(member.Member{Control: f.control, Incarnation: f.incarnation()})
+			acquireFleetSlot(t)
+			f := startFleet(t, longDeadline)
+			f.setMembers(member.Member{Control: f.control, Incarnation: f.incarnation()})
 			body := hold + "victim"
 			attempt := f.others[0].send(f.ticket, body)
 			f.running(body)
@@ -206,7 +206,7 @@
 			for i := range after {
 				after[i].Control = f.control
 			}
-			f.tellMembers(after...)
+			f.setMembers(after...)
 			f.Expect(f.outcome(attempt)).To(Equal(request.OutcomeUnknown))
 		})
 	}
@@ -214,62 +214,62 @@
 
 // A home that stops in good order lets running requests end, and leaves word
 // of which tickets may have run; the word outlives those that heard it.
-func TestHomeStopsInGoodOrder(t *testing.T) {
-	takeTurn(t)
-	f := startFleet(t, long)
+func TestOutcomesStayKnownAfterGracefulStop(t *testing.T) {
+	acquireFleetSlot(t)
+	f := startFleet(t, longDeadline)
 	unused := f.ticket
 	recorded := f.result(f.home.send("", "nothing")).Ticket
 	f.Expect(f.result(f.others[0].send(recorded, "recorded")).Outcome).To(Equal(request.OutcomeComplete))
 	running := f.result(f.home.send("", "nothing")).Ticket
 	last := f.others[0].send(running, hold+"last")
 	f.running(hold + "last")
-	f.home.tell(membersPath, f.siblings())
+	f.home.post(membersPath, f.siblings())
 
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		f.home.tell(closePath, nil)
+		f.home.post(closePath, nil)
 	}()
-	f.Eventually(func() string { return f.result(f.home.send("", "nothing")).Ticket }, patience).Should(BeEmpty())
+	f.Eventually(func() string { return f.result(f.home.send("", "nothing")).Ticket }, waitTimeout).Should(BeEmpty())
 	f.Expect(f.result(f.home.send(unused, "victim")).Outcome).To(Equal(request.OutcomeNotRun))
-	f.Consistently(closed, aWhile).ShouldNot(BeClosed()) // it waits for the last request
+	f.Consistently(closed, observationTime).ShouldNot(BeClosed()) // it waits for the last request
 	f.upstream.release(hold + "last")
 	f.Expect(f.result(last).Outcome).To(Equal(request.OutcomeComplete))
-	f.Eventually(closed, patience).Should(BeClosed())
+	f.Eventually(closed, waitTimeout).Should(BeClosed())
 	f.home.kill()
 
-	expectWord := func(n *node) {
+	expectOutcomes := func(n *node) {
 		f.Expect(f.result(n.send(unused, "victim")).Outcome).To(Equal(request.OutcomeNotRun))
 		f.Expect(f.result(n.send(recorded, "recorded")).Outcome).To(Equal(request.OutcomeUnknown))
 		f.Expect(f.result(n.send(running, hold+"last")).Outcome).To(Equal(request.OutcomeUnknown))
 	}
-	expectWord(f.others[0])
+	expectOutcomes(f.others[0])
 	f.home = startNode(t, f.home.Peer)
 	f.start(f.home, f.control)
-	f.others[1].tell(membersPath, []member.Member{{Control: f.control, Service: testService}})
-	f.others[1].tell(closePath, nil)
+	f.others[1].post(membersPath, []member.Member{{Control: f.control, Service: testService}})
+	f.others[1].post(closePath, nil)
 	for _, n := range f.others {
 		n.kill()
 	}
-	expectWord(f.home)
+	expectOutcomes(f.home)
 	f.Expect(f.upstream.ran("victim")).To(BeZero())
 	f.Expect(f.upstream.ran("recorded")).To(Equal(1))
 }
 
 // A caller that leaves takes its queued request with it, unless another
 // attempt waits for it.
-func TestQueuedRequestEndsWithItsLastCaller(t *testing.T) {
-	takeTurn(t)
-	f := startFleet(t, long)
+func TestQueuedRequestIsVoidedWhenItsLastCallerLeaves(t *testing.T) {
+	acquireFleetSlot(t)
+	f := startFleet(t, longDeadline)
 	blocker := f.result(f.home.send("", "nothing")).Ticket
 	f.home.send(blocker, hold+"blocker")
 	f.running(hold + "blocker")
 	leave := f.others[0].sendAndLeave(f.ticket, "victim")
-	f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_entries") }, patience).Should(Equal("3"))
+	f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_entries") }, waitTimeout).Should(Equal("3"))
 	leave()
-	f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_entries") }, patience).Should(Equal("2"))
+	f.Eventually(func() string { return f.home.metric("saltbend_ticket_window_entries") }, waitTimeout).Should(Equal("2"))
 	f.Expect(f.outcome(f.others[1].send(f.ticket, "victim"))).To(Equal(request.OutcomeNotRun))
 	f.upstream.release(hold + "blocker")
-	f.fence(f.home)
+	f.waitUntilIdle(f.home)
 	f.Expect(f.upstream.ran("victim")).To(BeZero())
 }
--- a/internal/home/fleet_test.go
+++ b/internal/home/fleet_test.go
@@ -22,8 +22,8 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// patience bounds each wait; no test depends on how long one takes.
-const patience = 40 * time.Second
+// waitTimeout bounds each wait; no test depends on how long one takes.
+const waitTimeout = 40 * time.Second
 
 // Bodies that start with hold stay at the upstream until the test releases
 // them, those that start with crash break their connection then.
@@ -107,22 +107,22 @@
 // fleet is a home behind a fault-injecting proxy and two other agents.
 type fleet struct {
 	*WithT
-	t        *testing.T
-	upstream *upstreamServer
-	deadline time.Duration
-	proxy    *toxiproxy.Proxy
-	control  netip.AddrPort // the proxy's address: the home's to all others
-	home     *node
-	others   [2]*node
-	ticket   string // unused, of the home
-	told     []told // under the ticket
+	t         *testing.T
+	upstream  *upstreamServer
+	deadline  time.Duration
+	proxy     *toxiproxy.Proxy
+	control   netip.AddrPort // the proxy's address: the home's to all others
+	home      *node
+	others    [2]*node
+	ticket    string  // unused, of the home
+	responses []reply // under the ticket
 }
 
-var quiet sync.Once
+var silenceLogrus sync.Once
 
 func startFleet(t *testing.T, deadline time.Duration) *fleet {
 	t.Helper()
-	quiet.Do(func() { logrus.SetOutput(io.Discard) })
+	silenceLogrus.Do(func() { logrus.SetOutput(io.Discard) })
 	f := &fleet{WithT: NewWithT(t), t: t, upstream: startUpstream(t), deadline: deadline, home: startNode(t, anyPort)}
 	f.proxy = toxiproxy.NewProxy()
 	f.proxy.Name, f.proxy.Listen, f.proxy.Upstream = "home", "127.0.0.1:0", f.home.Peer
@@ -145,56 +145,56 @@
 
 func (f *fleet) start(n *node, control netip.AddrPort) {
 	f.t.Helper()
-	n.tell(startPath, start{Control: control, Upstream: f.upstream.URL, Deadline: f.deadline})
+	n.post(startPath, start{Control: control, Upstream: f.upstream.URL, Deadline: f.deadline})
 }
 
 // result waits for what an attempt was told.
-func (f *fleet) result(attempt <-chan told) told {
+func (f *fleet) result(attempt <-chan reply) reply {
 	f.t.Helper()
-	var r told
-	f.Eventually(attempt, patience).Should(Receive(&r))
+	var r reply
+	f.Eventually(attempt, waitTimeout).Should(Receive(&r))
 	return r
 }
 
 // outcome is result for an attempt under the fleet's ticket.
-func (f *fleet) outcome(attempt <-chan told) request.Outcome {
+func (f *fleet) outcome(attempt <-chan reply) request.Outcome {
 	f.t.Helper()
 	r := f.result(attempt)
-	f.told = append(f.told, r)
+	f.responses = append(f.responses, r)
 	return r.Outcome
 }
 
 func (f *fleet) running(body string) {
 	f.t.Helper()
-	f.Eventually(func() int { return f.upstream.ran(body) }, patience).Should(Equal(1))
+	f.Eventually(func() int { return f.upstream.ran(body) }, waitTimeout).Should(Equal(1))
 }
 
-// fence returns when all that was queued at n before has ended: there is one
+// waitUntilIdle returns when all that was queued at n before has ended: there is one
 // slot, and the queue's order is that of arrival.
-func (f *fleet) fence(n *node) {
+func (f *fleet) waitUntilIdle(n *node) {
 	f.t.Helper()
 	f.Eventually(func() request.Outcome {
 		ticket := f.result(n.send("", "nothing")).Ticket
 		return f.result(n.send(ticket, "fence")).Outcome
-	}, patience).Should(Equal(request.OutcomeComplete))
+	}, waitTimeout).Should(Equal(request.OutcomeComplete))
 }
 
 // check compares what callers were told with what the upstream ran.
 func (f *fleet) check(body string) {
 	f.t.Helper()
 	runs := f.upstream.ran(body)
-	f.Expect(runs).To(BeNumerically("<=", 1), "%s ran twice; told: %+v", body, f.told)
-	for _, r := range f.told {
+	f.Expect(runs).To(BeNumerically("<=", 1), "%s ran twice; told: %+v", body, f.responses)
+	for _, r := range f.responses {
 		switch r.Outcome {
 		case request.OutcomeNotRun:
-			f.Expect(runs).To(BeZero(), "told not run, but it ran: %+v", f.told)
+			f.Expect(runs).To(BeZero(), "told not run, but it ran: %+v", f.responses)
 		case request.OutcomeComplete:
 			f.Expect(r.Body).To(Equal("run 1 of " + body))
 		}
 	}
 }
 
-func (f *fleet) toxic(stream string) {
+func (f *fleet) blackhole(stream string) {
 	f.t.Helper()
 	body := fmt.Sprintf(`{"name":%q,"type":"timeout","stream":%q,"attributes":{"timeout":0}}`, stream, stream)
 	_, err := f.proxy.Toxics.AddToxicJson(strings.NewReader(body))
@@ -210,11 +210,11 @@
 	return all
 }
 
-// tellMembers puts a member list in force at the other agents.
-func (f *fleet) tellMembers(members ...member.Member) {
+// setMembers puts a member list in force at the other agents.
+func (f *fleet) setMembers(members ...member.Member) {
 	f.t.Helper()
 	for _, n := range f.others {
-		n.tell(membersPath, members)
+		n.post(membersPath, members)
 	}
 }
 
--- a/internal/home/forward.go
+++ b/internal/home/forward.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// passes is how often a request is sent to its home before the home counts
+	// maxForwards is how often a request is sent to its home before the home counts
 	// as unreachable. The home's window makes repeats harmless.
-	passes = 3
-	// passPause is the time before the second pass; it doubles with each.
-	passPause = 50 * time.Millisecond
+	maxForwards = 3
+	// forwardBackoff is the time before the second pass; it doubles with each.
+	forwardBackoff = 50 * time.Millisecond
 	// probeTimeout bounds the search for a home that no member list names.
 	probeTimeout = time.Second
-	// silentDial is the time of a failed connection attempt from which the
+	// unresponsiveDialTime is the time of a failed connection attempt from which the
 	// home's host counts as silent.
-	silentDial = time.Second
+	unresponsiveDialTime = time.Second
 	// leaveTimeout bounds the message that a caller has left.
 	leaveTimeout = 2 * time.Second
-	// returnTime is kept back from the home's share of the deadline, so that
+	// answerMargin is kept back from the home's share of the deadline, so that
 	// its word arrives before the caller is told "unknown".
-	returnTime = 20 * time.Millisecond
+	answerMargin = 20 * time.Millisecond
 )
 
 // errHomeGone says that the ticket's incarnation has ended.
@@ -43,45 +43,45 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "home: pass")
 	}
-	if standing(h.o.Source.Snapshot(), t) == unlisted {
+	if stateOf(h.o.Source.Snapshot(), t) == unlisted {
 		if err := h.probe(ctx, t); err != nil {
-			h.metrics.passed("unreachable")
+			h.metrics.forwarded("unreachable")
 			return nil, err
 		}
 	}
 	watched, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	go h.watch(watched, t, cancel)
+	go h.cancelWhenGone(watched, t, cancel)
 	args := &RunArgs{Attempt: h.attempt(), Ticket: text, Call: *call}
 	answer, err := h.send(watched, home, args)
 	if err != nil {
-		go h.leave(home, args.Attempt)
+		go h.sendLeave(home, args.Attempt)
 		if o, ok := h.closings.outcome(t); ok && o == ticket.NotRun {
-			h.metrics.passed("closed")
+			h.metrics.forwarded("closed")
 			return notRun(reasonVoided), nil // the home's own word, given in advance
 		}
-		h.metrics.passed("unreachable")
+		h.metrics.forwarded("unreachable")
 		if cause := context.Cause(watched); cause != nil {
 			err = errors.Wrap(cause, err.Error())
 		}
 		return nil, err
 	}
-	h.metrics.passed("answered")
+	h.metrics.forwarded("answered")
 	return answer, nil
 }
 
 // send passes the request until its home answers.
 func (h *Home) send(ctx context.Context, home netip.AddrPort, args *RunArgs) (*request.Answer, error) {
-	pause := passPause
-	for pass := 1; ; pass++ {
-		args.Call.Left = left(ctx, args.Call.Left)
+	pause := forwardBackoff
+	for try := 1; ; try++ {
+		args.Call.Left = homeTimeout(ctx, args.Call.Left)
 		reply := &RunReply{}
 		began := time.Now()
 		err := h.o.Caller.Call(ctx, home, methodRun, args, reply)
 		if err == nil {
 			return &reply.Answer, nil
 		}
-		if pass == passes || ctx.Err() != nil || hopeless(err, time.Since(began)) {
+		if try == maxForwards || ctx.Err() != nil || retryIsPointless(err, time.Since(began)) {
 			return nil, errors.Wrap(err, "home: pass")
 		}
 		select {
@@ -93,25 +93,25 @@
 	}
 }
 
-// hopeless reports whether another pass would end as the one did that took so
+// retryIsPointless reports whether another pass would end as the one did that took so
 // long: the home's process answered with an error, or its host doesn't even
 // refuse connections.
-func hopeless(err error, took time.Duration) bool {
+func retryIsPointless(err error, took time.Duration) bool {
 	var remote rpc.ServerError
 	if errors.As(err, &remote) {
 		return true
 	}
-	return errors.Is(err, peer.ErrUnreachable) && took > silentDial
+	return errors.Is(err, peer.ErrUnreachable) && took > unresponsiveDialTime
 }
 
-// left is the home's share of the time until the deadline of ctx.
-func left(ctx context.Context, otherwise time.Duration) time.Duration {
+// homeTimeout is the home's share of the time until the deadline of ctx.
+func homeTimeout(ctx context.Context, otherwise time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return otherwise
 	}
 	remaining := time.Until(deadline)
-	return remaining - min(returnTime, remaining/2)
+	return remaining - min(answerMargin, remaining/2)
 }
 
 // probe asks a home that no member list names whether it is there.
@@ -128,12 +128,12 @@
 	return nil
 }
 
-// watch ends a pass when the member list says that the home is gone.
-func (h *Home) watch(ctx context.Context, t ticket.Ticket, cancel context.CancelCauseFunc) {
+// cancelWhenGone ends a pass when the member list says that the home is gone.
+func (h *Home) cancelWhenGone(ctx context.Context, t ticket.Ticket, cancel context.CancelCauseFunc) {
 	listed := false
 	for {
 		changed := h.o.Source.Changed()
-		switch standing(h.o.Source.Snapshot(), t) {
+		switch stateOf(h.o.Source.Snapshot(), t) {
 		case present:
 			listed = true
 		case replaced:
@@ -153,8 +153,8 @@
 	}
 }
 
-// leave tells the home that the caller of an attempt no longer waits.
-func (h *Home) leave(home netip.AddrPort, attempt Attempt) {
+// sendLeave tells the home that the caller of an attempt no longer waits.
+func (h *Home) sendLeave(home netip.AddrPort, attempt Attempt) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	args := &LeaveArgs{Attempt: attempt}
@@ -171,19 +171,19 @@
 	}
 }
 
-// whereabouts is what a member list says of a ticket's home.
-type whereabouts uint8
+// homeState is what a member list says of a ticket's home.
+type homeState uint8
 
 const (
 	// unlisted homes are gone, or so young that this process doesn't know them.
-	unlisted whereabouts = iota
+	unlisted homeState = iota
 	// present homes are listed with the ticket's incarnation.
 	present
 	// replaced homes have a later incarnation: the ticket's own is gone.
 	replaced
 )
 
-func standing(s *control.Snapshot, t ticket.Ticket) whereabouts {
+func stateOf(s *control.Snapshot, t ticket.Ticket) homeState {
 	if s == nil {
 		return unlisted
 	}
--- a/internal/home/forward_test.go
+++ b/internal/home/forward_test.go
@@ -41,15 +41,15 @@
 func (s fixedSource) Snapshot() *control.Snapshot { return s.snapshot }
 func (s fixedSource) Changed() <-chan struct{}    { return nil }
 
-func TestPassIsRepeatedOnlyWhereItMayHelp(t *testing.T) {
+func TestForwardIsRetriedOnlyWhenARetryCanSucceed(t *testing.T) {
 	for name, c := range map[string]struct {
 		err    error
 		after  time.Duration
 		passes int
 	}{
-		"refused":     {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("refused")}, 0, passes},
-		"interrupted": {&peer.CallError{Outcome: peer.ErrInterrupted, Cause: errors.New("reset")}, 0, passes},
-		"silent host": {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("timeout")}, silentDial + time.Millisecond, 1},
+		"refused":     {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("refused")}, 0, maxForwards},
+		"interrupted": {&peer.CallError{Outcome: peer.ErrInterrupted, Cause: errors.New("reset")}, 0, maxForwards},
+		"silent host": {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("timeout")}, unresponsiveDialTime + time.Millisecond, 1},
 		"home's word": {rpc.ServerError("no such method"), 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -120,16 +120,16 @@
 	case t.Home == h.o.Self.Control && t.Incarnation == h.o.Self.Incarnation:
 		return h.admit(t.Nonce, digest, deadline)
 	}
-	return h.elsewhere(t)
+	return h.decideForeign(t)
 }
 
-// elsewhere decides about a ticket of another home, or of an earlier
+// decideForeign decides about a ticket of another home, or of an earlier
 // incarnation at this address.
-func (h *Home) elsewhere(t ticket.Ticket) request.Decision {
+func (h *Home) decideForeign(t ticket.Ticket) request.Decision {
 	if outcome, ok := h.closings.outcome(t); ok {
-		return closed(outcome)
+		return afterClose(outcome)
 	}
-	if t.Home == h.o.Self.Control || standing(h.o.Source.Snapshot(), t) == replaced {
+	if t.Home == h.o.Self.Control || stateOf(h.o.Source.Snapshot(), t) == replaced {
 		return request.Decision{Verdict: request.VerdictUnknown}
 	}
 	return request.Decision{Verdict: request.VerdictForward, Home: t.Home}
@@ -223,7 +223,7 @@
 		return
 	}
 	delete(h.runs, nonce)
-	h.tellIdle()
+	h.signalIdle()
 	for _, wait := range r.waits {
 		wait <- answer // has room for the one answer that it gets
 	}
--- a/internal/home/metrics.go
+++ b/internal/home/metrics.go
@@ -26,7 +26,7 @@
 	return &counters{}
 }
 
-// passed counts a request that was passed to its home.
-func (*counters) passed(result string) {
+// forwarded counts a request that was forwarded to its home.
+func (*counters) forwarded(result string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("saltbend_ticket_passes_total{result=%q}", result)).Inc()
 }
--- a/internal/home/node_test.go
+++ b/internal/home/node_test.go
@@ -175,12 +175,12 @@
 	_ = n.process.Wait()
 }
 
-func (n *node) tell(path string, v any) {
+func (n *node) post(path string, v any) {
 	n.t.Helper()
 	g := NewWithT(n.t)
 	body, err := json.Marshal(v)
 	g.Expect(err).NotTo(HaveOccurred())
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: waitTimeout}
 	r, err := client.Post("http://"+n.HTTP+path, "application/json", bytes.NewReader(body))
 	g.Expect(err).NotTo(HaveOccurred())
 	r.Body.Close()
@@ -202,8 +202,8 @@
 	return ""
 }
 
-// told is what a caller learnt from one attempt.
-type told struct {
+// reply is what a caller learnt from one attempt.
+type reply struct {
 	Outcome request.Outcome
 	Status  int
 	Body    string
@@ -212,7 +212,7 @@
 
 // send submits a request and returns what the caller learns; the zero value
 // stands for a connection that broke.
-func (n *node) send(ticket, body string) <-chan told {
+func (n *node) send(ticket, body string) <-chan reply {
 	return n.sendWith(context.Background(), ticket, body)
 }
 
@@ -224,8 +224,8 @@
 	return cancel
 }
 
-func (n *node) sendWith(ctx context.Context, ticket, body string) <-chan told {
-	out := make(chan told, 1)
+func (n *node) sendWith(ctx context.Context, ticket, body string) <-chan reply {
+	out := make(chan reply, 1)
 	go func() {
 		r := must(http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.HTTP+"/answers", strings.NewReader(body)))
 		if ticket != "" {
@@ -233,12 +233,12 @@
 		}
 		response, err := http.DefaultClient.Do(r)
 		if err != nil {
-			out <- told{}
+			out <- reply{}
 			return
 		}
 		defer response.Body.Close()
 		text, _ := io.ReadAll(response.Body)
-		out <- told{
+		out <- reply{
 			Outcome: request.Outcome(response.Header.Get(request.HeaderOutcome)),
 			Status:  response.StatusCode,
 			Body:    string(text),
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -31,18 +31,18 @@
 
 func TestAllow(t *testing.T) {
 	ok := retry.Failure{Idempotent: true, Attempts: 1, Left: time.Second}
-	once, late, last := ok, ok, ok
-	once.Idempotent = false
-	late.Left = time.Millisecond
-	last.Attempts = retry.DefaultPolicy().Attempts
+	nonIdempotent, tooLate, exhausted := ok, ok, ok
+	nonIdempotent.Idempotent = false
+	tooLate.Left = time.Millisecond
+	exhausted.Attempts = retry.DefaultPolicy().Attempts
 	for name, c := range map[string]struct {
 		failure retry.Failure
 		want    bool
 	}{
 		"idempotent":     {ok, true},
-		"not idempotent": {once, false},
-		"too late":       {late, false},
-		"attempts used":  {last, false},
+		"not idempotent": {nonIdempotent, false},
+		"too late":       {tooLate, false},
+		"attempts used":  {exhausted, false},
 	} {
 		if got := retry.NewBudget(retry.DefaultPolicy()).Allow(c.failure); got != c.want {
 			t.Errorf("%s: Allow = %v, want %v", name, got, c.want)
