--- a/internal/home/answer.go
+++ b/internal/home/answer.go
@@ -10,21 +10,21 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// Reasons in answers of this package.
+// Values of the reason field in this package's answers.
 const (
 	reasonExpired  = "expired"
 	reasonVoided   = "voided"
 	reasonHomeGone = "home-gone"
 )
 
-// retryAfter is when a caller whose ticket was voided may come again.
+// retryAfter is the Retry-After of an answer to a request with a voided ticket.
 const retryAfter = time.Second
 
-// errMismatch says that a ticket was used for another request before.
-var errMismatch = errors.New("home: the ticket belongs to another request")
+// errMismatch means that the ticket has been used for another request before.
+var errMismatch = errors.New("home: the ticket was used for another request")
 
-// refuse is the decision about a request that did not run and never will under
-// its ticket.
+// refuse returns the decision about a request that has not run and never will under its
+// ticket.
 func refuse(cause error) request.Decision {
 	d := request.Decision{Verdict: request.VerdictRefuse, Status: http.StatusPreconditionRequired}
 	switch {
@@ -38,7 +38,7 @@
 	return d
 }
 
-// settled is the decision about a ticket whose outcome is known.
+// settled returns the decision about a ticket with a known outcome.
 func settled(r ticket.Result) request.Decision {
 	switch r.Outcome {
 	case ticket.Complete:
@@ -55,7 +55,7 @@
 	}
 }
 
-// resultOf is what the window records of an answer.
+// resultOf returns the result that the window records for an answer.
 func resultOf(a *request.Answer) ticket.Result {
 	switch a.Outcome {
 	case request.OutcomeComplete:
--- a/internal/home/closing.go
+++ b/internal/home/closing.go
@@ -13,21 +13,22 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// maxClosings bounds the closings that a process holds; the oldest goes first.
+// maxClosings bounds the closings that a process keeps. The closing with the oldest
+// incarnation is dropped first.
 const maxClosings = 32
 
-// inheritTimeout bounds the last word of a process that stops.
+// inheritTimeout bounds the time for sending the closings when the process stops.
 const inheritTimeout = 2 * time.Second
 
-// closings are the last words of homes that stopped in good order. A process
-// that stops hands them on with its own, so that they outlive a restart of all
-// agents one after the other.
+// closings holds the closings (final records, see ticket.Closing) of homes that have
+// stopped gracefully. A process that stops sends them to its siblings together with its
+// own, so that they survive a rolling restart of all agents.
 type closings struct {
 	mu   sync.Mutex
-	held []ticket.Closing // by incarnation, the latest first
+	held []ticket.Closing // by incarnation, latest first
 }
 
-// add keeps a closing; one that is there already changes nothing.
+// add keeps a closing unless there is already one of the same home and incarnation.
 func (c *closings) add(closing ticket.Closing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// outcome returns what the closing of the ticket's home says; ok is false
-// where none is held.
+// outcome returns the outcome of a ticket according to the closing of its home. ok is
+// false if there is no such closing.
 func (c *closings) outcome(t ticket.Ticket) (o ticket.Outcome, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,9 +67,10 @@
 	return slices.Clone(c.held)
 }
 
-// Close ends the home in good order: queued and unused tickets are voided,
-// what runs is waited for until ctx ends, and the siblings learn which tickets
-// may have run. Nothing runs under a ticket of this process afterwards.
+// Close stops the home gracefully: it voids queued and unused tickets, waits until
+// running requests have ended or ctx ends, and sends the siblings a closing that lists
+// the tickets that may have run. No request runs under a ticket of this process
+// afterwards.
 func (h *Home) Close(ctx context.Context) {
 	h.mu.Lock()
 	for _, nonce := range h.window.Close() {
@@ -90,7 +92,7 @@
 	h.sendClosings(bounded)
 }
 
-// whenIdle returns a channel that is closed when no ticket is running.
+// whenIdle returns a channel that is closed when no ticket is queued or running.
 func (h *Home) whenIdle() <-chan struct{} {
 	idle := make(chan struct{})
 	h.idle = idle
@@ -105,7 +107,7 @@
 	}
 }
 
-// sendClosings gives all closings to each sibling.
+// sendClosings sends all closings to each sibling.
 func (h *Home) sendClosings(ctx context.Context) {
 	snapshot := h.o.Source.Snapshot()
 	if snapshot == nil {
@@ -121,18 +123,19 @@
 	calls.Wait()
 }
 
-// sendClosingsTo gives one closing at a time, to stay within the bound of a message.
+// sendClosingsTo sends the closings one by one, because all together could exceed the
+// size limit of a message.
 func (h *Home) sendClosingsTo(ctx context.Context, sibling netip.AddrPort) {
 	for _, closing := range h.closings.all() {
 		args := &InheritArgs{Service: h.o.Self.Service, Closing: closing}
 		if err := h.o.Caller.Call(ctx, sibling, methodInherit, args, &InheritReply{}); err != nil {
-			h.log.Info("Sibling didn't take the closing.", slog.String("sibling", sibling.String()), slog.Any("error", err))
+			h.log.Info("Could not send the closing of a home to a sibling.", slog.String("sibling", sibling.String()), slog.Any("error", err))
 			return
 		}
 	}
 }
 
-// InheritArgs is the closing of a home.
+// InheritArgs carries the closing of a home.
 type InheritArgs struct {
 	Service string
 	Closing ticket.Closing
@@ -141,7 +144,7 @@
 // InheritReply is empty.
 type InheritReply struct{}
 
-// Inherit keeps the closing of a home of the same service.
+// Inherit receives the closing of a home of the same service.
 func (s *Service) Inherit(args *InheritArgs, _ *InheritReply) error {
 	if args.Service == s.home.o.Self.Service {
 		s.home.closings.add(args.Closing)
@@ -149,7 +152,7 @@
 	return nil
 }
 
-// afterClose is the decision about a ticket whose home has stopped in good order.
+// afterClose returns the decision about a ticket of a home that has stopped gracefully.
 func afterClose(o ticket.Outcome) request.Decision {
 	return settled(ticket.Result{Outcome: o})
 }
--- a/internal/home/faults_test.go
+++ b/internal/home/faults_test.go
@@ -13,35 +13,38 @@
 )
 
 const (
-	// shortDeadline is the deadline where a test waits for it to pass.
+	// shortDeadline is the request deadline in tests that wait until it has passed.
 	shortDeadline = 1500 * time.Millisecond
-	// longDeadline is the deadline where an outcome must come without it.
+	// longDeadline is the request deadline in tests whose outcome must not depend on
+	// it.
 	longDeadline = 10 * time.Minute
-	// observationTime is how long a test watches that something doesn't happen; a longer
-	// time finds more faults, none makes a sound program fail.
+	// observationTime is how long a test checks that something doesn't happen. A longer
+	// time finds more faults; a shorter one never makes a correct program fail.
 	observationTime = 300 * time.Millisecond
-	// newTickets is how many tickets a restarted home issues before it meets an
-	// old one, so that the old one's nonce is among them.
+	// newTickets is the number of tickets that a restarted home issues before it
+	// receives an old one, so that it has issued the old one's nonce too.
 	newTickets = 8
-	// maxParallelFleets is how many fleets of four processes run side by side.
+	// maxParallelFleets is the number of fleets, of four processes each, that run in
+	// parallel.
 	maxParallelFleets = 3
 )
 
 var fleetSlots = make(chan struct{}, maxParallelFleets)
 
-// acquireFleetSlot bounds the processes that tests start side by side.
+// acquireFleetSlot makes the test parallel and limits the number of fleets that run at
+// once.
 func acquireFleetSlot(t *testing.T) {
 	t.Parallel()
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
 }
 
-// step is a moment in the life of a request that is passed to its home.
+// step is a stage of a request that is forwarded to its home.
 type step struct {
 	name string
 	body string
 	// reach sends the request through the first agent and returns when it has
-	// come so far; before is called where the fault has to precede it.
+	// reached the step. It calls before to inject the fault.
 	reach func(f *fleet, body string, before func()) <-chan reply
 }
 
@@ -83,13 +86,13 @@
 	}},
 }
 
-// fault is what befalls the home, and how the fleet goes on.
+// fault is a failure of the home and the recovery from it.
 type fault struct {
 	name     string
 	deadline time.Duration
 	inject   func(f *fleet)
-	// recover ends the fault and returns the agent at which the caller tries
-	// for the last time.
+	// recover ends the fault and returns the agent that gets the caller's last
+	// attempt.
 	recover func(f *fleet, victim string) *node
 }
 
@@ -116,8 +119,10 @@
 	}, func(f *fleet, _ string) *node { return f.home }},
 }
 
-// The caller of a request whose home fails at any step tries again elsewhere,
-// and once more when the fault is over.
+// TestNoRequestRunsTwiceWhenHomeFails lets the home fail at each step of a request. The
+// caller sends the request again through another agent, and once more after the fault
+// has ended. The upstream must run it at most once, and no response may contradict
+// that.
 func TestNoRequestRunsTwiceWhenHomeFails(t *testing.T) {
 	for _, fault := range faults {
 		for _, step := range steps {
@@ -141,11 +146,12 @@
 	}
 }
 
-// lastOutcomes are those that the caller may be told when the fault is over.
+// lastOutcomes returns the outcomes that are allowed for the last attempt, after the
+// fault has ended.
 func lastOutcomes(fault, step string) []request.Outcome {
 	switch {
 	case fault == "killed and restarted":
-		return []request.Outcome{request.OutcomeUnknown} // nobody remembers
+		return []request.Outcome{request.OutcomeUnknown} // the state of the old incarnation is lost
 	case step == "answered" || step == "recorded" || fault == "cut off":
 		return []request.Outcome{request.OutcomeComplete}
 	case step == "queued":
@@ -155,7 +161,7 @@
 	}
 }
 
-func TestUpstreamCrashesMidRun(t *testing.T) {
+func TestOutcomeIsUnknownWhenUpstreamCrashesMidRun(t *testing.T) {
 	acquireFleetSlot(t)
 	f := startFleet(t, longDeadline)
 	body := crash + "victim"
@@ -188,8 +194,9 @@
 	f.Expect(f.upstream.ran("other")).To(BeZero())
 }
 
-// A home that doesn't answer is given up as soon as the member list says that
-// it is gone.
+// TestForwardFailsWhenHomeLeavesMemberList checks that a request that was forwarded to
+// a home that doesn't answer ends as soon as the home is missing from the member list
+// or replaced there, long before the deadline.
 func TestForwardFailsWhenHomeLeavesMemberList(t *testing.T) {
 	for name, after := range map[string][]member.Member{
 		"vanished": nil,
@@ -212,8 +219,10 @@
 	}
 }
 
-// A home that stops in good order lets running requests end, and leaves word
-// of which tickets may have run; the word outlives those that heard it.
+// TestOutcomesStayKnownAfterGracefulStop checks that a home that stops gracefully lets
+// running requests end and sends its siblings a closing with the tickets that may have
+// run. The siblings send it on when they stop, so the outcomes stay known after all
+// processes that received it first have ended.
 func TestOutcomesStayKnownAfterGracefulStop(t *testing.T) {
 	acquireFleetSlot(t)
 	f := startFleet(t, longDeadline)
@@ -232,7 +241,7 @@
 	}()
 	f.Eventually(func() string { return f.result(f.home.send("", "nothing")).Ticket }, waitTimeout).Should(BeEmpty())
 	f.Expect(f.result(f.home.send(unused, "victim")).Outcome).To(Equal(request.OutcomeNotRun))
-	f.Consistently(closed, observationTime).ShouldNot(BeClosed()) // it waits for the last request
+	f.Consistently(closed, observationTime).ShouldNot(BeClosed()) // Close waits for the running request
 	f.upstream.release(hold + "last")
 	f.Expect(f.result(last).Outcome).To(Equal(request.OutcomeComplete))
 	f.Eventually(closed, waitTimeout).Should(BeClosed())
@@ -256,8 +265,8 @@
 	f.Expect(f.upstream.ran("recorded")).To(Equal(1))
 }
 
-// A caller that leaves takes its queued request with it, unless another
-// attempt waits for it.
+// TestQueuedRequestIsVoidedWhenItsLastCallerLeaves checks that a queued request is
+// voided when its caller disconnects and no other attempt waits for it.
 func TestQueuedRequestIsVoidedWhenItsLastCallerLeaves(t *testing.T) {
 	acquireFleetSlot(t)
 	f := startFleet(t, longDeadline)
--- a/internal/home/fleet_test.go
+++ b/internal/home/fleet_test.go
@@ -22,17 +22,18 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// waitTimeout bounds each wait; no test depends on how long one takes.
+// waitTimeout bounds each wait. No test depends on how long a wait takes.
 const waitTimeout = 40 * time.Second
 
-// Bodies that start with hold stay at the upstream until the test releases
-// them, those that start with crash break their connection then.
+// The upstream answers a body that starts with hold only after the test has
+// released it. For one that starts with crash it then closes the connection
+// without an answer.
 const (
 	hold  = "hold "
 	crash = "crash "
 )
 
-// upstreamServer is an HTTP upstream that logs what it ran.
+// upstreamServer is an HTTP upstream that counts the runs of each body.
 type upstreamServer struct {
 	*httptest.Server
 	mu    sync.Mutex
@@ -76,7 +77,7 @@
 	return u.gates[body]
 }
 
-// release lets all runs of a body go on, those to come as well.
+// release lets all present and future runs of a body continue.
 func (u *upstreamServer) release(body string) {
 	gate := u.gate(body)
 	select {
@@ -104,18 +105,18 @@
 	return u.runs[body]
 }
 
-// fleet is a home behind a fault-injecting proxy and two other agents.
+// fleet consists of a home behind a fault-injecting proxy and two other agents.
 type fleet struct {
 	*WithT
 	t         *testing.T
 	upstream  *upstreamServer
 	deadline  time.Duration
 	proxy     *toxiproxy.Proxy
-	control   netip.AddrPort // the proxy's address: the home's to all others
+	control   netip.AddrPort // the proxy's address, which the others use for the home
 	home      *node
 	others    [2]*node
-	ticket    string  // unused, of the home
-	responses []reply // under the ticket
+	ticket    string  // an unused ticket of the home
+	responses []reply // responses to requests under the ticket
 }
 
 var silenceLogrus sync.Once
@@ -148,7 +149,7 @@
 	n.post(startPath, start{Control: control, Upstream: f.upstream.URL, Deadline: f.deadline})
 }
 
-// result waits for what an attempt was told.
+// result waits for the response to an attempt.
 func (f *fleet) result(attempt <-chan reply) reply {
 	f.t.Helper()
 	var r reply
@@ -156,7 +157,8 @@
 	return r
 }
 
-// outcome is result for an attempt under the fleet's ticket.
+// outcome waits for the response to an attempt under the fleet's ticket, records it and
+// returns its outcome.
 func (f *fleet) outcome(attempt <-chan reply) request.Outcome {
 	f.t.Helper()
 	r := f.result(attempt)
@@ -169,8 +171,9 @@
 	f.Eventually(func() int { return f.upstream.ran(body) }, waitTimeout).Should(Equal(1))
 }
 
-// waitUntilIdle returns when all that was queued at n before has ended: there is one
-// slot, and the queue's order is that of arrival.
+// waitUntilIdle returns when all requests that were queued at n have ended. There is
+// one slot and the queue is first in, first out, so it sends a request and waits for
+// its end.
 func (f *fleet) waitUntilIdle(n *node) {
 	f.t.Helper()
 	f.Eventually(func() request.Outcome {
@@ -179,15 +182,15 @@
 	}, waitTimeout).Should(Equal(request.OutcomeComplete))
 }
 
-// check compares what callers were told with what the upstream ran.
+// check compares the outcomes that callers received with the runs of the upstream.
 func (f *fleet) check(body string) {
 	f.t.Helper()
 	runs := f.upstream.ran(body)
-	f.Expect(runs).To(BeNumerically("<=", 1), "%s ran twice; told: %+v", body, f.responses)
+	f.Expect(runs).To(BeNumerically("<=", 1), "%s ran more than once; responses: %+v", body, f.responses)
 	for _, r := range f.responses {
 		switch r.Outcome {
 		case request.OutcomeNotRun:
-			f.Expect(runs).To(BeZero(), "told not run, but it ran: %+v", f.responses)
+			f.Expect(runs).To(BeZero(), "a response says not run, but the upstream ran it; responses: %+v", f.responses)
 		case request.OutcomeComplete:
 			f.Expect(r.Body).To(Equal("run 1 of " + body))
 		}
@@ -201,7 +204,7 @@
 	f.Expect(err).NotTo(HaveOccurred())
 }
 
-// siblings lists the agents that are not the home.
+// siblings returns the agents that are not the home as members.
 func (f *fleet) siblings() []member.Member {
 	var all []member.Member
 	for _, n := range f.others {
@@ -210,7 +213,7 @@
 	return all
 }
 
-// setMembers puts a member list in force at the other agents.
+// setMembers sets the member list of the agents that are not the home.
 func (f *fleet) setMembers(members ...member.Member) {
 	f.t.Helper()
 	for _, n := range f.others {
@@ -218,7 +221,7 @@
 	}
 }
 
-// incarnation returns the one that issued the fleet's ticket.
+// incarnation returns the incarnation that issued the fleet's ticket.
 func (f *fleet) incarnation() uint64 {
 	f.t.Helper()
 	ring, err := keyring.Parse(testSecret)
--- a/internal/home/forward.go
+++ b/internal/home/forward.go
@@ -15,33 +15,36 @@
 )
 
 const (
-	// maxForwards is how often a request is sent to its home before the home counts
-	// as unreachable. The home's window makes repeats harmless.
+	// maxForwards is how often a request is sent to its home before the home counts as
+	// unreachable. Sending it again is safe, because the home's window runs it at most
+	// once.
 	maxForwards = 3
-	// forwardBackoff is the time before the second pass; it doubles with each.
+	// forwardBackoff is the pause before the second try. It doubles with each further
+	// try.
 	forwardBackoff = 50 * time.Millisecond
-	// probeTimeout bounds the search for a home that no member list names.
+	// probeTimeout bounds the probe of a home that isn't in the member list.
 	probeTimeout = time.Second
-	// unresponsiveDialTime is the time of a failed connection attempt from which the
-	// home's host counts as silent.
+	// unresponsiveDialTime is the duration of a failed connection attempt above which
+	// the home's host counts as unresponsive.
 	unresponsiveDialTime = time.Second
-	// leaveTimeout bounds the message that a caller has left.
+	// leaveTimeout bounds the message that tells the home that a caller has
+	// disconnected.
 	leaveTimeout = 2 * time.Second
-	// answerMargin is kept back from the home's share of the deadline, so that
-	// its word arrives before the caller is told "unknown".
+	// answerMargin is subtracted from the time that the home gets, so that its answer
+	// arrives before the caller gets the outcome "unknown".
 	answerMargin = 20 * time.Millisecond
 )
 
-// errHomeGone says that the ticket's incarnation has ended.
-var errHomeGone = errors.New("home: the home's incarnation is gone")
+// errHomeGone means that the process incarnation that issued the ticket has ended.
+var errHomeGone = errors.New("home: the process that issued the ticket has ended")
 
-// Forward implements request.Tickets. No error says that the request was not run:
-// that this process's own message never left proves nothing, because an
-// earlier attempt of the caller may have reached the home by another way.
+// Forward implements request.Tickets. An error never means that the request has not
+// run, even if this process could not send it: an earlier attempt of the caller may
+// have reached the home through another agent.
 func (h *Home) Forward(ctx context.Context, home netip.AddrPort, text string, call *request.Call) (*request.Answer, error) {
 	t, err := h.codec.Load().Open(text, h.tag)
 	if err != nil {
-		return nil, errors.Wrap(err, "home: pass")
+		return nil, errors.Wrap(err, "home: open ticket")
 	}
 	if stateOf(h.o.Source.Snapshot(), t) == unlisted {
 		if err := h.probe(ctx, t); err != nil {
@@ -58,7 +61,7 @@
 		go h.sendLeave(home, args.Attempt)
 		if o, ok := h.closings.outcome(t); ok && o == ticket.NotRun {
 			h.metrics.forwarded("closed")
-			return notRun(reasonVoided), nil // the home's own word, given in advance
+			return notRun(reasonVoided), nil // the home's closing proves that it has not run
 		}
 		h.metrics.forwarded("unreachable")
 		if cause := context.Cause(watched); cause != nil {
@@ -70,7 +73,7 @@
 	return answer, nil
 }
 
-// send passes the request until its home answers.
+// send forwards the request to its home, and tries again if that can succeed.
 func (h *Home) send(ctx context.Context, home netip.AddrPort, args *RunArgs) (*request.Answer, error) {
 	pause := forwardBackoff
 	for try := 1; ; try++ {
@@ -82,20 +85,20 @@
 			return &reply.Answer, nil
 		}
 		if try == maxForwards || ctx.Err() != nil || retryIsPointless(err, time.Since(began)) {
-			return nil, errors.Wrap(err, "home: pass")
+			return nil, errors.Wrap(err, "home: forward request")
 		}
 		select {
 		case <-ctx.Done():
-			return nil, errors.Wrap(err, "home: pass")
+			return nil, errors.Wrap(err, "home: forward request")
 		case <-time.After(pause):
 			pause *= 2
 		}
 	}
 }
 
-// retryIsPointless reports whether another pass would end as the one did that took so
-// long: the home's process answered with an error, or its host doesn't even
-// refuse connections.
+// retryIsPointless reports whether another try would fail like the one that returned
+// err after the given time. That is the case if the home's process answered with an
+// error, or if its host is unresponsive and doesn't even refuse connections.
 func retryIsPointless(err error, took time.Duration) bool {
 	var remote rpc.ServerError
 	if errors.As(err, &remote) {
@@ -104,7 +107,8 @@
 	return errors.Is(err, peer.ErrUnreachable) && took > unresponsiveDialTime
 }
 
-// homeTimeout is the home's share of the time until the deadline of ctx.
+// homeTimeout returns the time that the home gets for its answer: the time until the
+// deadline of ctx less answerMargin.
 func homeTimeout(ctx context.Context, otherwise time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -114,13 +118,14 @@
 	return remaining - min(answerMargin, remaining/2)
 }
 
-// probe asks a home that no member list names whether it is there.
+// probe checks whether the home of a ticket is running although it isn't in the member
+// list.
 func (h *Home) probe(ctx context.Context, t ticket.Ticket) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	reply := &ProbeReply{}
 	if err := h.o.Caller.Call(ctx, t.Home, methodProbe, &ProbeArgs{}, reply); err != nil {
-		return errors.Wrap(err, "home: probe")
+		return errors.Wrap(err, "home: probe the home of a ticket")
 	}
 	if reply.Incarnation != t.Incarnation {
 		return errHomeGone
@@ -128,7 +133,8 @@
 	return nil
 }
 
-// cancelWhenGone ends a pass when the member list says that the home is gone.
+// cancelWhenGone cancels a forwarded request when the member list shows that the home
+// has gone.
 func (h *Home) cancelWhenGone(ctx context.Context, t ticket.Ticket, cancel context.CancelCauseFunc) {
 	listed := false
 	for {
@@ -153,13 +159,13 @@
 	}
 }
 
-// sendLeave tells the home that the caller of an attempt no longer waits.
+// sendLeave informs the home that the caller of an attempt doesn't wait any more.
 func (h *Home) sendLeave(home netip.AddrPort, attempt Attempt) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	args := &LeaveArgs{Attempt: attempt}
 	if err := h.o.Caller.Call(ctx, home, methodLeave, args, &LeaveReply{}); err != nil {
-		h.log.Debug("Home didn't take a cancellation.", "home", home.String(), "error", err)
+		h.log.Debug("Could not cancel a request at the home of its ticket.", "home", home.String(), "error", err)
 	}
 }
 
@@ -171,15 +177,17 @@
 	}
 }
 
-// homeState is what a member list says of a ticket's home.
+// homeState is the state of a ticket's home according to the member list.
 type homeState uint8
 
 const (
-	// unlisted homes are gone, or so young that this process doesn't know them.
+	// unlisted means that the home isn't in the list: it has gone, or has started so
+	// recently that this process hasn't received its entry yet.
 	unlisted homeState = iota
-	// present homes are listed with the ticket's incarnation.
+	// present means that the home is listed with the ticket's incarnation.
 	present
-	// replaced homes have a later incarnation: the ticket's own is gone.
+	// replaced means that a later incarnation is listed at the home's address, so the
+	// incarnation that issued the ticket has ended.
 	replaced
 )
 
--- a/internal/home/forward_test.go
+++ b/internal/home/forward_test.go
@@ -20,17 +20,17 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// failingCaller fails each pass after a while and counts them.
+// failingCaller counts the forwarded requests and fails each after a delay.
 type failingCaller struct {
-	err    error
-	after  time.Duration
-	passes atomic.Int64
+	err   error
+	after time.Duration
+	calls atomic.Int64
 }
 
 func (c *failingCaller) Call(_ context.Context, _ netip.AddrPort, method string, _, _ any) error {
 	if method == methodRun {
-		c.passes.Add(1)
-		time.Sleep(c.after) // stands for a connection attempt that takes so long
+		c.calls.Add(1)
+		time.Sleep(c.after) // simulates the duration of a connection attempt
 	}
 	return c.err
 }
@@ -43,14 +43,14 @@
 
 func TestForwardIsRetriedOnlyWhenARetryCanSucceed(t *testing.T) {
 	for name, c := range map[string]struct {
-		err    error
-		after  time.Duration
-		passes int
+		err   error
+		after time.Duration
+		calls int
 	}{
-		"refused":     {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("refused")}, 0, maxForwards},
-		"interrupted": {&peer.CallError{Outcome: peer.ErrInterrupted, Cause: errors.New("reset")}, 0, maxForwards},
-		"silent host": {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("timeout")}, unresponsiveDialTime + time.Millisecond, 1},
-		"home's word": {rpc.ServerError("no such method"), 0, 1},
+		"refused":             {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("refused")}, 0, maxForwards},
+		"interrupted":         {&peer.CallError{Outcome: peer.ErrInterrupted, Cause: errors.New("reset")}, 0, maxForwards},
+		"unresponsive host":   {&peer.CallError{Outcome: peer.ErrUnreachable, Cause: errors.New("timeout")}, unresponsiveDialTime + time.Millisecond, 1},
+		"error from the home": {rpc.ServerError("no such method"), 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -68,7 +68,7 @@
 			answer, err := h.Forward(context.Background(), other.Control, text, &request.Call{})
 			g.Expect(err).To(MatchError(c.err))
 			g.Expect(answer).To(BeNil())
-			g.Expect(caller.passes.Load()).To(BeEquivalentTo(c.passes))
+			g.Expect(caller.calls.Load()).To(BeEquivalentTo(c.calls))
 		})
 	}
 }
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -1,7 +1,9 @@
-// Package home keeps non-idempotent requests to one run. A process is the home
-// of the tickets that it issued: it decides about those in its outcome window
-// (internal/ticket), and passes requests under other tickets to their homes.
-// Nobody but the home says that a request was not run.
+// Package home ensures that non-idempotent requests run at most once. A process is the
+// home of the tickets that it issued. It decides about requests under these tickets by
+// its outcome window (internal/ticket), and forwards requests under other tickets to
+// their homes. Only the home of a ticket decides that a request has not run; other
+// processes report that only from its answer or its closing, the record that it sends
+// when it stops.
 package home
 
 import (
@@ -23,19 +25,19 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// Part is the fixed prefix of this package's logs.
+// Part identifies this package in logs.
 const Part = "home"
 
-// Options are what a Home works with.
+// Options configure a Home.
 type Options struct {
-	// Self is this process; its control address, incarnation and service are
-	// used.
+	// Self describes this process. Only its control address, incarnation and
+	// service are used.
 	Self   member.Member
 	Source control.Source
-	// Caller reaches other homes.
+	// Caller calls other agents.
 	Caller peer.Caller
 	Ring   *keyring.Ring
-	// Bounds limit the outcome window; the zero value means
+	// Bounds limit the outcome window. The zero value selects
 	// ticket.DefaultBounds.
 	Bounds ticket.Bounds
 	Logger *slog.Logger
@@ -48,27 +50,27 @@
 	log     *slog.Logger
 	codec   atomic.Pointer[ticket.Codec]
 	metrics *counters
-	// attempts numbers the passes of this process.
+	// attempts numbers the requests that this process has forwarded.
 	attempts atomic.Uint64
 
 	mu     sync.Mutex
 	window *ticket.Window
 	runs   map[uint64]*run // queued and running, by nonce
-	idle   chan struct{}   // closed with the last run, while Close waits
+	idle   chan struct{}   // closed at the end of the last run; nil unless Close waits
 
 	closings closings
 }
 
 var _ request.Tickets = (*Home)(nil)
 
-// run is a ticket that is queued or running, with those that want its outcome.
+// run is a queued or running ticket with the callers that wait for its outcome.
 type run struct {
 	callers   int
 	abandoned chan struct{}
 	waits     []chan *request.Answer
 }
 
-// New returns the home of the tickets that this process is to issue.
+// New returns the home of the tickets that this process will issue.
 func New(o Options) (*Home, error) {
 	if o.Bounds == (ticket.Bounds{}) {
 		o.Bounds = ticket.DefaultBounds
@@ -89,7 +91,7 @@
 	return h, nil
 }
 
-// SetRing puts the ring's keys in force.
+// SetRing replaces the keys by those of the ring.
 func (h *Home) SetRing(ring *keyring.Ring) {
 	h.codec.Store(ticket.NewCodec(ring))
 }
@@ -112,10 +114,11 @@
 	t, err := h.codec.Load().Open(text, h.tag)
 	switch {
 	case errors.Is(err, ticket.ErrText), errors.Is(err, ticket.ErrService):
-		// No agent of this service has ever run anything under this text.
+		// No agent of this service can have run a request under this text.
 		return refuse(err)
 	case err != nil:
-		// Sealed with a key that is out of use, perhaps: it may have run.
+		// The ticket may have been sealed with a key that was removed since. Then
+		// its request may have run.
 		return request.Decision{Verdict: request.VerdictUnknown}
 	case t.Home == h.o.Self.Control && t.Incarnation == h.o.Self.Incarnation:
 		return h.admit(t.Nonce, digest, deadline)
@@ -123,8 +126,8 @@
 	return h.decideForeign(t)
 }
 
-// decideForeign decides about a ticket of another home, or of an earlier
-// incarnation at this address.
+// decideForeign decides about a ticket of another home, or of an earlier incarnation at
+// this address.
 func (h *Home) decideForeign(t ticket.Ticket) request.Decision {
 	if outcome, ok := h.closings.outcome(t); ok {
 		return afterClose(outcome)
@@ -208,7 +211,8 @@
 	}
 }
 
-// abandon takes a voided ticket from its owner, who waits in the queue.
+// abandon ends a ticket that has been voided, and notifies the handler that waits in
+// the queue with it.
 func (h *Home) abandon(nonce uint64) {
 	if r := h.runs[nonce]; r != nil {
 		close(r.abandoned)
@@ -216,7 +220,7 @@
 	h.settle(nonce, notRun(reasonVoided))
 }
 
-// settle gives all that wait the one outcome.
+// settle sends the outcome to all callers that wait for it.
 func (h *Home) settle(nonce uint64, answer *request.Answer) {
 	r := h.runs[nonce]
 	if r == nil {
@@ -225,7 +229,7 @@
 	delete(h.runs, nonce)
 	h.signalIdle()
 	for _, wait := range r.waits {
-		wait <- answer // has room for the one answer that it gets
+		wait <- answer // never blocks: the channel has room for its only answer
 	}
 }
 
@@ -233,8 +237,8 @@
 	return request.TicketID(strconv.FormatUint(nonce, 10))
 }
 
-// nonceOf returns the nonce of an ID that this process gave out; any other
-// yields a nonce that was never issued.
+// nonceOf returns the nonce of an ID that this process issued. For any other ID it
+// returns a nonce that is never issued.
 func nonceOf(id request.TicketID) uint64 {
 	nonce, err := strconv.ParseUint(string(id), 10, 64)
 	if err != nil {
--- a/internal/home/metrics.go
+++ b/internal/home/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// counters are the home's metrics.
+// counters holds the metrics of a home.
 type counters struct{}
 
-// newCounters shows what the window holds.
+// newCounters registers gauges for the content of the window.
 func newCounters(h *Home) *counters {
 	gauge := func(name string, value func(ticket.Usage) float64) {
 		metrics.GetOrCreateGauge(name, func() float64 {
--- a/internal/home/node_test.go
+++ b/internal/home/node_test.go
@@ -33,11 +33,12 @@
 	"github.com/saltbend/saltbend/test/freeze"
 )
 
-// nodeEnv makes the test binary an agent process with its control listener at
-// the value, so that tests can kill and freeze real processes.
+// nodeEnv is an environment variable. If it is set, the test binary runs as an agent
+// process with its control listener at that address, so that tests can kill and freeze
+// real processes.
 const nodeEnv = "SALTBEND_TEST_HOME_NODE"
 
-// anyPort has the kernel choose.
+// anyPort lets the kernel choose a free port.
 const anyPort = "127.0.0.1:0"
 
 const (
@@ -57,12 +58,12 @@
 	os.Exit(m.Run())
 }
 
-// addresses is what a node prints when it listens.
+// addresses is printed by a node once it listens.
 type addresses struct{ HTTP, Peer string }
 
-// start tells a node to serve.
+// start is the request that makes a node serve.
 type start struct {
-	// Control is the address that the node tells others, a proxy's perhaps.
+	// Control is the address that the node announces, which may be a proxy's.
 	Control  netip.AddrPort
 	Upstream string
 	Deadline time.Duration
@@ -76,8 +77,8 @@
 	return v
 }
 
-// runNode is an agent process: peer, home and request handler, with HTTP/1.1
-// towards callers. It ends when its standard input does.
+// runNode runs an agent process with peer, home and request handler. It serves HTTP/1.1
+// to callers and ends when its standard input is closed.
 func runNode(control string) {
 	p := must(peer.Listen(netip.MustParseAddrPort(control), must(keyring.Parse(testSecret))))
 	l := must(net.Listen("tcp", anyPort))
@@ -132,7 +133,7 @@
 	mux.Handle("/", handler)
 }
 
-// node is the test's hold on an agent process.
+// node controls an agent process.
 type node struct {
 	t       *testing.T
 	process *exec.Cmd
@@ -163,13 +164,13 @@
 
 func (n *node) signal(s syscall.Signal) { _ = n.process.Process.Signal(s) }
 
-// freeze stops the process and returns when all of it stands still.
+// freeze stops the process and returns when all of it has stopped.
 func (n *node) freeze() {
 	n.t.Helper()
 	NewWithT(n.t).Expect(freeze.Process(n.process.Process.Pid)).To(Succeed())
 }
 
-// kill ends the process at once, also a frozen one, and waits for its end.
+// kill kills the process, even if it is frozen, and waits for its end.
 func (n *node) kill() {
 	n.signal(syscall.SIGKILL)
 	_ = n.process.Wait()
@@ -202,7 +203,7 @@
 	return ""
 }
 
-// reply is what a caller learnt from one attempt.
+// reply is what a caller received for one attempt.
 type reply struct {
 	Outcome request.Outcome
 	Status  int
@@ -210,14 +211,14 @@
 	Ticket  string
 }
 
-// send submits a request and returns what the caller learns; the zero value
-// stands for a connection that broke.
+// send sends a request and returns the response. It is the zero value if the connection
+// failed.
 func (n *node) send(ticket, body string) <-chan reply {
 	return n.sendWith(context.Background(), ticket, body)
 }
 
-// sendAndLeave submits a request; the caller leaves when the returned function
-// is called.
+// sendAndLeave sends a request. The caller disconnects when the returned function is
+// called.
 func (n *node) sendAndLeave(ticket, body string) (leave func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.sendWith(ctx, ticket, body)
--- a/internal/home/service.go
+++ b/internal/home/service.go
@@ -22,26 +22,27 @@
 	methodInherit = serviceName + ".Inherit"
 )
 
-// Attempt identifies one pass of a request over all processes.
+// Attempt identifies one forwarded request across all processes. Retries of the same
+// forward have the same Attempt.
 type Attempt struct {
 	From        netip.AddrPort
 	Incarnation uint64
 	Number      uint64
 }
 
-// RunArgs is a request that another agent passes to its home.
+// RunArgs is a request that another agent forwards to the home of its ticket.
 type RunArgs struct {
 	Attempt Attempt
 	Ticket  string
 	Call    request.Call
 }
 
-// RunReply is the home's word.
+// RunReply is the home's answer.
 type RunReply struct {
 	Answer request.Answer
 }
 
-// LeaveArgs names a pass whose caller no longer waits.
+// LeaveArgs identifies a forwarded request whose caller doesn't wait any more.
 type LeaveArgs struct {
 	Attempt Attempt
 }
@@ -52,29 +53,30 @@
 // ProbeArgs is empty.
 type ProbeArgs struct{}
 
-// ProbeReply tells which incarnation serves.
+// ProbeReply contains the incarnation of the process at this address.
 type ProbeReply struct {
 	Incarnation uint64
 }
 
-// Service is the net/rpc service for the agents that are not the home.
+// Service is the net/rpc service that other agents call.
 type Service struct {
 	home   *Home
 	runner request.HomeRunner
 	mu     sync.Mutex
-	// cancels holds the passes that wait here, by attempt. A pass that came
-	// twice is there twice.
+	// cancels holds the cancel functions of the forwarded requests that are in
+	// progress, by attempt. A request that was received twice has two.
 	cancels map[Attempt][]context.CancelFunc
 }
 
-// Serve lets other agents pass requests to the runner.
+// Serve registers the service, so that other agents can forward requests to the runner.
 func (h *Home) Serve(registry peer.Registry, runner request.HomeRunner) error {
 	s := &Service{home: h, runner: runner, cancels: map[Attempt][]context.CancelFunc{}}
 	return errors.Wrap(registry.Register(serviceName, s), "home")
 }
 
-// Run answers a request whose ticket this process issued. To any other it says
-// "unknown": a process that took over the address knows nothing of it.
+// Run answers a request with a ticket that this process issued. For any other ticket
+// the answer is "unknown": a process that has reused the address has no record of
+// earlier tickets.
 func (s *Service) Run(args *RunArgs, reply *RunReply) error {
 	if !s.home.issued(args.Ticket, args.Call.Service) {
 		reply.Answer = *request.Unknown(reasonHomeGone)
@@ -95,8 +97,8 @@
 		t.Home == h.o.Self.Control && t.Incarnation == h.o.Self.Incarnation
 }
 
-// Leave ends the wait of an attempt. A request that is still queued and that
-// nobody else waits for is voided.
+// Leave ends the wait of an attempt. A queued request without other waiting callers is
+// voided.
 func (s *Service) Leave(args *LeaveArgs, _ *LeaveReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// Probe tells which incarnation serves at this address.
+// Probe returns the incarnation of this process.
 func (s *Service) Probe(_ *ProbeArgs, reply *ProbeReply) error {
 	reply.Incarnation = s.home.o.Self.Incarnation
 	return nil
@@ -118,8 +120,8 @@
 	s.cancels[a] = append(s.cancels[a], cancel)
 }
 
-// forget drops the attempt's entry when its first pass ends; by then the
-// ticket is settled for the others too.
+// forget removes the attempt when the first of its calls ends. By then the outcome of
+// the ticket is settled for the other calls too.
 func (s *Service) forget(a Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
