--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,28 +1,29 @@
-// Package retry bounds how many requests are run again. It is pure; the owner
-// of a Budget serialises its use.
+// Package retry limits how often failed requests are run again, so that retries can't
+// multiply the load on a failing service. It does no I/O and reads no clock. A Budget
+// isn't safe for concurrent use.
 package retry
 
 import "time"
 
-// Policy sets the bounds.
+// Policy sets the limits of a Budget.
 type Policy struct {
-	// Ratio is the number of retries that each request pays for.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Burst is the number of retries that can be saved up.
+	// Burst is the maximum number of retries in the budget.
 	Burst float64
-	// Attempts bounds the runs of one request, the first one included.
+	// Attempts bounds the runs of one request, including the first.
 	Attempts int
-	// Floor is the time that must be left until the deadline.
+	// Floor is the least time until the deadline that allows a retry.
 	Floor time.Duration
 }
 
-// DefaultPolicy allows one retry in ten requests: where a whole service fails,
-// its load rises by no more than that.
+// DefaultPolicy allows one retry per ten requests. If a whole service fails, retries
+// raise its load by no more than that.
 func DefaultPolicy() Policy {
 	return Policy{Ratio: 0.1, Burst: 10, Attempts: 3, Floor: 5 * time.Millisecond}
 }
 
-// Budget is a token bucket that requests fill and retries empty.
+// Budget is a token bucket. Requests add tokens and each retry takes one.
 type Budget struct {
 	policy Policy
 	tokens float64
@@ -33,12 +34,12 @@
 	return &Budget{policy: policy, tokens: policy.Burst}
 }
 
-// Request notes a first run.
+// Request records the first run of a request.
 func (b *Budget) Request() {
 	b.tokens = min(b.tokens+b.policy.Ratio, b.policy.Burst)
 }
 
-// Failure is a run that failed.
+// Failure describes a failed run.
 type Failure struct {
 	Idempotent bool
 	// Attempts counts the runs so far.
@@ -47,7 +48,7 @@
 	Left time.Duration
 }
 
-// Allow reports whether the request may run again, and pays for it if so.
+// Allow reports whether the request may run again and, if so, takes a token.
 func (b *Budget) Allow(f Failure) bool {
 	switch {
 	case !f.Idempotent, f.Attempts >= b.policy.Attempts, f.Left < b.policy.Floor:
