--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -39,8 +39,9 @@
 	// Movable allows a run on a sibling. The request is idempotent, its body is
 	// held in memory, and no sibling has sent it here.
 	Movable bool
-	// Elsewhere prefers a sibling, because a run has already failed.
-	Elsewhere bool
+	// PreferSibling asks for a run on a sibling if possible, because an earlier run
+	// has failed.
+	PreferSibling bool
 
 	// moved marks a request that a sibling owns.
 	moved bool
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -186,7 +186,7 @@
 			return dispatch.Request{
 				ID: next, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Arrived: now,
 				Deadline: now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "left")) * time.Millisecond),
-				Movable:  rapid.Bool().Draw(t, "movable"), Elsewhere: rapid.Bool().Draw(t, "elsewhere"),
+				Movable:  rapid.Bool().Draw(t, "movable"), PreferSibling: rapid.Bool().Draw(t, "elsewhere"),
 			}
 		}
 		seq := uint64(1)
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -191,7 +191,7 @@
 // placeNow starts, pushes or refuses a request that doesn't have to wait. It reports
 // false if the request has to be queued.
 func (s *Scheduler) placeNow(now time.Time, r Request) bool {
-	preferSibling := r.Movable && (r.Elsewhere || s.draining || s.avoidsUpstream())
+	preferSibling := r.Movable && (r.PreferSibling || s.draining || s.avoidsUpstream())
 	if preferSibling && s.pushAnywhere(now, r) {
 		return true
 	}
--- a/internal/dispatch/sibling.go
+++ b/internal/dispatch/sibling.go
@@ -108,7 +108,7 @@
 		s.refuse(id, p.request.Priority, ReasonDraining)
 		return s.finish(now)
 	}
-	p.request.Elsewhere = false
+	p.request.PreferSibling = false
 	s.queue.push(p.request)
 	return s.finish(now)
 }
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -26,9 +26,9 @@
 // no further retry is allowed.
 func (h *Handler) runIdempotent(ctx context.Context, j *job) jobResult {
 	h.countRequest()
-	for elsewhere := false; ; elsewhere = true {
+	for isRetry := false; ; isRetry = true {
 		request := j.scheduled()
-		request.Elsewhere = elsewhere
+		request.PreferSibling = isRetry
 		e, err := h.runOnce(ctx, j, request)
 		if err == nil {
 			return e
