--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,9 +1,9 @@
 // Package dispatch schedules the requests of one agent. An agent is the process next to
-// one upstream; it gives the upstream at most as many requests at a time as it has
-// slots. The scheduler decides which request gets the next free slot, which is sent to
-// a sibling (another agent of the same service), and which is refused at once. It does
-// no I/O and reads no clock: callers pass in the time and received messages, and get
-// back the actions to carry out. A Scheduler isn't safe for concurrent use; one
+// one upstream, its local upstream, and gives it at most as many requests at a time as
+// it has slots. The scheduler decides which request gets the next free slot, which is
+// sent to a sibling (another agent of the same service), and which is refused at once.
+// It does no I/O and reads no clock: callers pass in the time and received messages,
+// and get back the actions to carry out. A Scheduler isn't safe for concurrent use; one
 // goroutine owns it.
 //
 // Requests are assigned to siblings as late as possible. An agent that has a free slot
@@ -84,7 +84,7 @@
 // Pull, Decline or Announce.
 type Action interface{ action() }
 
-// Start runs the request on the agent's own upstream. The request occupies a slot until
+// Start runs the request on the agent's local upstream. The request occupies a slot until
 // Done.
 type Start struct{ ID ID }
 
--- a/internal/dispatch/pull.go
+++ b/internal/dispatch/pull.go
@@ -53,7 +53,7 @@
 }
 
 // precedesQueue reports whether the sibling's first waiting request should start before
-// all requests in the own queue.
+// all requests that wait here.
 func (s *Scheduler) precedesQueue(v *view) bool {
 	if s.queue.len() == 0 {
 		return true
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -73,13 +73,13 @@
 	return s.finish(now)
 }
 
-// Done frees the slot of a request. Only complete answers (whole) count as observed
-// service times, because a fast error says nothing about them.
-func (s *Scheduler) Done(now time.Time, id ID, service time.Duration, whole bool) []Action {
+// Done frees the slot of a request. Only complete answers count as observed service
+// times, because a fast error says nothing about them.
+func (s *Scheduler) Done(now time.Time, id ID, service time.Duration, complete bool) []Action {
 	s.begin()
 	if _, ok := s.running[id]; ok {
 		delete(s.running, id)
-		if whole {
+		if complete {
 			s.est.observe(service)
 		}
 	}
@@ -163,6 +163,7 @@
 // agent.
 type Load struct{ Running, Queued, Feeds, Slots int }
 
+// Load returns the present load of the agent.
 func (s *Scheduler) Load() Load {
 	return Load{Running: len(s.running), Queued: s.queue.len(), Feeds: len(s.feeds), Slots: s.slots}
 }
@@ -210,7 +211,7 @@
 }
 
 // avoidsUpstream reports whether a movable request should go to a sibling because the
-// own upstream is unhealthy. One in probeOneIn requests still runs here; otherwise a
+// local upstream is unhealthy. One in probeOneIn requests still runs here; otherwise a
 // recovery of the upstream would not be detected.
 func (s *Scheduler) avoidsUpstream() bool {
 	return !s.draws && s.rng.IntN(probeOneIn) != 0
--- a/internal/request/events.go
+++ b/internal/request/events.go
@@ -30,20 +30,20 @@
 // call.
 func (e *events) add(read []byte) []byte {
 	e.partial = append(e.partial, read...)
-	end := wholeEvents(e.partial)
+	end := completeEvents(e.partial)
 	if end == 0 && len(e.partial) <= maxEventBytes {
 		return nil
 	}
 	if end == 0 {
 		return e.flushPartial()
 	}
-	whole := e.partial[:end]
-	e.recordIDs(whole)
+	complete := e.partial[:end]
+	e.recordIDs(complete)
 	e.partial = append([]byte(nil), e.partial[end:]...)
 	if len(e.partial) == 0 {
 		e.partial = nil // frees the buffer, because feeds are idle most of the time
 	}
-	return whole
+	return complete
 }
 
 // flushPartial returns an incomplete event that is too long to be buffered further.
@@ -54,11 +54,11 @@
 }
 
 // recordIDs updates lastID and resumable for complete events that are sent.
-func (e *events) recordIDs(whole []byte) {
-	for len(whole) > 0 {
-		end := firstEvent(whole)
-		e.recordID(whole[:end])
-		whole = whole[end:]
+func (e *events) recordIDs(complete []byte) {
+	for len(complete) > 0 {
+		end := firstEvent(complete)
+		e.recordID(complete[:end])
+		complete = complete[end:]
 	}
 }
 
@@ -110,8 +110,8 @@
 	}
 }
 
-// wholeEvents returns the total length of the complete events at the start of b.
-func wholeEvents(b []byte) int {
+// completeEvents returns the total length of the complete events at the start of b.
+func completeEvents(b []byte) int {
 	end := 0
 	for {
 		n := firstEvent(b[end:])
--- a/internal/request/failover.go
+++ b/internal/request/failover.go
@@ -33,7 +33,7 @@
 	errNoSibling  = errors.New("request: no sibling")
 )
 
-// feedSource supplies the events of a feed: the own upstream or a sibling.
+// feedSource supplies the events of a feed: the local upstream or a sibling.
 type feedSource struct {
 	io.ReadCloser
 	// interrupt makes Read return.
@@ -113,7 +113,7 @@
 		}
 		next, err := f.openAtSibling(id)
 		if err != nil {
-			f.handler.log.Debug("No sibling accepted a feed; it stays on the own upstream.", "error", err)
+			f.handler.log.Debug("No sibling accepted a feed; it stays on the local upstream.", "error", err)
 			return
 		}
 		if f.switchTo(next, id) {
@@ -284,15 +284,15 @@
 	delete(h.feeds, f)
 }
 
-// openLocal opens a feed at the own upstream.
+// openLocal opens a feed at the local upstream.
 func (h *Handler) openLocal(ctx context.Context, j *job) (feedSource, *http.Response, error) {
-	own, cancel := context.WithCancel(ctx)
-	request, err := j.upstreamRequest(own)
+	feedCtx, cancel := context.WithCancel(ctx)
+	request, err := j.upstreamRequest(feedCtx)
 	if err != nil {
 		cancel()
 		return feedSource{}, nil, err
 	}
-	response, err := h.o.Upstream.Run(own, request, j.class)
+	response, err := h.o.Upstream.Run(feedCtx, request, j.class)
 	if err != nil {
 		cancel()
 		return feedSource{}, nil, err
--- a/internal/request/feed.go
+++ b/internal/request/feed.go
@@ -50,5 +50,5 @@
 	defer h.engine.post(feedClosing{id: id})
 	defer body.Close()
 	err = upstream.Stream(w, head.Header, body)
-	h.finish(w, class, jobResult{streamed: true, cut: err != nil})
+	h.finish(w, class, jobResult{streamed: true, truncated: err != nil})
 }
--- a/internal/request/follow.go
+++ b/internal/request/follow.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// limits returns the configured limits of the own upstream.
+// limits returns the configured limits of the local upstream.
 func (h *Handler) limits() dispatch.Limits {
 	service := h.service()
 	if service == nil {
--- a/internal/request/handler.go
+++ b/internal/request/handler.go
@@ -222,16 +222,16 @@
 		h.write(w, class, e.answer)
 		return
 	}
-	h.countStreamed(class, e.cut)
-	if e.cut {
+	h.countStreamed(class, e.truncated)
+	if e.truncated {
 		// Otherwise the caller would take a truncated answer for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (h *Handler) countStreamed(class string, cut bool) {
+func (h *Handler) countStreamed(class string, truncated bool) {
 	outcome := OutcomeComplete
-	if cut {
+	if truncated {
 		outcome = OutcomeUnknown
 	}
 	h.metrics.ended(class, outcome)
--- a/internal/request/health.go
+++ b/internal/request/health.go
@@ -38,7 +38,7 @@
 	if context.Cause(ctx) == context.Canceled {
 		return
 	}
-	good := err == nil && !e.cut
+	good := err == nil && !e.truncated
 	if good && e.answer != nil {
 		good = e.answer.Status < http.StatusInternalServerError
 	}
--- a/internal/request/job.go
+++ b/internal/request/job.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// upstreamRequest builds the request for the own upstream.
+// upstreamRequest builds the request for the local upstream.
 func (j *job) upstreamRequest(ctx context.Context) (*http.Request, error) {
 	var body io.Reader
 	switch {
@@ -96,8 +96,8 @@
 	answer *Answer
 	// streamed means that the answer has been sent; cut means that it was
 	// truncated.
-	streamed bool
-	cut      bool
+	streamed  bool
+	truncated bool
 }
 
 // readBounded reads up to limit bytes. If the data is longer, it returns limit+1 bytes
--- a/internal/request/message.go
+++ b/internal/request/message.go
@@ -40,14 +40,14 @@
 
 // ended frees the slot of a job whose run has ended.
 type ended struct {
-	id      dispatch.ID
-	service time.Duration
-	whole   bool
+	id       dispatch.ID
+	service  time.Duration
+	complete bool
 }
 
 func (m ended) apply(e *engine, now time.Time) []dispatch.Action {
 	delete(e.jobs, m.id)
-	return e.sched.Done(now, m.id, m.service, m.whole)
+	return e.sched.Done(now, m.id, m.service, m.complete)
 }
 
 // returned gives a pushed job back to the scheduler, because the sibling refused to run
--- a/internal/request/relay.go
+++ b/internal/request/relay.go
@@ -47,7 +47,7 @@
 	Ended  bool
 }
 
-// relay reads a feed of the own upstream on behalf of a sibling.
+// relay reads a feed of the local upstream on behalf of a sibling.
 type relay struct {
 	next chan FeedNextReply // unbuffered, so that a sent reply has been received
 	done <-chan struct{}
@@ -158,7 +158,7 @@
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := source.Read(buffer)
-		if whole := events.add(buffer[:n]); len(whole) > 0 && !one.offer(ctx, FeedNextReply{Events: whole}) {
+		if complete := events.add(buffer[:n]); len(complete) > 0 && !one.offer(ctx, FeedNextReply{Events: complete}) {
 			return
 		}
 		if err == io.EOF {
@@ -224,8 +224,8 @@
 	if err := h.o.Caller.Call(opening, sibling, methodFeedOpen, call, &reply); err != nil {
 		return feedSource{}, err
 	}
-	own, interrupt := context.WithCancel(ctx)
-	feed := &remoteFeed{ctx: own, handler: h, sibling: sibling, relay: reply.Relay}
+	feedCtx, interrupt := context.WithCancel(ctx)
+	feed := &remoteFeed{ctx: feedCtx, handler: h, sibling: sibling, relay: reply.Relay}
 	return feedSource{ReadCloser: feed, interrupt: interrupt}, nil
 }
 
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -22,7 +22,7 @@
 // reasonStopped means that the process is stopping.
 const reasonStopped dispatch.Reason = "stopped"
 
-// runIdempotent runs a job, on the own upstream or on a sibling, until it succeeds or
+// runIdempotent runs a job, on the local upstream or on a sibling, until it succeeds or
 // no further retry is allowed.
 func (h *Handler) runIdempotent(ctx context.Context, j *job) jobResult {
 	h.countRequest()
@@ -133,20 +133,20 @@
 	}
 }
 
-// runLocal runs a started job on the own upstream and frees its slot once the answer is
+// runLocal runs a started job on the local upstream and frees its slot once the answer is
 // complete.
 func (h *Handler) runLocal(ctx context.Context, j *job) (jobResult, error) {
 	began := time.Now()
 	h.metrics.waited(j.class.Name, began.Sub(j.arrived))
 	e, err := h.exchange(ctx, j)
 	service := time.Since(began)
-	whole := err == nil && !e.cut
+	complete := err == nil && !e.truncated
 	h.observe(ctx, e, err, service)
-	h.engine.post(ended{id: j.id, service: service, whole: whole})
+	h.engine.post(ended{id: j.id, service: service, complete: complete})
 	return e, err
 }
 
-// exchange sends the request to the own upstream once and receives the answer.
+// exchange sends the request to the local upstream once and receives the answer.
 func (h *Handler) exchange(ctx context.Context, j *job) (jobResult, error) {
 	if err := ctx.Err(); err != nil {
 		return jobResult{}, errors.Wrap(err, "request: ended before it was sent to the upstream")
@@ -192,7 +192,7 @@
 		return jobResult{}, errLongAnswer
 	}
 	err = j.stream(answer, response.Body)
-	return jobResult{streamed: true, cut: err != nil}, nil
+	return jobResult{streamed: true, truncated: err != nil}, nil
 }
 
 // transient reports whether a status describes the upstream's state rather than the
--- a/internal/request/ticketed.go
+++ b/internal/request/ticketed.go
@@ -93,14 +93,14 @@
 		return h.void(d.ID, dispatch.Refuse{ID: j.id, Reason: reasonBodyOmitted})
 	}
 	defer context.AfterFunc(ctx, func() { h.o.Tickets.Leave(d.ID) })()
-	own, cancel := context.WithDeadline(context.WithoutCancel(ctx), j.deadline)
+	runCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), j.deadline)
 	defer cancel()
 	if !h.engine.post(arrival{job: j, request: j.scheduled()}) {
 		return h.void(d.ID, dispatch.Refuse{ID: j.id, Reason: reasonStopped})
 	}
-	switch a := h.awaitTurn(own, d, j).(type) {
+	switch a := h.awaitTurn(runCtx, d, j).(type) {
 	case dispatch.Start:
-		return h.startOwned(own, d.ID, j)
+		return h.startOwned(runCtx, d.ID, j)
 	case dispatch.Refuse:
 		h.metrics.refused(j.class.Name, a.Reason)
 		return h.void(d.ID, a)
