--- a/internal/request/follow.go
+++ b/internal/request/follow.go
@@ -35,7 +35,7 @@
 		return dispatch.Limits{Slots: defaultSlots, Queue: defaultQueue, Feeds: defaultFeeds}
 	}
 	l := service.Limits
-	feeds := max(l.Connections-l.Slots, 0) // each slot needs a connection
+	feeds := max(l.Connections-l.Slots, 0) // each slot needs its own connection
 	return dispatch.Limits{Slots: l.Slots, Queue: l.Queue, Feeds: feeds}
 }
 
