--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -38,7 +38,7 @@
 	return dispatch.Refuse{}
 }
 
-func TestRequestThatCannotMakeItsDeadlineIsToldAtOnce(t *testing.T) {
+func TestRequestExpectedToMissDeadlineIsRefusedOnArrival(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1, Queue: 100})
 	s.Arrive(start, request(1, 0, time.Minute))
 	for id := range dispatch.ID(50) {
@@ -50,23 +50,23 @@
 	}
 }
 
-func TestDeadlineInTheQueueIsToldWhenItPasses(t *testing.T) {
+func TestQueuedRequestIsRefusedWhenItsDeadlinePasses(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1, Queue: 10})
 	s.Arrive(start, request(1, 0, time.Minute))
 	s.Arrive(start, request(2, 0, time.Second))
 	at, ok := s.NextWake()
 	if !ok || !at.Equal(start.Add(time.Second)) {
-		t.Fatalf("next wake %v %v", at, ok)
+		t.Fatalf("next wake at %v (%v), want the deadline of request 2", at, ok)
 	}
 	if r := refusal(t, s.Tick(at)); r.ID != 2 || r.Reason != dispatch.ReasonExpired {
 		t.Fatalf("refused by %+v", r)
 	}
 	if _, wasQueued := s.Remove(at, 2); wasQueued {
-		t.Fatal("a refused request was removed again")
+		t.Fatal("a refused request was still in the queue")
 	}
 }
 
-func TestOfferIsAnsweredByOnePushOrADecline(t *testing.T) {
+func TestEachOfferIsAnsweredByPushOrDecline(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1, Queue: 10})
 	s.SetSiblings(start, []netip.AddrPort{address(2)})
 	s.Arrive(start, request(1, 0, time.Minute))
@@ -98,15 +98,15 @@
 	}
 	s.Tick(at)
 	if _, ok := s.NextWake(); ok {
-		t.Fatal("the reservation outlived its time")
+		t.Fatal("the reservation is still pending after its expiry")
 	}
 }
 
-func TestFlowGoesOnlyToAClearlyBetterPlace(t *testing.T) {
+func TestFlowMovesOnlyBeyondMargin(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1})
 	s.SetSiblings(start, []netip.AddrPort{address(2), address(3)})
 	if s.FlowTarget().Better(1000) {
-		t.Fatal("a sibling that said nothing was taken for empty")
+		t.Fatal("a sibling that has sent no standing was chosen as flow target")
 	}
 	s.Heard(start, address(2), dispatch.Standing{Seq: 5, Connections: 500, Draws: true})
 	s.Heard(start, address(3), dispatch.Standing{Seq: 5, Connections: 10})
@@ -117,8 +117,8 @@
 	}
 }
 
-// ledger checks that each request gets one word at a time and one end.
-type ledger struct {
+// lifecycle checks that each request gets one action at a time and ends exactly once.
+type lifecycle struct {
 	t     *rapid.T
 	state map[dispatch.ID]string
 	slots int
@@ -131,7 +131,7 @@
 	ended   = "ended"
 )
 
-func (l *ledger) take(actions []dispatch.Action) {
+func (l *lifecycle) take(actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Start:
@@ -147,14 +147,14 @@
 	}
 }
 
-func (l *ledger) move(id dispatch.ID, to string) {
+func (l *lifecycle) move(id dispatch.ID, to string) {
 	if l.state[id] != queued {
 		l.t.Fatalf("request %d went from %q to %q", id, l.state[id], to)
 	}
 	l.state[id] = to
 }
 
-func (l *ledger) in(state string) (ids []dispatch.ID) {
+func (l *lifecycle) in(state string) (ids []dispatch.ID) {
 	for id, s := range l.state {
 		if s == state {
 			ids = append(ids, id)
@@ -164,11 +164,11 @@
 	return ids
 }
 
-// TestEachRequestEndsOnce runs any history of messages against the scheduler,
-// then lets all that is open end.
+// TestEachRequestEndsOnce applies random sequences of messages to the scheduler, then
+// ends everything that is still open and checks that no request is left.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &ledger{t: t, state: map[dispatch.ID]string{}, slots: rapid.IntRange(1, 4).Draw(t, "slots")}
+		l := &lifecycle{t: t, state: map[dispatch.ID]string{}, slots: rapid.IntRange(1, 4).Draw(t, "slots")}
 		s := scheduler(dispatch.Limits{Slots: l.slots, Queue: rapid.IntRange(0, 5).Draw(t, "queue")})
 		siblings := []netip.AddrPort{address(2), address(3)}
 		l.take(s.SetSiblings(start, siblings))
@@ -186,7 +186,7 @@
 			return dispatch.Request{
 				ID: next, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Arrived: now,
 				Deadline: now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "left")) * time.Millisecond),
-				Movable:  rapid.Bool().Draw(t, "movable"), Elsewhere: rapid.Bool().Draw(t, "elsewhere"),
+				Movable:  rapid.Bool().Draw(t, "movable"), PreferSibling: rapid.Bool().Draw(t, "elsewhere"),
 			}
 		}
 		seq := uint64(1)
@@ -207,7 +207,7 @@
 					l.state[id] = ended
 					actions, wasQueued := s.Remove(now, id)
 					if !wasQueued {
-						t.Fatalf("request %d waits but was not queued", id)
+						t.Fatalf("request %d is queued, but Remove did not find it", id)
 					}
 					l.take(actions)
 				}
@@ -253,7 +253,7 @@
 		}
 		l.take(s.Tick(now.Add(time.Minute)))
 		if left := len(l.in(queued)) + len(l.in(running)); left > 0 {
-			t.Fatalf("%d requests have no end", left)
+			t.Fatalf("%d requests neither ended nor were refused", left)
 		}
 	})
 }
--- a/internal/dispatch/pull.go
+++ b/internal/dispatch/pull.go
@@ -4,9 +4,10 @@
 	"time"
 )
 
-// moveIn offers free slots to siblings that have told of a queue, by
-// their first waiting requests.
-func (s *Scheduler) moveIn(now time.Time) {
+// pullQueued offers free slots to the siblings that have reported queued requests,
+// those with the most urgent or oldest request first. When no slot is free, it may
+// still pull a request to wait here for the next one (see maxPrefetched).
+func (s *Scheduler) pullQueued(now time.Time) {
 	if s.draining || !s.draws || s.options.Alone {
 		return
 	}
@@ -17,26 +18,26 @@
 		}
 		s.pull(now, v, false)
 	}
-	if s.ahead() >= maxAhead {
+	if s.prefetched() >= maxPrefetched {
 		return
 	}
-	if v := s.neediest(); v != nil && s.behind(v) {
+	if v := s.neediest(); v != nil && s.precedesQueue(v) {
 		s.pull(now, v, true)
 	}
 }
 
-// pull offers a slot to the sibling: one that is held for it, or the next to
-// fall free.
-func (s *Scheduler) pull(now time.Time, v *view, ahead bool) {
-	v.heard.Queued--
+// pull offers a slot to the sibling: with prefetch the next one that becomes free,
+// otherwise one that is free now and reserved for the sibling.
+func (s *Scheduler) pull(now time.Time, v *view, prefetch bool) {
+	v.standing.Queued--
 	s.lastID++
-	s.reserved[s.lastID] = reservation{from: v.addr, until: now.Add(reservationLife), displaced: ahead}
+	s.reserved[s.lastID] = reservation{from: v.addr, until: now.Add(reservationTTL), displaced: prefetch}
 	s.emit(Pull{From: v.addr, Reservation: s.lastID, Standing: s.standing(now, v.addr)})
 }
 
-// ahead counts the requests of siblings that wait here or are to come without
-// a slot that is held for them.
-func (s *Scheduler) ahead() int {
+// prefetched returns the number of siblings' requests that wait here, or are expected,
+// without a reserved slot.
+func (s *Scheduler) prefetched() int {
 	n := 0
 	for _, r := range s.reserved {
 		if r.displaced {
@@ -51,41 +52,42 @@
 	return n
 }
 
-// behind reports whether the sibling's first waiting request should start
-// before all that wait here.
-func (s *Scheduler) behind(v *view) bool {
+// precedesQueue reports whether the sibling's first waiting request should start before
+// all requests that wait here.
+func (s *Scheduler) precedesQueue(v *view) bool {
 	if s.queue.len() == 0 {
 		return true
 	}
 	first := &s.queue.waiting[0]
-	if v.heard.Priority != first.Priority {
-		return v.heard.Priority < first.Priority
+	if v.standing.Priority != first.Priority {
+		return v.standing.Priority < first.Priority
 	}
 	return v.oldest.Before(first.Arrived)
 }
 
-// neediest returns the sibling whose first waiting request should start first.
+// neediest returns the sibling with the waiting request that should start first, or nil
+// if no sibling has one.
 func (s *Scheduler) neediest() *view {
 	var best *view
 	for i := range s.group.views {
 		v := &s.group.views[i]
-		if v.heard.Queued > 0 && (best == nil || v.before(best)) {
+		if v.standing.Queued > 0 && (best == nil || v.before(best)) {
 			best = v
 		}
 	}
 	return best
 }
 
-// before orders siblings by their first waiting requests.
+// before reports whether the first waiting request of v should start before that of o.
 func (v *view) before(o *view) bool {
-	if v.heard.Priority != o.heard.Priority {
-		return v.heard.Priority < o.heard.Priority
+	if v.standing.Priority != o.standing.Priority {
+		return v.standing.Priority < o.standing.Priority
 	}
 	return v.oldest.Before(o.oldest)
 }
 
-// held is the number of slots that wait for a sibling's request.
-func (s *Scheduler) held() int {
+// heldSlots returns the number of slots that are reserved for siblings' requests.
+func (s *Scheduler) heldSlots() int {
 	n := 0
 	for _, r := range s.reserved {
 		if !r.displaced {
@@ -95,7 +97,7 @@
 	return n
 }
 
-// displaceReservation takes the slot of the newest reservation.
+// displaceReservation takes the slot away from the newest reservation.
 func (s *Scheduler) displaceReservation() {
 	var newest Reservation
 	for id, r := range s.reserved {
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// pushIdle pushes r to a sibling that has an idle slot. With admit it stays
-// there though the slot may be taken by then.
+// pushIdle pushes r to a sibling with an idle slot and reports whether there was one.
+// With admit, the sibling queues the request if the slot is taken when it arrives.
 func (s *Scheduler) pushIdle(now time.Time, r Request, admit bool) bool {
 	v := s.pickIdle(now)
 	if v == nil {
 		return false
 	}
-	v.heard.Idle--
+	v.standing.Idle--
 	s.push(now, r, Push{To: v.addr, Admit: admit})
 	return true
 }
 
-// pushAnywhere pushes r to an idle sibling, else to the one with the shortest
-// queue.
+// pushAnywhere pushes r to a sibling with an idle slot or, if there is none, to the
+// sibling with the shortest queue.
 func (s *Scheduler) pushAnywhere(now time.Time, r Request) bool {
 	if s.pushIdle(now, r, true) {
 		return true
@@ -25,14 +25,14 @@
 	var best *view
 	for i := range s.group.views {
 		v := &s.group.views[i]
-		if v.heard.Draws && (best == nil || v.heard.Queued < best.heard.Queued) {
+		if v.standing.Draws && (best == nil || v.standing.Queued < best.standing.Queued) {
 			best = v
 		}
 	}
 	if best == nil || s.options.Alone {
 		return false
 	}
-	best.heard.Queued++
+	best.standing.Queued++
 	s.push(now, r, Push{To: best.addr, Admit: true})
 	return true
 }
@@ -44,8 +44,8 @@
 	s.emit(p)
 }
 
-// pickIdle draws one of the known idle slots of siblings at random: a fixed
-// order would send all agents to the same sibling.
+// pickIdle picks one of the known idle slots of all siblings at random and returns its
+// sibling. In a fixed order all agents would push to the same sibling.
 func (s *Scheduler) pickIdle(now time.Time) *view {
 	total := 0
 	for i := range s.group.views {
@@ -65,14 +65,14 @@
 }
 
 func (v *view) idle(now time.Time) int {
-	if !v.heard.Draws || !now.Before(v.expires) {
+	if !v.standing.Draws || !now.Before(v.expires) {
 		return 0
 	}
-	return max(v.heard.Idle, 0)
+	return max(v.standing.Idle, 0)
 }
 
-// moveOut pushes waiting requests to siblings that are known to be idle.
-func (s *Scheduler) moveOut(now time.Time) {
+// pushQueued pushes waiting requests to siblings that are known to have idle slots.
+func (s *Scheduler) pushQueued(now time.Time) {
 	for {
 		i := s.queue.firstMovable()
 		if i < 0 {
@@ -82,7 +82,7 @@
 		if v == nil {
 			return
 		}
-		v.heard.Idle--
+		v.standing.Idle--
 		s.push(now, s.queue.removeAt(i), Push{To: v.addr})
 	}
 }
--- a/internal/home/metrics.go
+++ b/internal/home/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/saltbend/saltbend/internal/ticket"
 )
 
-// counters are the home's metrics.
+// counters holds the metrics of a home.
 type counters struct{}
 
-// newCounters shows what the window holds.
+// newCounters registers gauges for the content of the window.
 func newCounters(h *Home) *counters {
 	gauge := func(name string, value func(ticket.Usage) float64) {
 		metrics.GetOrCreateGauge(name, func() float64 {
@@ -26,7 +26,7 @@
 	return &counters{}
 }
 
-// passed counts a request that was passed to its home.
-func (*counters) passed(result string) {
+// forwarded counts a request that was forwarded to its home.
+func (*counters) forwarded(result string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("saltbend_ticket_passes_total{result=%q}", result)).Inc()
 }
--- a/internal/request/engine.go
+++ b/internal/request/engine.go
@@ -10,24 +10,24 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// inboxSize is how many messages wait for the engine before senders do.
+// inboxSize is the number of messages that can be pending before senders block.
 const inboxSize = 256
 
-// engine is the one goroutine that owns the scheduler. Handlers and siblings
-// reach it by messages; it answers each job on the job's own channel.
+// engine runs the goroutine that owns the scheduler. Handlers and siblings send
+// messages to it; it sends each job its next action on the job's own channel.
 type engine struct {
-	inbox chan message
-	sched *dispatch.Scheduler
-	jobs  map[dispatch.ID]*job
-	links siblingLinks
-	log   *slog.Logger
-	load  atomic.Pointer[dispatch.Load]
-	flows atomic.Pointer[dispatch.FlowTarget]
-	ids   atomic.Uint64
-	done  chan struct{}
+	inbox      chan message
+	sched      *dispatch.Scheduler
+	jobs       map[dispatch.ID]*job
+	links      siblingLinks
+	log        *slog.Logger
+	load       atomic.Pointer[dispatch.Load]
+	flowTarget atomic.Pointer[dispatch.FlowTarget]
+	ids        atomic.Uint64
+	done       chan struct{}
 }
 
-// siblingLinks carries messages to siblings; it must not block.
+// siblingLinks sends messages to siblings. Its methods must not block.
 type siblingLinks interface {
 	pull(dispatch.Pull)
 	decline(dispatch.Decline)
@@ -50,11 +50,11 @@
 		done:  make(chan struct{}),
 	}
 	e.load.Store(&dispatch.Load{Slots: limits.Slots})
-	e.flows.Store(&dispatch.FlowTarget{})
+	e.flowTarget.Store(&dispatch.FlowTarget{})
 	return e
 }
 
-// run serves the inbox until ctx ends.
+// run processes messages and timer ticks until ctx ends.
 func (e *engine) run(ctx context.Context) {
 	defer close(e.done)
 	timer := time.NewTimer(time.Hour)
@@ -71,14 +71,13 @@
 		if at, ok := e.sched.NextWake(); ok {
 			timer.Reset(max(time.Until(at), 0))
 		}
-		load, flows := e.sched.Load(), e.sched.FlowTarget()
+		load, flowTarget := e.sched.Load(), e.sched.FlowTarget()
 		e.load.Store(&load)
-		e.flows.Store(&flows)
+		e.flowTarget.Store(&flowTarget)
 	}
 }
 
-// post hands a message to the engine; it reports false when the engine has
-// stopped.
+// post sends a message to the engine. It reports false if the engine has stopped.
 func (e *engine) post(m message) bool {
 	select {
 	case e.inbox <- m:
@@ -92,11 +91,11 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Start:
-			e.tell(a.ID, a)
+			e.sendAction(a.ID, a)
 		case dispatch.Refuse:
-			e.tell(a.ID, a)
+			e.sendAction(a.ID, a)
 		case dispatch.Push:
-			e.tell(a.ID, a)
+			e.sendAction(a.ID, a)
 		case dispatch.Pull:
 			e.links.pull(a)
 		case dispatch.Decline:
@@ -107,12 +106,12 @@
 	}
 }
 
-// tell gives a job its next action. The channel holds one and a job has at
-// most one to come, so this doesn't block.
-func (e *engine) tell(id dispatch.ID, a dispatch.Action) {
+// sendAction sends a job its next action. It doesn't block, because the channel has
+// room for one action and a job has at most one pending.
+func (e *engine) sendAction(id dispatch.ID, a dispatch.Action) {
 	j, ok := e.jobs[id]
 	if !ok {
-		e.log.Error("Action for an unknown request.", "id", uint64(id))
+		e.log.Error("Scheduler returned an action for an unknown request.", "id", uint64(id))
 		return
 	}
 	j.next <- a
@@ -121,5 +120,5 @@
 	}
 }
 
-// nextID returns an ID that no other request of this process has.
+// nextID returns an ID that is unique within this process.
 func (e *engine) nextID() dispatch.ID { return dispatch.ID(e.ids.Add(1)) }
--- a/internal/request/relay.go
+++ b/internal/request/relay.go
@@ -20,41 +20,42 @@
 )
 
 const (
-	// feedPoll is how long a sibling waits for the next event.
-	feedPoll = 10 * time.Second
-	// feedGrace is added to it for travel.
-	feedGrace = 5 * time.Second
-	// relayIdle ends a relay whose reader has gone without a word.
-	relayIdle = 30 * time.Second
+	// feedPollTimeout is how long FeedNext waits for the next event.
+	feedPollTimeout = 10 * time.Second
+	// feedPollMargin is added to feedPollTimeout on the calling side for the network
+	// round trip.
+	feedPollMargin = 5 * time.Second
+	// relayIdleTimeout ends a relay if its reader hasn't called FeedNext for that long.
+	relayIdleTimeout = 30 * time.Second
 	// relayBuffer is the size of one read from the upstream in bytes.
 	relayBuffer = 512
 )
 
-// errNoRelay tells that a relay has ended or never was.
-var errNoRelay = errors.New("request: no such feed")
+// errNoRelay means that a relay has ended or never existed.
+var errNoRelay = errors.New("request: no open feed with that id")
 
-// FeedOpenReply names the relay.
+// FeedOpenReply identifies the relay.
 type FeedOpenReply struct{ Relay dispatch.ID }
 
-// FeedArgs names a relay.
+// FeedArgs identifies a relay.
 type FeedArgs struct{ Relay dispatch.ID }
 
-// FeedNextReply carries whole events; none, and not ended, after a while
-// without any.
+// FeedNextReply carries complete events. It is empty, and not ended, if no event came
+// within feedPollTimeout.
 type FeedNextReply struct {
 	Events []byte
 	Ended  bool
 }
 
-// relay reads a feed of the own upstream for a sibling.
+// relay reads a feed of the local upstream on behalf of a sibling.
 type relay struct {
-	next chan FeedNextReply // unbuffered: what was offered has been taken
+	next chan FeedNextReply // unbuffered, so that a sent reply has been received
 	done <-chan struct{}
 	stop context.CancelFunc
 	idle *time.Timer
 }
 
-// relays are the feeds that siblings read here.
+// relays holds the open relays of this agent.
 type relays struct {
 	mu   sync.Mutex
 	open map[dispatch.ID]*relay
@@ -81,7 +82,7 @@
 	delete(r.open, id)
 }
 
-// stopAll has the owners go on elsewhere.
+// stopAll ends all relays, so that their owners resume the feeds elsewhere.
 func (r *relays) stopAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,18 +91,18 @@
 	}
 }
 
-// FeedOpen opens a feed for a sibling whose upstream leaves.
+// FeedOpen opens a feed for a sibling whose upstream has failed or that is draining.
 func (s *Sibling) FeedOpen(call *Call, reply *FeedOpenReply) error {
 	h := s.handler
 	if call.Service != h.o.Service {
 		return errOtherService
 	}
-	j, err := h.passedJob(call)
+	j, err := h.forwardedJob(call)
 	if err != nil {
 		return err
 	}
 	if j.class.Kind != config.KindFeed {
-		return errors.New("request: not a feed")
+		return errors.New("request: class of the forwarded call is not a feed")
 	}
 	reply.Relay = j.id
 	return h.startRelay(j)
@@ -113,10 +114,10 @@
 		stop()
 		return err
 	}
-	source, response, err := h.openHere(ctx, j)
-	if err == nil && !h.carryable(j, response) {
+	source, response, err := h.openLocal(ctx, j)
+	if err == nil && !h.canFailOver(j, response) {
 		_ = source.Close()
-		err = errors.Errorf("request: feed answered %d", response.StatusCode)
+		err = errors.Errorf("request: upstream answered the feed with status %d, or the feed can't be resumed", response.StatusCode)
 	}
 	if err != nil {
 		stop()
@@ -127,14 +128,14 @@
 		next: make(chan FeedNextReply),
 		done: ctx.Done(),
 		stop: stop,
-		idle: time.AfterFunc(relayIdle, stop),
+		idle: time.AfterFunc(relayIdleTimeout, stop),
 	}
 	h.relays.add(j.id, one)
 	go h.pump(ctx, j.id, one, source)
 	return nil
 }
 
-// admitFeed takes a connection for the feed.
+// admitFeed requests a connection for the feed and waits for it.
 func (h *Handler) admitFeed(ctx context.Context, j *job) error {
 	if !h.engine.post(feedOpening{job: j}) {
 		return errors.New(string(reasonStopped))
@@ -145,7 +146,8 @@
 	return nil
 }
 
-// pump passes whole events on until the feed or the relay ends.
+// pump reads complete events from the source and hands them to FeedNext until the feed
+// or the relay ends.
 func (h *Handler) pump(ctx context.Context, id dispatch.ID, one *relay, source feedSource) {
 	defer h.engine.post(feedClosing{id: id})
 	defer h.relays.remove(id)
@@ -156,11 +158,11 @@
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := source.Read(buffer)
-		if whole := events.take(buffer[:n]); len(whole) > 0 && !one.offer(ctx, FeedNextReply{Events: whole}) {
+		if complete := events.add(buffer[:n]); len(complete) > 0 && !one.offer(ctx, FeedNextReply{Events: complete}) {
 			return
 		}
 		if err == io.EOF {
-			one.offer(ctx, FeedNextReply{Events: events.part, Ended: true})
+			one.offer(ctx, FeedNextReply{Events: events.partial, Ended: true})
 			return
 		}
 		if err != nil {
@@ -178,14 +180,14 @@
 	}
 }
 
-// FeedNext returns the next events.
+// FeedNext returns the next events. It waits up to feedPollTimeout for them.
 func (s *Sibling) FeedNext(args *FeedArgs, reply *FeedNextReply) error {
 	one := s.handler.relays.get(args.Relay)
 	if one == nil {
 		return errNoRelay
 	}
-	one.idle.Reset(relayIdle)
-	timer := time.NewTimer(feedPoll)
+	one.idle.Reset(relayIdleTimeout)
+	timer := time.NewTimer(feedPollTimeout)
 	defer timer.Stop()
 	select {
 	case *reply = <-one.next:
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// remoteFeed reads a feed at a sibling.
+// remoteFeed reads a feed through a relay at a sibling.
 type remoteFeed struct {
 	ctx     context.Context
 	handler *Handler
@@ -214,16 +216,16 @@
 	ended   bool
 }
 
-// openThere opens a feed at a sibling.
-func (h *Handler) openThere(ctx context.Context, sibling netip.AddrPort, call *Call) (feedSource, error) {
+// openRemote opens a feed at a sibling.
+func (h *Handler) openRemote(ctx context.Context, sibling netip.AddrPort, call *Call) (feedSource, error) {
 	opening, cancel := context.WithTimeout(ctx, signalTimeout)
 	defer cancel()
 	var reply FeedOpenReply
 	if err := h.o.Caller.Call(opening, sibling, methodFeedOpen, call, &reply); err != nil {
 		return feedSource{}, err
 	}
-	own, interrupt := context.WithCancel(ctx)
-	feed := &remoteFeed{ctx: own, handler: h, sibling: sibling, relay: reply.Relay}
+	feedCtx, interrupt := context.WithCancel(ctx)
+	feed := &remoteFeed{ctx: feedCtx, handler: h, sibling: sibling, relay: reply.Relay}
 	return feedSource{ReadCloser: feed, interrupt: interrupt}, nil
 }
 
@@ -233,12 +235,12 @@
 		if f.ended {
 			return 0, io.EOF
 		}
-		ctx, cancel := context.WithTimeout(f.ctx, feedPoll+feedGrace)
+		ctx, cancel := context.WithTimeout(f.ctx, feedPollTimeout+feedPollMargin)
 		reply := &FeedNextReply{}
 		err := f.handler.o.Caller.Call(ctx, f.sibling, methodFeedNext, &FeedArgs{Relay: f.relay}, reply)
 		cancel()
 		if err != nil {
-			return 0, errors.Wrap(err, "request: feed at a sibling")
+			return 0, errors.Wrap(err, "request: read feed from sibling")
 		}
 		f.left, f.ended = reply.Events, reply.Ended
 	}
@@ -247,12 +249,13 @@
 	return n, nil
 }
 
-// Close ends the relay; the sibling would find out by itself, later.
+// Close asks the sibling to end the relay. Without this call the relay would end after
+// relayIdleTimeout.
 func (f *remoteFeed) Close() error {
 	go func() {
 		args := FeedArgs{Relay: f.relay}
 		if err := f.handler.links.call(f.sibling, methodFeedClose, &args, &SignalReply{}); err != nil {
-			f.handler.log.Debug("Sibling didn't take the end of a feed.", "error", err)
+			f.handler.log.Debug("Could not close a feed at a sibling.", "error", err)
 		}
 	}()
 	return nil
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -12,23 +12,23 @@
 	"github.com/saltbend/saltbend/internal/upstream"
 )
 
-// errLongAnswer tells that an answer doesn't fit memory and can't be streamed.
-var errLongAnswer = errors.New("request: answer too long to pass on")
+// errLongAnswer means that an answer exceeds the memory limit and can't be streamed.
+var errLongAnswer = errors.New("request: answer exceeds the size limit and can't be streamed")
 
-// errTransient tells of an answer that speaks of the upstream's state rather
-// than of the request.
-var errTransient = errors.New("request: upstream is unavailable")
+// errTransient stands for an answer with a status that describes the upstream's state
+// rather than the request.
+var errTransient = errors.New("request: upstream answered with status 502, 503 or 504")
 
-// reasonStopped is the end of a request at a process that stops.
+// reasonStopped means that the process is stopping.
 const reasonStopped dispatch.Reason = "stopped"
 
-// runIdempotent runs a job, here or at a sibling, until it succeeds or no
-// retry is allowed.
-func (h *Handler) runIdempotent(ctx context.Context, j *job) end {
+// runIdempotent runs a job, on the local upstream or on a sibling, until it succeeds or
+// no further retry is allowed.
+func (h *Handler) runIdempotent(ctx context.Context, j *job) jobResult {
 	h.countRequest()
-	for elsewhere := false; ; elsewhere = true {
+	for isRetry := false; ; isRetry = true {
 		request := j.scheduled()
-		request.Elsewhere = elsewhere
+		request.PreferSibling = isRetry
 		e, err := h.runOnce(ctx, j, request)
 		if err == nil {
 			return e
@@ -40,21 +40,21 @@
 	}
 }
 
-// runOnce submits the job and follows the scheduler's word. An error is a
-// failed run.
-func (h *Handler) runOnce(ctx context.Context, j *job, request dispatch.Request) (end, error) {
+// runOnce submits the job to the scheduler and carries out its actions. An error means
+// that a run failed.
+func (h *Handler) runOnce(ctx context.Context, j *job, request dispatch.Request) (jobResult, error) {
 	if !h.engine.post(arrival{job: j, request: request}) {
-		return j.refusedEnd(dispatch.Refuse{ID: j.id, Reason: reasonStopped}), nil
+		return j.refusedResult(dispatch.Refuse{ID: j.id, Reason: reasonStopped}), nil
 	}
 	for {
 		switch a := h.await(ctx, j).(type) {
 		case dispatch.Start:
-			return h.runHere(ctx, j)
+			return h.runLocal(ctx, j)
 		case dispatch.Refuse:
 			h.metrics.refused(j.class.Name, a.Reason)
-			return j.refusedEnd(a), nil
+			return j.refusedResult(a), nil
 		case dispatch.Push:
-			e, taken, err := h.runThere(ctx, j, a)
+			e, taken, err := h.runOnSibling(ctx, j, a)
 			if taken {
 				return e, err
 			}
@@ -62,27 +62,27 @@
 	}
 }
 
-// refusedEnd is the end of a job that the scheduler gave up: not run, unless
-// an earlier attempt may have.
-func (j *job) refusedEnd(r dispatch.Refuse) end {
+// refusedResult returns the result of a job that the scheduler refused. The outcome is
+// not run, unless an earlier attempt may have run.
+func (j *job) refusedResult(r dispatch.Refuse) jobResult {
 	if j.fallback != nil {
-		return end{answer: j.fallback}
+		return jobResult{answer: j.fallback}
 	}
 	if j.mayHaveRun {
-		return end{answer: Unknown(string(r.Reason))}
+		return jobResult{answer: Unknown(string(r.Reason))}
 	}
-	return end{answer: refused(r)}
+	return jobResult{answer: refused(r)}
 }
 
-// failed is the end of a job whose last run failed.
-func (h *Handler) failed(j *job, err error) end {
+// failed returns the result of a job whose last run failed.
+func (h *Handler) failed(j *job, err error) jobResult {
 	if j.fallback != nil {
-		return end{answer: j.fallback}
+		return jobResult{answer: j.fallback}
 	}
 	if j.mayHaveRun {
-		return end{answer: Unknown(failureReason(err))}
+		return jobResult{answer: Unknown(failureReason(err))}
 	}
-	return end{answer: NotRun(http.StatusServiceUnavailable, failureReason(err), time.Second)}
+	return jobResult{answer: NotRun(http.StatusServiceUnavailable, failureReason(err), time.Second)}
 }
 
 func failureReason(err error) string {
@@ -98,8 +98,9 @@
 	}
 }
 
-// await returns the scheduler's next word on the job. When ctx ends first, the
-// job is taken out of the queue; if it wasn't there, the word is on its way.
+// await returns the scheduler's next action for the job. If ctx ends first, await
+// removes the job from the queue. If the job isn't queued any more, its next action is
+// already on its way, and await returns that.
 func (h *Handler) await(ctx context.Context, j *job) dispatch.Action {
 	select {
 	case a := <-j.next:
@@ -132,46 +133,46 @@
 	}
 }
 
-// runHere runs a started job on the own upstream and frees its slot when the
-// answer is whole.
-func (h *Handler) runHere(ctx context.Context, j *job) (end, error) {
+// runLocal runs a started job on the local upstream and frees its slot once the answer is
+// complete.
+func (h *Handler) runLocal(ctx context.Context, j *job) (jobResult, error) {
 	began := time.Now()
 	h.metrics.waited(j.class.Name, began.Sub(j.arrived))
 	e, err := h.exchange(ctx, j)
 	service := time.Since(began)
-	whole := err == nil && !e.cut
+	complete := err == nil && !e.truncated
 	h.observe(ctx, e, err, service)
-	h.engine.post(ended{id: j.id, service: service, whole: whole})
+	h.engine.post(ended{id: j.id, service: service, complete: complete})
 	return e, err
 }
 
-// exchange is one run on the own upstream.
-func (h *Handler) exchange(ctx context.Context, j *job) (end, error) {
+// exchange sends the request to the local upstream once and receives the answer.
+func (h *Handler) exchange(ctx context.Context, j *job) (jobResult, error) {
 	if err := ctx.Err(); err != nil {
-		return end{}, errors.Wrap(err, "request: before the run")
+		return jobResult{}, errors.Wrap(err, "request: ended before it was sent to the upstream")
 	}
 	r, err := j.upstreamRequest(ctx)
 	if err != nil {
-		return end{}, err
+		return jobResult{}, err
 	}
 	j.attempts++
 	response, err := h.o.Upstream.Run(ctx, r, j.class)
 	if err != nil {
 		j.mayHaveRun = j.mayHaveRun || !errors.Is(err, upstream.ErrNotSent)
-		return end{}, errors.Wrap(err, "request: run")
+		return jobResult{}, errors.Wrap(err, "request: run on upstream")
 	}
 	defer response.Body.Close()
 	return h.receive(j, response)
 }
 
-// receive takes the answer of the upstream into memory, or streams it where it
-// is too long for that.
-func (h *Handler) receive(j *job, response *http.Response) (end, error) {
+// receive reads the upstream's answer into memory. An answer that exceeds the limit is
+// streamed.
+func (h *Handler) receive(j *job, response *http.Response) (jobResult, error) {
 	limit := h.bodyBytes()
 	body, more, err := readBounded(response.Body, limit)
 	if err != nil {
 		j.mayHaveRun = true
-		return end{}, errors.Wrap(err, "request: read answer")
+		return jobResult{}, errors.Wrap(err, "request: read answer")
 	}
 	answer := &Answer{
 		Outcome: OutcomeComplete,
@@ -181,20 +182,21 @@
 	}
 	if j.class.Idempotent && !more && transient(answer.Status) {
 		j.fallback = answer
-		return end{}, errTransient
+		return jobResult{}, errTransient
 	}
 	if !more {
-		return end{answer: answer}, nil
+		return jobResult{answer: answer}, nil
 	}
 	if j.stream == nil {
 		j.mayHaveRun = true
-		return end{}, errLongAnswer
+		return jobResult{}, errLongAnswer
 	}
 	err = j.stream(answer, response.Body)
-	return end{streamed: true, cut: err != nil}, nil
+	return jobResult{streamed: true, truncated: err != nil}, nil
 }
 
-// transient reports whether a status speaks of the upstream's state.
+// transient reports whether a status describes the upstream's state rather than the
+// request.
 func transient(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
--- a/internal/ticket/ticket_test.go
+++ b/internal/ticket/ticket_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCodecOpensWhatItSealedAndNothingElse(t *testing.T) {
+func TestCodecOpensOnlyUnchangedTickets(t *testing.T) {
 	c := codec(t, secretOne)
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawTicket(t)
@@ -46,13 +46,13 @@
 			t.Fatalf("got %v, %v, want %v", got, err, want)
 		}
 		if _, err := c.Open(text, want.Service+1); err != ErrService {
-			t.Fatalf("another service's ticket: %v", err)
+			t.Fatalf("opening a ticket of another service returned %v, want ErrService", err)
 		}
 		at := rapid.IntRange(0, len(text)-1).Draw(t, "at")
 		with := rapid.SampledFrom([]byte("AZaz09-_=. ")).Draw(t, "with")
 		if changed := text[:at] + string(with) + text[at+1:]; changed != text {
 			if _, err := c.Open(changed, want.Service); err == nil {
-				t.Fatalf("a changed ticket was opened: %s", changed)
+				t.Fatalf("opened a ticket with a changed character: %s", changed)
 			}
 		}
 	})
@@ -72,7 +72,7 @@
 	g.Expect(err).To(Equal(ErrForged))
 }
 
-func TestDigestKeepsPartsApart(t *testing.T) {
+func TestDigestSeparatesMethodTargetAndBody(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(DigestOf("POST", "/a", []byte("bc"))).NotTo(Equal(DigestOf("POST", "/ab", []byte("c"))))
 	g.Expect(DigestOf("POST", "/a", nil)).NotTo(Equal(DigestOf("PUT", "/a", nil)))
--- a/internal/ticket/window.go
+++ b/internal/ticket/window.go
@@ -7,20 +7,20 @@
 	"github.com/pkg/errors"
 )
 
-// Outcome is how a request ended.
+// Outcome is the final result of a request.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
-	// Complete says that the request ran and its whole answer is known.
+	// Complete means that the request has run and its complete answer is known.
 	Complete Outcome = iota + 1
-	// NotRun says that the request did not run and never will under its ticket.
+	// NotRun means that the request has not run and never will under its ticket.
 	NotRun
-	// Unknown says that the request may have run. It claims nothing else.
+	// Unknown means that the request may have run.
 	Unknown
 )
 
-// String returns the outcome's name as it stands in an HTTP header.
+// String returns the outcome's name as it is written in the HTTP header.
 func (o Outcome) String() string {
 	switch o {
 	case Complete:
@@ -32,7 +32,7 @@
 	}
 }
 
-// Answer is an upstream's whole answer.
+// Answer is the complete answer of an upstream.
 type Answer struct {
 	Status int
 	Header map[string][]string
@@ -51,49 +51,50 @@
 	return n
 }
 
-// Result is an outcome with the answer of a complete one.
+// Result is an outcome and, with Complete, the answer.
 type Result struct {
 	Outcome Outcome
 	Answer  Answer
 }
 
-// Verdict tells what to do with a request that arrived under a ticket.
+// Verdict says what to do with a request that arrived under a ticket.
 type Verdict uint8
 
 // Verdicts of Window.Admit.
 const (
-	// Admitted says that the request is now queued and may be started.
+	// Admitted means that the request is now queued and may be started.
 	Admitted Verdict = iota + 1
-	// Joined says that the same request is queued or running already: its one
-	// outcome is also this request's.
+	// Joined means that the same request is already queued or running. This one gets
+	// the same outcome.
 	Joined
-	// Settled says that the outcome is known; it comes along.
+	// Settled means that the outcome is known; Admit returns it as the Result.
 	Settled
-	// Mismatch says that the ticket belongs to another request. This one did
-	// not run and never will under this ticket.
+	// Mismatch means that the ticket was used for another request. This one has not run
+	// and never will under this ticket.
 	Mismatch
 )
 
 // Errors of New.
 var (
-	errEntries = errors.New("ticket: the window needs at least one entry")
-	errBytes   = errors.New("ticket: the window's byte bound must not be negative")
-	errSpan    = errors.New("ticket: the window needs a span of at least one ticket")
+	errEntries = errors.New("ticket: the window's bound of entries must be at least 1")
+	errBytes   = errors.New("ticket: the window's bound of bytes must not be negative")
+	errSpan    = errors.New("ticket: the window's span must be at least 1")
 )
 
-// Bounds limit what a window keeps.
+// Bounds limit the memory of a window.
 type Bounds struct {
-	// Entries bounds queued, running and recorded requests together.
+	// Entries bounds the number of queued, running and recorded requests together.
 	Entries int
-	// Bytes bounds the recorded answers; a larger answer is not recorded.
+	// Bytes bounds the total size of the recorded answers. A single answer beyond
+	// it isn't recorded.
 	Bytes int
-	// Span is the number of issued tickets, newest first, of which the window
-	// knows whether they were used. It costs two bits each.
+	// Span is the number of latest issued tickets for which the window knows
+	// whether they were used. Each takes two bits.
 	Span int
 }
 
-// DefaultBounds keep some minutes of answers of one upstream: 4,096 answers in
-// at most 8 MiB, and two million issued tickets in 512 KiB.
+// DefaultBounds suffice for the answers of one upstream over some minutes: 4,096
+// answers in at most 8 MiB, and two million issued tickets in 512 KiB.
 var DefaultBounds = Bounds{Entries: 4096, Bytes: 8 << 20, Span: 1 << 21}
 
 type state uint8
@@ -112,8 +113,9 @@
 	answer   Answer
 }
 
-// Window holds the state of every ticket that one incarnation has issued. Each
-// method is one step: its caller serialises them. Times are the home's own.
+// Window holds the state of every ticket that one incarnation has issued. Each method
+// is one complete step, and the owner of the window must serialise the calls. Times are
+// compared with the home's own clock only.
 type Window struct {
 	bounds  Bounds
 	ledger  ledger
@@ -136,13 +138,13 @@
 	return &Window{bounds: b, ledger: newLedger(b.Span), entries: map[uint64]*entry{}, order: list.New()}, nil
 }
 
-// Issue returns the nonce of a fresh ticket.
+// Issue returns the nonce of a new ticket.
 func (w *Window) Issue() uint64 {
 	return w.ledger.issue()
 }
 
-// Admit takes in a request under a ticket that this incarnation issued. The
-// result is meaningful for Settled only.
+// Admit handles a request under a ticket that this incarnation issued. The Result is
+// set with Settled only.
 func (w *Window) Admit(nonce uint64, digest Digest, deadline time.Time) (Verdict, Result) {
 	if e := w.entries[nonce]; e != nil {
 		return e.rejoin(digest)
@@ -168,11 +170,12 @@
 	}
 }
 
-// enqueue admits a first use. In a closed window, or with no room even after
-// forgetting the oldest record, the request is refused for good.
+// enqueue admits the first use of a ticket, and evicts the oldest recorded answer if
+// the window is full. If the window is closed, or full of queued and running requests,
+// it voids the ticket instead.
 func (w *Window) enqueue(nonce uint64, digest Digest, deadline time.Time) (Verdict, Result) {
 	if !w.closed && len(w.entries) >= w.bounds.Entries {
-		w.forgetOldest()
+		w.evictOldest()
 	}
 	if w.closed || len(w.entries) >= w.bounds.Entries {
 		w.ledger.set(nonce, markVoided)
@@ -183,9 +186,9 @@
 	return Admitted, Result{}
 }
 
-// Start moves a queued request to running and reports whether it may run. A
-// request whose deadline is past is voided in the same step, so a process that
-// was paused does not run what its caller no longer waits for.
+// Start changes a queued request to running and reports whether it may run. If the
+// deadline has passed, it voids the ticket in the same step. So a process that was
+// paused doesn't run a request that its caller has stopped waiting for.
 func (w *Window) Start(nonce uint64, now time.Time) bool {
 	e := w.entries[nonce]
 	if e == nil || e.state != queued {
@@ -199,8 +202,8 @@
 	return true
 }
 
-// Void removes a queued or unused ticket for good and reports whether the
-// ticket is known never to have run: only then may a caller be told so.
+// Void voids a queued or unused ticket. It reports whether the ticket definitely has
+// not run and never will; only then may a caller get the outcome "not run".
 func (w *Window) Void(nonce uint64) bool {
 	if e := w.entries[nonce]; e != nil {
 		if e.state != queued {
@@ -215,8 +218,8 @@
 	return w.ledger.get(nonce) == markVoided
 }
 
-// Finish records how a running request ended. NotRun is for a request that the
-// upstream surely never saw.
+// Finish records the result of a running request. NotRun is only allowed if the request
+// definitely didn't reach the upstream.
 func (w *Window) Finish(nonce uint64, r Result) {
 	e := w.entries[nonce]
 	if e == nil || e.state != running {
@@ -232,15 +235,16 @@
 		return
 	}
 	for w.bytes+size > w.bounds.Bytes {
-		w.forgetOldest()
+		w.evictOldest()
 	}
 	e.state, e.answer = recorded, r.Answer
 	w.order.PushBack(e)
 	w.bytes += size
 }
 
-// forgetOldest gives up the oldest record: its ticket is spent from now on.
-func (w *Window) forgetOldest() {
+// evictOldest removes the oldest recorded answer. Its ticket counts as spent
+// afterwards.
+func (w *Window) evictOldest() {
 	oldest := w.order.Front()
 	if oldest == nil {
 		return
@@ -255,15 +259,16 @@
 	w.ledger.set(e.nonce, m)
 }
 
-// Usage is what a window holds at one moment.
+// Usage describes the present content of a window.
 type Usage struct {
 	Entries int
 	Bytes   int
-	// Forgotten is the number of issued tickets below the low-water mark.
+	// Forgotten is the number of issued tickets below the low-water mark, for which
+	// the window no longer stores whether they were used.
 	Forgotten uint64
 }
 
-// Usage returns what the window holds.
+// Usage returns the present content of the window.
 func (w *Window) Usage() Usage {
 	return Usage{Entries: len(w.entries), Bytes: w.bytes, Forgotten: w.ledger.low}
 }
