--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -109,7 +109,7 @@
 		return err
 	}
 	a.store = platform.NewStore(a.env.Host.Store)
-	a.store.LogTo(logging.Part(a.env.Logger, "registry"))
+	a.store.SetLogger(logging.Part(a.env.Logger, "registry"))
 	a.registry = registry.NewAgent(a.store, logging.Part(a.env.Logger, "registry"), a.clock, a.entry())
 	a.setSeeds()
 	a.registry.LeaseLeast = a.env.Host.LeaseLeast
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -133,7 +133,7 @@
 
 func (b *balancer) start(ctx context.Context) {
 	b.store = platform.NewStore(b.env.Host.Store)
-	b.store.LogTo(logging.Part(b.env.Logger, "registry"))
+	b.store.SetLogger(logging.Part(b.env.Logger, "registry"))
 	b.follower = registry.NewFollower(b.store, logging.Part(b.env.Logger, "registry"))
 	b.setSeeds()
 	b.follower.Changed = b.changed
