--- a/internal/packetface/role/evacuations.go
+++ b/internal/packetface/role/evacuations.go
@@ -59,7 +59,7 @@
 	begun, ended := b.evacuations.change(now, record.Requests())
 	for _, request := range begun {
 		evacuationChanges[true].Inc()
-		b.log.Info("Data centre evacuated.", "dc", request.DataCentre, "at", request.At, "known", b.env.Host.KnowsDataCentre(request.DataCentre))
+		b.log.Info("Data centre evacuated.", "dc", request.DataCentre, "at", request.At, "known", b.env.Host.HasDataCentre(request.DataCentre))
 	}
 	for _, dataCentre := range ended {
 		evacuationChanges[false].Inc()
