--- a/internal/packetface/inner/forward.go
+++ b/internal/packetface/inner/forward.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Terms are what the callers of a route expect of an answer.
+// Terms are the time limits and the priority of a route's requests.
 type Terms struct {
-	// Rank orders requests that wait, 0 for the most urgent.
+	// Rank is the priority of requests that wait for a slot, 0 for the most urgent.
 	Rank uint8
-	// Aim is the time within which they want it, Timeout that after which they
-	// give up; 0 where the route does not say. They travel in steps of 8 and
-	// 64 ms, up to 2 and 16 s.
+	// Aim is the target latency of requests and Timeout the time after which their
+	// callers give up, each 0 if the route does not set it. They are encoded in steps of
+	// 8 ms and 64 ms, which limits them to 2 s and 16 s.
 	Aim, Timeout time.Duration
 }
 
-// Steps of the times in Terms.
+// Units in which the times in Terms are encoded.
 const (
 	aimStep     = 8 * time.Millisecond
 	timeoutStep = 64 * time.Millisecond
 )
 
-// Forward is the head of a packet of a flow that was opened before.
+// Forward is the header of a datagram with a packet of an established flow.
 type Forward struct {
 	Flags Flags
 	Terms Terms
@@ -30,11 +30,11 @@
 // AppendForward appends a datagram of KindForward.
 func AppendForward(b []byte, head Forward, packet []byte) []byte {
 	t := head.Terms
-	b = append(b, byte(KindForward), byte(head.Flags), t.Rank, steps(t.Aim, aimStep), steps(t.Timeout, timeoutStep))
+	b = append(b, byte(KindForward), byte(head.Flags), t.Rank, inSteps(t.Aim, aimStep), inSteps(t.Timeout, timeoutStep))
 	return append(b, packet...)
 }
 
-// ParseForward reads a datagram of KindForward; the packet aliases b.
+// ParseForward decodes a datagram of KindForward. The returned packet is a slice of b.
 func ParseForward(b []byte) (head Forward, packet []byte, err error) {
 	if len(b) < forwardSize || KindOf(b) != KindForward {
 		return Forward{}, nil, ErrDatagram
@@ -43,5 +43,5 @@
 	return Forward{Flags: Flags(b[1]), Terms: terms}, b[forwardSize:], nil
 }
 
-// steps returns a time in steps, as many as a byte holds.
-func steps(d, step time.Duration) byte { return byte(min(d/step, math.MaxUint8)) }
+// inSteps converts a duration to a number of steps, capped at the maximum of a byte.
+func inSteps(d, step time.Duration) byte { return byte(min(d/step, math.MaxUint8)) }
--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -1,6 +1,6 @@
-// Package inner holds the datagrams that balancers and agents of the packet
-// face send each other. It is pure. All numbers are big-endian; a datagram
-// begins with its kind and, where a packet travels in it, ends with that.
+// Package inner defines the datagrams that the balancers and agents of the packet face
+// exchange. It only encodes and decodes; it does no I/O. All numbers are big-endian. A
+// datagram begins with its kind and ends with the encapsulated packet, if it carries one.
 package inner
 
 import (
@@ -16,170 +16,181 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Kind is the first byte of a datagram.
+// Kind is the type of a datagram, its first byte.
 type Kind uint8
 
-// Kinds of datagrams; their sizes are given without the packet.
+// Kinds of datagrams. The sizes in parentheses don't include the encapsulated packet.
 const (
 	// KindOpen carries a packet that opens a flow to an agent (42 bytes).
 	KindOpen Kind = iota + 1
-	// KindForward carries another packet of a flow to an agent (5 bytes).
+	// KindForward carries any other packet of a flow to an agent (5 bytes).
 	KindForward
-	// KindAsk asks an agent whether its upstream holds some flows (13 bytes and 16
-	// bytes a flow).
+	// KindAsk asks an agent whether its upstream holds some flows (13 bytes and 16 bytes
+	// a flow).
 	KindAsk
-	// KindPoll asks an agent for its status (39 bytes).
+	// KindPoll requests the status of an agent (39 bytes).
 	KindPoll
-	// KindStatus tells a balancer how an agent and its upstream are (58 bytes).
+	// KindStatus reports the status of an agent and its upstream to a balancer (58
+	// bytes).
 	KindStatus
-	// KindReturned gives a packet back to the balancer that sent it (12 bytes).
+	// KindReturned returns a packet to the balancer that sent it (12 bytes).
 	KindReturned
-	// KindAnswer answers KindAsk (9 bytes and 13 bytes a flow).
+	// KindAnswer is the response to KindAsk (9 bytes and 13 bytes a flow).
 	KindAnswer
-	// KindFollow asks a balancer for news of the store, now and when there are any
-	// (2 bytes), KindNews brings them (23 bytes).
+	// KindFollow asks a balancer for its current store update and subscribes to later
+	// ones (2 bytes). KindNews carries a store update (23 bytes).
 	KindFollow
 	KindNews
-	// KindCheck asks a balancer, by a poll, whether the store lists the agent (1 byte).
+	// KindCheck is sent by an agent to ask a balancer whether the store lists the agent;
+	// the balancer answers with a poll (1 byte).
 	KindCheck
 )
 
-// Flags modify what a balancer asks of an agent.
+// Flags are options of the datagrams from a balancer to an agent.
 type Flags uint8
 
 // The bits of Flags.
 const (
-	// FlagStatus asks for a status in return.
+	// FlagStatus requests a status in return.
 	FlagStatus Flags = 1 << iota
-	// FlagMust tells that no other agent is left to take the packet.
+	// FlagMust reports that no other agent is left to accept the packet.
 	FlagMust
-	// FlagProbe asks to hand the packet to the upstream although the agent does
-	// not know the flow, as only the upstream can tell.
+	// FlagProbe requests that the packet be passed to the upstream although the agent
+	// does not know the flow, as only the upstream can tell whether it holds it.
 	FlagProbe
-	// FlagUnlisted tells the agent that the store no longer lists it.
+	// FlagUnlisted informs the agent that its entry in the store is missing or damaged.
 	FlagUnlisted
-	// FlagRepeated tells that the flow's caller may have begun another one for the
-	// same request before.
+	// FlagRepeated reports that the caller may have opened an earlier flow for the same
+	// request.
 	FlagRepeated
 )
 
-// Open is the head of a packet that opens a flow.
+// Open is the header of a datagram with a packet that opens a flow.
 type Open struct {
 	Flags Flags
-	// Hops counts the agents that have returned the packet before.
+	// Hops is the number of agents that have already returned the packet.
 	Hops uint8
-	// Service is the ServiceID that the packet is meant for.
+	// Service is the ServiceID of the service that the packet is for.
 	Service uint64
-	// Slots is the number of the upstream's slots as it was last known, 0 for not:
-	// an agent that has just started learns it before the first heartbeat.
+	// Slots is the last known number of the upstream's slots, 0 if unknown. An agent that
+	// has just started uses it until the upstream's first heartbeat.
 	Slots uint16
-	// Known is what the balancer decided by.
+	// Known holds the versions that the balancer's decision is based on.
 	Known Known
-	// Evacuation is what the balancer knows of the agent's data centre.
+	// Evacuation is the balancer's information on whether the agent's data centre is
+	// evacuated.
 	Evacuation evacuation.Word
-	// Cold is what is known of the service's upstreams while they are cold.
+	// Cold describes how the service's upstreams warm up.
 	Cold Cold
 }
 
-// Cold is what a balancer knows of how upstreams of a service warm up.
+// Cold is a balancer's information on how the upstreams of a service warm up.
 type Cold struct {
-	// Rate is how many flows a second a cold one bears, 0 for no bound.
+	// Rate is the number of flows a second that a cold upstream can handle, 0 for no
+	// limit.
 	Rate uint16
-	// Warmup is how long one is cold after its start, in steps of 1 ms up to 65 s; 0
-	// where that is not known.
+	// Warmup is how long an upstream is cold after its start, in steps of 1 ms up to 65
+	// s; 0 if unknown.
 	Warmup time.Duration
 }
 
-// Poll asks for a status.
+// Poll is a request for an agent's status.
 type Poll struct {
 	Flags Flags
-	// Service is the ServiceID that the balancer knows the agent by.
+	// Service is the ServiceID under which the balancer lists the agent, 0 if it lists
+	// none.
 	Service uint64
-	// Known, Evacuation and Cold are the same as in Open.
+	// Known, Evacuation and Cold have the same meaning as in Open.
 	Known      Known
 	Evacuation evacuation.Word
 	Cold       Cold
 }
 
-// Known tells how new the beliefs of a process are. Agents pass on the newest
-// that they hear of, so that a balancer learns that it has fallen behind.
+// Known holds the versions of the configuration and of the agent list that a process has.
+// Agents forward the highest versions that they receive, so that a balancer detects that
+// its own are outdated.
 type Known struct {
-	// Version is that of the configuration.
+	// Version is the version of the configuration.
 	Version uint64
-	// Listing is the store's position of the newest entry of an agent.
+	// Listing is the store position of the latest change to an agent's entry.
 	Listing store.Position
 }
 
-// Max returns the newer of both in each part.
+// Max returns the higher of both versions in each field.
 func (k Known) Max(o Known) Known {
 	return Known{Version: max(k.Version, o.Version), Listing: max(k.Listing, o.Listing)}
 }
 
-// Status is how an agent and its upstream are.
+// Status is the status of an agent and its upstream.
 type Status struct {
 	State State
-	// Incarnation is that of the agent's process.
+	// Incarnation is a random number that identifies the run of the agent's process.
 	Incarnation uint64
-	// Known is the newest that the agent has heard of.
+	// Known holds the highest versions that the agent has received.
 	Known Known
-	// Running counts the requests that the upstream works on, and those that wait
-	// at the agent.
+	// Running is the number of requests that the upstream is processing plus those that
+	// wait at the agent.
 	Running uint16
-	// Slots is the number of requests that the upstream works on at once.
+	// Slots is the number of requests that the upstream processes concurrently.
 	Slots uint16
-	// Flows counts the open flows.
+	// Flows is the number of open flows.
 	Flows uint32
-	// StateFor is how long the state has lasted, in steps of 1 ms up to 49 days.
+	// StateFor is the time since the last change of State, in steps of 1 ms up to 49
+	// days.
 	StateFor time.Duration
-	// Source is the host of a balancer that knows what Known tells, zero for none.
+	// Source is the host of a balancer that reported the versions in Known, zero for
+	// none.
 	Source [4]byte
-	// Balancers counts the balancers that have lately sent anything.
+	// Balancers is the number of balancers from which the agent recently received
+	// datagrams.
 	Balancers uint16
-	// Cold tells that the upstream has only just started.
+	// Cold reports that the upstream has just started and is still slow.
 	Cold bool
-	// Evacuation is the newest that the agent has heard of its data centre.
+	// Evacuation is the latest information that the agent has on whether its data centre
+	// is evacuated.
 	Evacuation evacuation.Word
-	// Answer is the time from a request to its answer lately, in steps of 1 ms up to 65 s;
-	// 0 where there was none.
+	// Answer is the recent time from a request to its response, in steps of 1 ms up to 65
+	// s; 0 if there was none.
 	Answer time.Duration
-	// Warmup is how long upstreams of the service are cold after their start as far as the
-	// agent can tell, in steps of 1 ms up to 65 s; 0 where it can't.
+	// Warmup is how long upstreams of the service are cold after their start, as reported
+	// to or estimated by the agent, in steps of 1 ms up to 65 s; 0 if unknown.
 	Warmup time.Duration
-	// Whole tells that the agent knows all flows of its upstream.
+	// Whole reports that the agent knows all flows of its upstream.
 	Whole bool
 }
 
-// ErrDatagram says that a datagram could not be read.
-var ErrDatagram = errors.New("inner: unreadable datagram")
+// ErrDatagram is returned for a datagram that can't be decoded.
+var ErrDatagram = errors.New("inner: malformed datagram")
 
-// Sizes of the fixed parts in bytes.
+// Sizes of the fixed parts of datagrams in bytes.
 const (
-	openSize     = 3 + 8 + 2 + knownSize + wordSize + coldSize
-	knownSize    = 8 + 8
-	wordSize     = 1 + 8
-	coldSize     = 2 + 2
-	askHead      = 1 + 8 + coldSize
-	forwardSize  = 5
-	flowSize     = 4 + 4 + 2 + 2
-	questionSize = flowSize + 4
-	verdictSize  = 1 + flowSize
-	answerHead   = 1 + 8
-	pollSize     = 2 + 8 + knownSize + wordSize + coldSize
-	statusSize   = 2 + 8 + knownSize + 2 + 2 + 4 + 4 + 2 + 1 + 4 + wordSize + 2 + 2
-	returnedSize = 2 + 8 + 2
-
-	// MaxBusyHops is how many agents may give an opening packet back as all slots
-	// are taken: 3 gave shorter waits than 1 or 2 in steer's BenchmarkChoices.
+	openSize       = 3 + 8 + 2 + knownSize + evacuationSize + coldSize
+	knownSize      = 8 + 8
+	evacuationSize = 1 + 8
+	coldSize       = 2 + 2
+	askHead        = 1 + 8 + coldSize
+	forwardSize    = 5
+	flowSize       = 4 + 4 + 2 + 2
+	questionSize   = flowSize + 4
+	verdictSize    = 1 + flowSize
+	answerHead     = 1 + 8
+	pollSize       = 2 + 8 + knownSize + evacuationSize + coldSize
+	statusSize     = 2 + 8 + knownSize + 2 + 2 + 4 + 4 + 2 + 1 + 4 + evacuationSize + 2 + 2
+	returnedSize   = 2 + 8 + 2
+
+	// MaxBusyHops is the number of agents that may return an opening packet because all
+	// their slots are in use. A limit of 3 gave shorter waits than 1 or 2 in steer's
+	// BenchmarkChoices.
 	MaxBusyHops = 3
 
-	// MaxQuestions is the most flows that one datagram asks for.
+	// MaxQuestions is the maximum number of flows in one datagram of KindAsk.
 	MaxQuestions = 70
 
 	// MaxSize is the size of the largest datagram.
 	MaxSize = openSize + platform.MaxPacketSize
 )
 
-// ServiceID returns the id of a service in datagrams.
+// ServiceID returns the ID that stands for a service in datagrams.
 func ServiceID(name string) uint64 { return xxhash.Sum64String(name) }
 
 // KindOf returns the kind of a datagram, 0 for an empty one.
@@ -196,12 +207,12 @@
 	b = binary.BigEndian.AppendUint64(b, o.Service)
 	b = binary.BigEndian.AppendUint16(b, o.Slots)
 	b = appendKnown(b, o.Known)
-	b = appendWord(b, o.Evacuation)
+	b = appendEvacuation(b, o.Evacuation)
 	b = appendCold(b, o.Cold)
 	return append(b, packet...)
 }
 
-// ParseOpen reads a datagram of KindOpen; the packet aliases b.
+// ParseOpen decodes a datagram of KindOpen. The returned packet is a slice of b.
 func ParseOpen(b []byte) (o Open, packet []byte, err error) {
 	if len(b) < openSize || KindOf(b) != KindOpen {
 		return Open{}, nil, ErrDatagram
@@ -209,8 +220,8 @@
 	o = Open{
 		Flags: Flags(b[1]), Hops: b[2],
 		Service: binary.BigEndian.Uint64(b[3:]), Slots: binary.BigEndian.Uint16(b[11:]), Known: parseKnown(b[13:]),
-		Evacuation: parseWord(b[13+knownSize:]),
-		Cold:       parseCold(b[13+knownSize+wordSize:]),
+		Evacuation: parseEvacuation(b[13+knownSize:]),
+		Cold:       parseCold(b[13+knownSize+evacuationSize:]),
 	}
 	return o, b[openSize:], nil
 }
@@ -219,18 +230,18 @@
 func AppendPoll(b []byte, p Poll) []byte {
 	b = binary.BigEndian.AppendUint64(append(b, byte(KindPoll), byte(p.Flags)), p.Service)
 	b = appendKnown(b, p.Known)
-	b = appendWord(b, p.Evacuation)
+	b = appendEvacuation(b, p.Evacuation)
 	return appendCold(b, p.Cold)
 }
 
-// ParsePoll reads a datagram of KindPoll.
+// ParsePoll decodes a datagram of KindPoll.
 func ParsePoll(b []byte) (Poll, error) {
 	if len(b) != pollSize || KindOf(b) != KindPoll {
 		return Poll{}, ErrDatagram
 	}
 	return Poll{
 		Flags: Flags(b[1]), Service: binary.BigEndian.Uint64(b[2:]), Known: parseKnown(b[10:]),
-		Evacuation: parseWord(b[10+knownSize:]), Cold: parseCold(b[10+knownSize+wordSize:]),
+		Evacuation: parseEvacuation(b[10+knownSize:]), Cold: parseCold(b[10+knownSize+evacuationSize:]),
 	}, nil
 }
 
@@ -247,20 +258,20 @@
 	b = binary.BigEndian.AppendUint32(b, s.Flows)
 	b = binary.BigEndian.AppendUint32(b, uint32(s.StateFor/time.Millisecond))
 	b = binary.BigEndian.AppendUint16(b, s.Balancers)
-	b = append(b, flag(s.Cold, statusCold)|flag(s.Whole, statusWhole))
+	b = append(b, flag(s.Cold, statusCold)|flag(s.Whole, statusAllFlows))
 	b = append(b, s.Source[:]...)
-	b = appendWord(b, s.Evacuation)
+	b = appendEvacuation(b, s.Evacuation)
 	b = appendMillis(b, s.Answer)
 	return appendMillis(b, s.Warmup)
 }
 
-// Bits of a status.
+// Bits of the flag byte of KindStatus.
 const (
 	statusCold = 1 << iota
-	statusWhole
+	statusAllFlows
 )
 
-// ParseStatus reads a datagram of KindStatus.
+// ParseStatus decodes a datagram of KindStatus.
 func ParseStatus(b []byte) (Status, error) {
 	if len(b) != statusSize || KindOf(b) != KindStatus {
 		return Status{}, ErrDatagram
@@ -275,21 +286,22 @@
 		StateFor:    time.Duration(binary.BigEndian.Uint32(b[34:])) * time.Millisecond,
 		Balancers:   binary.BigEndian.Uint16(b[38:]),
 		Cold:        b[40]&statusCold != 0,
-		Whole:       b[40]&statusWhole != 0,
+		Whole:       b[40]&statusAllFlows != 0,
 		Source:      [4]byte(b[41:]),
-		Evacuation:  parseWord(b[45:]),
-		Answer:      parseMillis(b[45+wordSize:]),
-		Warmup:      parseMillis(b[47+wordSize:]),
+		Evacuation:  parseEvacuation(b[45:]),
+		Answer:      parseMillis(b[45+evacuationSize:]),
+		Warmup:      parseMillis(b[47+evacuationSize:]),
 	}, nil
 }
 
-// Returned is the head of a packet that goes back to the balancer that sent it.
+// Returned is the header of a datagram that returns a packet to the balancer that sent
+// it.
 type Returned struct {
 	Reason Reason
-	// Listing is the newest that the agent has heard of: a balancer that knows an
-	// older one may lack the agent that holds the flow.
+	// Listing is the highest store position that the agent knows. A balancer whose agent
+	// list is older may lack the agent that holds the flow.
 	Listing store.Position
-	// Running is the same as in Status, at the time of the return.
+	// Running is Status.Running at the time of the return.
 	Running uint16
 }
 
@@ -301,7 +313,7 @@
 	return append(b, packet...)
 }
 
-// ParseReturned reads a datagram of KindReturned; the packet aliases b.
+// ParseReturned decodes a datagram of KindReturned. The returned packet is a slice of b.
 func ParseReturned(b []byte) (head Returned, packet []byte, err error) {
 	if len(b) < returnedSize || KindOf(b) != KindReturned {
 		return Returned{}, nil, ErrDatagram
@@ -310,7 +322,7 @@
 	return head, b[returnedSize:], nil
 }
 
-// appendPosition appends a position of the store, which takes the bytes of a revision.
+// appendPosition appends a store position, which has the size of a revision.
 func appendPosition(b []byte, p store.Position) []byte {
 	return binary.BigEndian.AppendUint64(b, uint64(p))
 }
@@ -331,7 +343,7 @@
 	return appendMillis(b, c.Warmup)
 }
 
-// appendMillis appends a time in steps of 1 ms up to 65 s.
+// appendMillis appends a duration in steps of 1 ms up to 65 s.
 func appendMillis(b []byte, d time.Duration) []byte {
 	return binary.BigEndian.AppendUint16(b, uint16(min(max(d/time.Millisecond, 0), math.MaxUint16)))
 }
@@ -344,7 +356,7 @@
 	return Cold{Rate: binary.BigEndian.Uint16(b), Warmup: parseMillis(b[2:])}
 }
 
-func appendWord(b []byte, w evacuation.Word) []byte {
+func appendEvacuation(b []byte, w evacuation.Word) []byte {
 	evacuated := byte(0)
 	if w.Evacuated {
 		evacuated = 1
@@ -352,7 +364,7 @@
 	return appendPosition(append(b, evacuated), w.AsOf)
 }
 
-func parseWord(b []byte) evacuation.Word {
+func parseEvacuation(b []byte) evacuation.Word {
 	return evacuation.Word{Evacuated: b[0] != 0, AsOf: parsePosition(b[1:])}
 }
 
--- a/internal/packetface/inner/inner_test.go
+++ b/internal/packetface/inner/inner_test.go
@@ -29,17 +29,17 @@
 	return inner.Cold{Rate: rapid.Uint16().Draw(t, "rate"), Warmup: time.Duration(rapid.Uint16().Draw(t, "warmup")) * time.Millisecond}
 }
 
-func drawWord(t *rapid.T) evacuation.Word {
+func drawEvacuation(t *rapid.T) evacuation.Word {
 	return evacuation.Word{Evacuated: rapid.Bool().Draw(t, "evacuated"), AsOf: store.Position(rapid.Uint64().Draw(t, "as of"))}
 }
 
-func TestDatagramsKeepWhatTheyCarry(t *testing.T) {
+func TestParsedDatagramsEqualWhatWasAppended(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		packet := rapid.SliceOfN(rapid.Byte(), 0, platform.MaxPacketSize).Draw(t, "packet")
 		flags := inner.Flags(rapid.Byte().Draw(t, "flags"))
 
-		open := inner.Open{Flags: flags, Hops: rapid.Byte().Draw(t, "hops"), Service: rapid.Uint64().Draw(t, "service"), Slots: rapid.Uint16().Draw(t, "open slots"), Known: drawKnown(t), Evacuation: drawWord(t), Cold: drawCold(t)}
+		open := inner.Open{Flags: flags, Hops: rapid.Byte().Draw(t, "hops"), Service: rapid.Uint64().Draw(t, "service"), Slots: rapid.Uint16().Draw(t, "open slots"), Known: drawKnown(t), Evacuation: drawEvacuation(t), Cold: drawCold(t)}
 		b := inner.AppendOpen(nil, open, packet)
 		g.Expect(len(b)).To(BeNumerically("<=", inner.MaxSize))
 		gotOpen, gotPacket, err := inner.ParseOpen(b)
@@ -57,7 +57,7 @@
 		g.Expect(string(gotPacket)).To(Equal(string(packet)))
 
 		known := drawKnown(t)
-		poll := inner.Poll{Flags: flags, Service: rapid.Uint64().Draw(t, "poll service"), Known: known, Evacuation: drawWord(t), Cold: drawCold(t)}
+		poll := inner.Poll{Flags: flags, Service: rapid.Uint64().Draw(t, "poll service"), Known: known, Evacuation: drawEvacuation(t), Cold: drawCold(t)}
 		gotPoll, err := inner.ParsePoll(inner.AppendPoll(nil, poll))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(gotPoll).To(Equal(poll))
@@ -68,7 +68,7 @@
 			StateFor:  time.Duration(rapid.Uint32().Draw(t, "latency")) * time.Millisecond,
 			Balancers: rapid.Uint16().Draw(t, "balancers"), Cold: rapid.Bool().Draw(t, "cold"),
 			Source:     [4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "source")),
-			Evacuation: drawWord(t), Answer: time.Duration(rapid.Uint16().Draw(t, "answer")) * time.Millisecond,
+			Evacuation: drawEvacuation(t), Answer: time.Duration(rapid.Uint16().Draw(t, "answer")) * time.Millisecond,
 		}
 		gotStatus, err := inner.ParseStatus(inner.AppendStatus(nil, status))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -95,7 +95,7 @@
 	})
 }
 
-func TestTermsTravelInSteps(t *testing.T) {
+func TestTermsAreRoundedDownToSteps(t *testing.T) {
 	g := NewWithT(t)
 	cases := []struct{ aim, timeout, wantAim, wantTimeout time.Duration }{
 		{0, 0, 0, 0},
@@ -110,12 +110,12 @@
 	}
 }
 
-func TestLargestAskFitsADatagram(t *testing.T) {
+func TestLargestAskIsNoLongerThanMaxSize(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(len(inner.AppendAsk(nil, inner.AskHead{}, make([]inner.Question, inner.MaxQuestions)))).To(BeNumerically("<=", inner.MaxSize))
 }
 
-// FuzzParse reads any bytes as every kind of datagram: none may panic.
+// FuzzParse passes arbitrary bytes to every parser; none may panic.
 func FuzzParse(f *testing.F) {
 	f.Add(inner.AppendOpen(nil, inner.Open{}, []byte{1}))
 	f.Add(inner.AppendAsk(nil, inner.AskHead{}, make([]inner.Question, 2)))
@@ -129,10 +129,10 @@
 		_, _ = inner.ParseStatus(b)
 		_, _, _ = inner.ParseReturned(b)
 		if questions, _, err := inner.ParseAsk(nil, b); err == nil && len(questions) == 0 {
-			t.Fatal("an ask without questions was taken")
+			t.Fatal("KindAsk without questions was accepted")
 		}
 		if answers, _, err := inner.ParseAnswers(nil, b); err == nil && len(answers) == 0 {
-			t.Fatal("an answer without verdicts was taken")
+			t.Fatal("KindAnswer without answers was accepted")
 		}
 	})
 }
--- a/internal/packetface/inner/peer.go
+++ b/internal/packetface/inner/peer.go
@@ -8,71 +8,77 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Datagrams between balancers: some watch the platform's store, and others listen to
-// them (package watchshare).
+// Datagrams with which balancers share watches of the platform's store: some balancers
+// watch the store, and others subscribe to a balancer that has the store's changes
+// (package watchshare). Subscriptions form trees. The root of a tree watches the store,
+// and the source of any other balancer is the one that it subscribes to.
 
-// News is what a balancer tells others of its knowledge of the store.
+// News is a store update: the state of the store as a balancer knows it.
 type News struct {
-	// Watches tells that it may be listened to: it watches the store, or listens to one
-	// that does.
+	// Watches reports that the sender accepts subscribers: it watches the store, or
+	// subscribes to a balancer that has the store's changes.
 	Watches bool
-	// Below tells that Source is one of its listeners, as it has no room itself.
+	// Below reports that Source is one of the sender's subscribers, named because the
+	// sender can accept no more.
 	Below bool
-	// Depth is the number of levels up to the balancer that watches the store.
+	// Depth is the number of levels between the sender and the balancer that watches the
+	// store, 0 for that balancer itself.
 	Depth uint8
-	// Balancers is the size of the fleet as far as it knows.
+	// Balancers is the number of balancers in the fleet as far as the sender knows.
 	Balancers uint16
-	// AsOf is the store's position up to which it knows every change.
+	// AsOf is the store position up to which the sender has every change.
 	AsOf store.Position
-	// Age is the time since the store last answered the one that watches, in steps of 1 ms
-	// up to 65 s.
+	// Age is the time since the store last answered the root of the sender's tree, in
+	// steps of 1 ms up to 65 s.
 	Age time.Duration
-	// Source is the host that it listens to itself, or names, invalid for none.
+	// Source is the host of the sender's own source, or of one of its subscribers if
+	// Below is set; invalid for none.
 	Source netip.Addr
-	// Other is a balancer that listens to the sender, too, invalid for none: one to ask
-	// once the sender is gone.
+	// Other is the host of another subscriber of the sender, invalid for none. The
+	// receiver can ask it for a new source if the sender fails.
 	Other netip.Addr
 }
 
-// Follow asks a balancer for news, now and when there are any.
+// Follow asks a balancer for its current store update and subscribes to later ones.
 type Follow struct {
-	// Below tells the other that its source has named it.
+	// Below reports that the receiver's source named the receiver. The receiver then
+	// accepts the subscriber or names one of its own subscribers, never its source.
 	Below bool
-	// Leads tells that the one that asks watches the store, and others rely on that.
+	// Leads reports that the sender watches the store and has subscribers.
 	Leads bool
 }
 
 const (
-	newsSize   = 3 + 8 + 2 + 4 + 4 + 2
-	followSize = 2
+	updateSize    = 3 + 8 + 2 + 4 + 4 + 2
+	subscribeSize = 2
 )
 
-// Bits of the second byte of KindNews.
+// Bits of the flag byte of KindNews.
 const (
-	newsWatches = 1 << iota
-	newsBelow
+	updateAccepts = 1 << iota
+	updateRedirects
 )
 
-// Bits of the second byte of KindFollow.
+// Bits of the flag byte of KindFollow.
 const (
-	followBelow = 1 << iota
-	followLeads
+	subscribeRedirected = 1 << iota
+	subscribeRoot
 )
 
 // AppendFollow appends a datagram of KindFollow.
 func AppendFollow(b []byte, f Follow) []byte {
-	return append(b, byte(KindFollow), flag(f.Below, followBelow)|flag(f.Leads, followLeads))
+	return append(b, byte(KindFollow), flag(f.Below, subscribeRedirected)|flag(f.Leads, subscribeRoot))
 }
 
-// ParseFollow reads a datagram of KindFollow.
+// ParseFollow decodes a datagram of KindFollow.
 func ParseFollow(b []byte) (Follow, error) {
-	if len(b) != followSize || KindOf(b) != KindFollow {
+	if len(b) != subscribeSize || KindOf(b) != KindFollow {
 		return Follow{}, ErrDatagram
 	}
-	return Follow{Below: b[1]&followBelow != 0, Leads: b[1]&followLeads != 0}, nil
+	return Follow{Below: b[1]&subscribeRedirected != 0, Leads: b[1]&subscribeRoot != 0}, nil
 }
 
-// flag returns a bit if it is set.
+// flag returns the bit if set is true, otherwise 0.
 func flag(set bool, bit byte) byte {
 	if set {
 		return bit
@@ -82,7 +88,7 @@
 
 // AppendNews appends a datagram of KindNews.
 func AppendNews(b []byte, n *News) []byte {
-	b = append(b, byte(KindNews), flag(n.Watches, newsWatches)|flag(n.Below, newsBelow), n.Depth)
+	b = append(b, byte(KindNews), flag(n.Watches, updateAccepts)|flag(n.Below, updateRedirects), n.Depth)
 	b = appendPosition(b, n.AsOf)
 	b = appendMillis(b, n.Age)
 	b = appendHost(b, n.Source)
@@ -90,14 +96,14 @@
 	return binary.BigEndian.AppendUint16(b, n.Balancers)
 }
 
-// ParseNews reads a datagram of KindNews.
+// ParseNews decodes a datagram of KindNews.
 func ParseNews(b []byte) (News, error) {
-	if len(b) != newsSize || KindOf(b) != KindNews {
+	if len(b) != updateSize || KindOf(b) != KindNews {
 		return News{}, ErrDatagram
 	}
 	n := News{
-		Watches:   b[1]&newsWatches != 0,
-		Below:     b[1]&newsBelow != 0,
+		Watches:   b[1]&updateAccepts != 0,
+		Below:     b[1]&updateRedirects != 0,
 		Depth:     b[2],
 		AsOf:      parsePosition(b[3:]),
 		Age:       parseMillis(b[11:]),
@@ -108,7 +114,7 @@
 	return n, nil
 }
 
-// appendHost appends the 4 bytes of a host, zeros for none.
+// appendHost appends an IPv4 address, zeros if the address is invalid.
 func appendHost(b []byte, host netip.Addr) []byte {
 	var bytes [4]byte
 	if host.Is4() {
--- a/internal/packetface/inner/question.go
+++ b/internal/packetface/inner/question.go
@@ -7,24 +7,24 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Questions for the owner of a flow, and their answers.
+// Datagrams that search for the owner of a flow, the agent whose upstream holds it.
 
-// Question asks whether an upstream holds a flow. Acknowledged is what the
-// caller has acknowledged: it tells two answers to copies of one opening packet
-// apart.
+// Question asks whether an agent's upstream holds a flow. Acknowledged is the count that
+// the caller has acknowledged. If two upstreams have answered copies of one opening
+// packet, it identifies the one whose answer the caller accepted.
 type Question struct {
 	Flow         platform.Flow
 	Acknowledged uint32
 }
 
-// AskHead is what a datagram of KindAsk says beside its questions.
+// AskHead is the header of a datagram of KindAsk.
 type AskHead struct {
-	// Service and Cold are the same as in Poll.
+	// Service and Cold have the same meaning as in Poll.
 	Service uint64
 	Cold    Cold
 }
 
-// AppendAsk appends a datagram of KindAsk with MaxQuestions at most.
+// AppendAsk appends a datagram of KindAsk with at most MaxQuestions questions.
 func AppendAsk(b []byte, head AskHead, questions []Question) []byte {
 	b = binary.BigEndian.AppendUint64(append(b, byte(KindAsk)), head.Service)
 	b = appendCold(b, head.Cold)
@@ -35,7 +35,7 @@
 	return b
 }
 
-// ParseAsk reads a datagram of KindAsk and appends its questions.
+// ParseAsk decodes a datagram of KindAsk and appends its questions to the given ones.
 func ParseAsk(questions []Question, b []byte) (all []Question, head AskHead, err error) {
 	if KindOf(b) != KindAsk || len(b) <= askHead || (len(b)-askHead)%questionSize != 0 {
 		return questions, AskHead{}, ErrDatagram
@@ -47,15 +47,15 @@
 	return questions, head, nil
 }
 
-// Answer is an agent's verdict on a flow.
+// Answer is an agent's response to a Question.
 type Answer struct {
 	Flow    platform.Flow
 	Verdict Verdict
 }
 
-// AppendAnswerHead appends the head of a datagram of KindAnswer; AppendAnswer
-// appends its answers. The listing is the newest that the agent has heard of: a
-// balancer that knows an older one may lack the agent that holds a flow.
+// AppendAnswerHead appends the header of a datagram of KindAnswer; AppendAnswer appends
+// the answers. listing is the highest store position that the agent knows. A balancer
+// whose agent list is older may lack the agent that holds a flow.
 func AppendAnswerHead(b []byte, listing store.Position) []byte {
 	return appendPosition(append(b, byte(KindAnswer)), listing)
 }
@@ -65,7 +65,8 @@
 	return appendFlow(append(b, byte(a.Verdict)), a.Flow)
 }
 
-// ParseAnswers reads a datagram of KindAnswer and appends its answers.
+// ParseAnswers decodes a datagram of KindAnswer and appends its answers to the given
+// ones.
 func ParseAnswers(answers []Answer, b []byte) (all []Answer, listing store.Position, err error) {
 	if KindOf(b) != KindAnswer || len(b) <= answerHead || (len(b)-answerHead)%verdictSize != 0 {
 		return answers, 0, ErrDatagram
--- a/internal/packetface/inner/state.go
+++ b/internal/packetface/inner/state.go
@@ -1,20 +1,21 @@
 package inner
 
-// Reason says why an agent returns a packet. No request of the packet has run.
+// Reason is why an agent returns a packet. No request of a returned packet has been
+// executed.
 type Reason uint8
 
 // Reasons for returning a packet.
 const (
-	ReasonService   Reason = iota + 1 // the agent serves another service
-	ReasonDraining                    // the upstream is leaving or the agent stops
-	ReasonDown                        // no upstream is there
-	ReasonBusy                        // all slots are taken
+	ReasonService   Reason = iota + 1 // the agent's upstream provides another service
+	ReasonDraining                    // the upstream or the agent is shutting down
+	ReasonDown                        // the agent has no running upstream
+	ReasonBusy                        // all slots are in use
 	ReasonBounced                     // the upstream returned the packet
 	ReasonUnknown                     // the upstream does not hold the flow
-	ReasonUnsure                      // the same, as VerdictUnsure says it
-	ReasonFailing                     // the upstream fails what it gets
-	ReasonEvacuated                   // the data centre is to be emptied
-	ReasonCold                        // the upstream is cold and has got what it bears
+	ReasonUnsure                      // as ReasonUnknown, but inconclusive as in VerdictUnsure
+	ReasonFailing                     // the upstream fails its requests
+	ReasonEvacuated                   // the data centre is being evacuated
+	ReasonCold                        // the upstream is cold and at its rate limit
 )
 
 var reasonNames = [...]string{"none", "other-service", "draining", "down", "busy", "bounced", "unknown-flow", "unknown-flow-unsure", "failing", "evacuated", "cold"}
@@ -27,37 +28,41 @@
 	return "invalid"
 }
 
-// Verdict answers whether an agent's upstream holds a flow.
+// Verdict is an agent's answer to whether its upstream holds a flow.
 type Verdict uint8
 
-// Verdicts.
+// Values of Verdict.
 const (
-	// VerdictHeld says that the upstream holds the flow.
+	// VerdictHeld means that the upstream holds the flow.
 	VerdictHeld Verdict = iota + 1
-	// VerdictNone says that the upstream certainly does not hold it.
+	// VerdictNone means that the upstream certainly does not hold the flow.
 	VerdictNone
-	// VerdictMaybe says that the agent can't tell: it began after its upstream.
+	// VerdictMaybe means that the agent does not know, because it started after its
+	// upstream.
 	VerdictMaybe
-	// VerdictUnsure says that the upstream does not hold the flow, and that the
-	// agent has only just started: balancers have not told it yet how new their
-	// lists of agents are.
+	// VerdictUnsure means that the upstream does not hold the flow, but that the search
+	// must not rely on it: the agent has just started and does not know yet how recent
+	// the agent lists of the balancers are, so it could not warn a balancer whose list
+	// lacks the flow's owner.
 	VerdictUnsure
 )
 
-// State is that of an agent with its upstream.
+// State is the state of an agent and its upstream.
 type State uint8
 
-// States of an agent.
+// Values of State.
 const (
 	StateReady State = iota + 1
 	StateDraining
 	StateDown
 	StateStopping
-	// StateSilent says that the upstream's heartbeats have stopped: it may live.
+	// StateSilent means that the upstream's heartbeats have stopped; the upstream may
+	// still run.
 	StateSilent
-	// StateUnproven says that the agent has not heard of its upstream since its own
-	// start, StateProbation that the upstream has failed and is tried again with one
-	// flow at a time, StateFailing that it fails what it gets.
+	// StateUnproven means that the agent has received nothing from its upstream since the
+	// agent's own start. StateProbation means that the upstream has failed requests and
+	// is being tried again with one flow at a time, StateFailing that it fails its
+	// requests.
 	StateUnproven
 	StateProbation
 	StateFailing
@@ -73,6 +78,6 @@
 	return "invalid"
 }
 
-// Proven reports whether the agent is known to have heard of its upstream since its
-// own start.
+// Proven reports whether the agent is known to have received anything from its upstream
+// since the agent's own start.
 func (s State) Proven() bool { return s != 0 && s != StateUnproven }
