--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -1,6 +1,8 @@
 // Package inner defines the datagrams that the balancers and agents of the packet face
 // exchange. It only encodes and decodes; it does no I/O. All numbers are big-endian. A
 // datagram begins with its kind and ends with the encapsulated packet, if it carries one.
+// Store positions, which have an era and a revision, order the changes of the platform's
+// store.
 package inner
 
 import (
