--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -22,55 +22,60 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Times of an agent.
+// Intervals and limits of an agent.
 const (
-	// tickAgent is the time between two looks at what is due.
+	// tickAgent is the interval of the agent's periodic work.
 	tickAgent = 200 * time.Millisecond
-	// stopLinger is the least time that an agent carries on with its upstream's
-	// flows, so that balancers have heard that it stops.
-	stopLinger = 200 * time.Millisecond
-	// storeLinger is how long at most a stop waits for the store to drop the entry: a
-	// slow one answers in some 240 ms, and one that is away need not be waited for.
-	storeLinger = time.Second
-	// leaveTime is kept free at the end for calls of the store on their way.
-	leaveTime = 500 * time.Millisecond
+	// agentMinStop is the minimum time that a stopping agent continues to serve its
+	// upstream's flows, so that the balancers learn that it stops.
+	agentMinStop = 200 * time.Millisecond
+	// storeRemovalWait is the maximum time that a stopping agent waits for its entry to
+	// be removed from the store. A slow store answers in some 240 ms; there is no need to
+	// wait for one that is unreachable.
+	storeRemovalWait = time.Second
+	// storeCallReserve is the part of the grace period that is kept free for store calls
+	// in progress.
+	storeCallReserve = 500 * time.Millisecond
 )
 
-// agent is the running role.
+// agent is a running agent.
 type agent struct {
 	env         Env
 	log         *slog.Logger
 	clock       func() time.Duration
 	incarnation uint64
 
+	// balancers is the socket for datagrams of balancers. outbound receives the packets
+	// that the upstream sends and sends packets to callers. upstream sends packets to the
+	// upstream.
 	balancers, outbound, upstream *net.UDPConn
 	store                         *platform.Store
 	registry                      *registry.Agent
-	// mu lets one goroutine at a time own core, notes, timer and wanted.
-	mu     sync.Mutex
-	core   *gate.Gate
-	notes  *notes
-	timer  timer
-	wanted gate.Registration
-	// ready tells that the store has once been seen.
+	// mu guards core, decisions, timer, registration, ready and era.
+	mu           sync.Mutex
+	core         *gate.Gate
+	decisions    *decisionLog
+	timer        decisionTimer
+	registration gate.Registration
+	// ready reports that the agent has read or written its entry in the store.
 	ready bool
-	// era is that of the store as the registry was told last.
+	// era is the store's era as last passed to the registry.
 	era uint64
-	// services are those that a configuration names, as far as was asked.
-	services services
+	// services caches the services named in the configuration.
+	services serviceCache
 }
 
-// RunAgent serves until the process is told to stop and has finished.
+// RunAgent runs an agent until the process is asked to stop and has shut down.
 func RunAgent(env Env) error {
 	id, err := incarnation()
 	if err != nil {
 		return err
 	}
 	a := &agent{env: env, log: logging.Part(env.Logger, "packet-agent"), clock: newClock(), incarnation: id}
-	a.notes = newNotes(a.log, a.clock)
+	a.decisions = newDecisionLog(a.log, a.clock)
 	a.core = gate.New(gate.Settings{
 		Service: env.Host.Service, CallerPort: env.Host.Packets.Port(), Incarnation: id,
-		Policies: env.Policies, Times: times(env.Host.Changeable),
+		Policies: env.Policies, Times: gateTimes(env.Host.Changeable),
 	})
 	if err := a.listen(); err != nil {
 		return err
@@ -85,13 +90,13 @@
 		return err
 	}
 	a.log.Info("Started.", "data", env.Host.Packets.String(), "service", env.Host.Service, "dc", env.Host.DataCentre, "incarnation", id)
-	env.follow(a.change)
+	env.applyUntilStop(a.applySettings)
 	a.stop()
 	closeOps(server)
 	return nil
 }
 
-// listen binds the sockets towards balancers and the upstream.
+// listen opens the sockets for balancers and the upstream.
 func (a *agent) listen() (err error) {
 	if a.balancers, err = listen(a.env.Host.Packets); err != nil {
 		return err
@@ -99,9 +104,9 @@
 	if a.outbound, err = listen(a.env.Host.FromUpstream); err != nil {
 		return err
 	}
-	// A connected socket is told when no socket takes its packets.
+	// On a connected socket, the kernel reports ECONNREFUSED if the upstream's port is closed.
 	a.upstream, err = net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(a.env.Host.ToUpstream))
-	return errors.Wrap(err, "role: socket to the upstream")
+	return errors.Wrap(err, "role: open the socket to the upstream")
 }
 
 func (a *agent) start(ctx context.Context) error {
@@ -113,11 +118,11 @@
 	a.registry = registry.NewAgent(a.store, logging.Part(a.env.Logger, "registry"), a.clock, a.entry())
 	a.setSeeds()
 	a.registry.LeaseLeast = a.env.Host.LeaseLeast
-	a.registry.Seen = a.seen
+	a.registry.Seen = a.onStorePosition
 	if !a.env.Host.FirstStart && a.env.Policies.On(policy.InheritedEntries) {
 		a.registry.Inherit()
 	}
-	a.gauges()
+	a.registerGauges()
 	go a.registry.Run(ctx)
 	go receive(a.balancers, inner.MaxSize+1, a.fromBalancer)
 	go receive(a.outbound, platform.MaxPacketSize+1, a.fromUpstream)
@@ -126,19 +131,20 @@
 	return nil
 }
 
-// entry returns what the store is to hold.
+// entry returns the entry that the store should hold for this agent.
 func (a *agent) entry() registry.Entry {
 	return registry.Entry{
-		Addr: a.env.Host.Packets, Service: a.wanted.Service, DataCentre: cmp.Or(a.wanted.DataCentre, a.env.Host.DataCentre),
-		Slots: a.wanted.Slots, WarmupMS: a.wanted.Warmup.Milliseconds(),
+		Addr: a.env.Host.Packets, Service: a.registration.Service, DataCentre: cmp.Or(a.registration.DataCentre, a.env.Host.DataCentre),
+		Slots: a.registration.Slots, WarmupMS: a.registration.Warmup.Milliseconds(),
 	}
 }
 
-// seen tells the core which position of the store this process has seen.
-func (a *agent) seen(at store.Position) {
+// onStorePosition passes to the core the position at which this process last read or
+// wrote its entry in the store.
+func (a *agent) onStorePosition(at store.Position) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.do(a.core.SetSeen(a.clock(), at))
+	a.apply(a.core.SetSeen(a.clock(), at))
 	if !a.ready {
 		a.ready = true
 		a.log.Info("Ready.", "at", at, "after_ms", a.clock().Milliseconds())
@@ -152,9 +158,9 @@
 	result, err := a.core.FromBalancer(a.clock(), from, datagram)
 	timed()
 	if err != nil {
-		a.notes.unreadable("datagram", from, len(datagram), err)
+		a.decisions.logMalformed("datagram", from, len(datagram), err)
 	}
-	a.do(result)
+	a.apply(result)
 	if a.core.TakeUnlisted() {
 		a.registry.Hint()
 	}
@@ -169,13 +175,14 @@
 	defer a.mu.Unlock()
 	result, err := a.core.FromUpstream(a.clock(), datagram)
 	if err != nil {
-		a.notes.unreadable("packet", from, len(datagram), err)
+		a.decisions.logMalformed("packet", from, len(datagram), err)
 	}
-	a.do(result)
+	a.apply(result)
 }
 
-// do carries out a result. The caller holds mu.
-func (a *agent) do(r *gate.Result) {
+// apply sends the datagrams of a result and records its metrics and log notes. The caller
+// holds mu.
+func (a *agent) apply(r *gate.Result) {
 	refused := false
 	for _, action := range r.Actions {
 		switch action.Target {
@@ -187,15 +194,15 @@
 			refused = a.toUpstream(action.Bytes) || refused
 		}
 	}
-	observe(r)
-	a.notes.agent(r.Notes)
+	recordDurations(r)
+	a.decisions.logAgent(r.Notes)
 	if refused {
-		a.refused()
+		a.onRefused()
 	}
 }
 
-// toUpstream sends a packet to the upstream; it reports whether the kernel told
-// that no socket takes them.
+// toUpstream sends a packet to the upstream. It reports whether the kernel refused the
+// packet because the upstream's port is closed.
 func (a *agent) toUpstream(b []byte) (refused bool) {
 	_, err := a.upstream.Write(b)
 	if err == nil {
@@ -205,14 +212,14 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// refused tells the core that no socket takes packets. The caller holds mu.
-func (a *agent) refused() {
-	a.do(a.core.Refused(a.clock()))
-	a.register()
+// onRefused informs the core that the upstream's port is closed. The caller holds mu.
+func (a *agent) onRefused() {
+	a.apply(a.core.Refused(a.clock()))
+	a.updateRegistration()
 }
 
-// readRefusals reads the connected socket, on which the upstream never sends:
-// only errors come.
+// readRefusals reads errors from the socket to the upstream. The upstream never sends
+// packets to it.
 func (a *agent) readRefusals() {
 	var b [1]byte
 	for {
@@ -222,38 +229,38 @@
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			a.mu.Lock()
-			a.refused()
+			a.onRefused()
 			a.mu.Unlock()
 		}
 	}
 }
 
+// tick does the periodic work.
 func (a *agent) tick() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock()
-	a.do(a.core.Tick(now))
-	a.register()
-	if a.wanted.Listed {
-		a.do(a.core.CheckListed(now, a.registry.Quiet()))
+	a.apply(a.core.Tick(now))
+	a.updateRegistration()
+	if a.registration.Listed {
+		a.apply(a.core.CheckListed(now, a.registry.Quiet()))
 	}
 	if a.core.TakeAlone() {
 		a.registry.Idle()
 	}
 }
 
-// register tells the registry when what the store is to hold has changed. The
-// caller holds mu.
-func (a *agent) register() {
-	wanted := a.core.Registration()
-	if wanted == a.wanted {
+// updateRegistration passes a changed registration to the registry. The caller holds mu.
+func (a *agent) updateRegistration() {
+	current := a.core.Registration()
+	if current == a.registration {
 		return
 	}
-	a.wanted = wanted
+	a.registration = current
 	switch {
-	case wanted.Ended:
+	case current.Ended:
 		a.registry.Want(nil)
-	case wanted.Listed:
+	case current.Listed:
 		entry := a.entry()
 		a.registry.Want(&entry)
 	}
@@ -261,23 +268,23 @@
 
 // Heartbeat implements platform.UpstreamListener.
 func (a *agent) Heartbeat(beat platform.Heartbeat) bool {
-	known := a.knowsService(beat.Service)
+	known := a.serviceStatusOf(beat.Service)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if known == serviceUnnamed {
-		a.notes.unusableHeartbeat(errors.Wrapf(platform.ErrHeartbeat, "service %.80q is in no configuration", beat.Service))
-		return true // its sender need not repeat it
+	if known == serviceNotConfigured {
+		a.decisions.logInvalidHeartbeat(errors.Wrapf(platform.ErrHeartbeat, "service %.80q is in no configuration", beat.Service))
+		return true // acknowledged so that its sender does not repeat it
 	}
-	if known == serviceUnsure {
+	if known == serviceUnknown {
 		result, contested := a.core.Contest(a.clock(), beat)
-		a.do(result)
+		a.apply(result)
 		if contested {
 			return false
 		}
 	}
 	result, ok := a.core.Heartbeat(a.clock(), beat)
-	a.do(result)
-	a.register()
+	a.apply(result)
+	a.updateRegistration()
 	return ok
 }
 
@@ -286,8 +293,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	result, ok := a.core.Left(a.clock(), life)
-	a.do(result)
-	a.register()
+	a.apply(result)
+	a.updateRegistration()
 	return ok
 }
 
@@ -295,26 +302,26 @@
 func (a *agent) Unusable(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.notes.unusableHeartbeat(err)
+	a.decisions.logInvalidHeartbeat(err)
 }
 
-// times returns the times of the settings that the core decides by.
-func times(c platform.Changeable) gate.Times {
+// gateTimes returns the times in the settings that the core uses.
+func gateTimes(c platform.Changeable) gate.Times {
 	return gate.Times{DrainWithin: c.DrainWithin, FlowMaxAge: c.FlowMaxAge, HeartbeatEvery: c.HeartbeatEvery, ColdOverage: c.ColdOverage}
 }
 
-// change takes over settings that have changed.
-func (a *agent) change(c platform.Changeable) {
+// applySettings applies changed settings.
+func (a *agent) applySettings(c platform.Changeable) {
 	a.store.SetAddress(c.Store)
 	a.env.Host.Changeable = c
 	a.setSeeds()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.core.SetTimes(times(c))
+	a.core.SetTimes(gateTimes(c))
 }
 
-// setSeeds tells the registry and the core the seeds of the settings. Balancers take
-// datagrams at the same port on all hosts.
+// setSeeds passes the seeds in the settings to the registry and the core. Balancers
+// receive datagrams on the same port on all hosts.
 func (a *agent) setSeeds() {
 	found := seeds(a.env.Host)
 	a.registry.SetSeeds(found)
@@ -327,24 +334,25 @@
 	a.core.SetSeeds(inner)
 }
 
-// finished reports whether nothing is left to do for the upstream, some time after
-// the request to stop.
-func (a *agent) finished(since time.Duration) bool {
+// finished reports whether a stopping agent can end, given the time elapsed since the
+// request to stop: its upstream needs it no more, and its entry is updated in the store
+// or the wait for that is over.
+func (a *agent) finished(elapsed time.Duration) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return since >= stopLinger && a.core.Finished() && (a.registry.Quiet() || since >= storeLinger)
+	return elapsed >= agentMinStop && a.core.Finished() && (a.registry.Quiet() || elapsed >= storeRemovalWait)
 }
 
-// stop tells the balancers, lets running requests end, and ends within the
-// grace.
+// stop announces the shutdown to the balancers, lets running requests finish, and returns
+// within the grace period.
 func (a *agent) stop() {
 	began := a.clock()
 	a.log.Info("Stopping.", "grace_ms", a.env.Host.Grace.Milliseconds())
 	a.mu.Lock()
-	a.do(a.core.Stop(began))
-	a.register()
+	a.apply(a.core.Stop(began))
+	a.updateRegistration()
 	a.mu.Unlock()
-	lingerUntil(a.env.Host.Grace-endMargin-leaveTime, func() bool { return a.finished(a.clock() - began) })
+	waitUntil(a.env.Host.Grace-endMargin-storeCallReserve, func() bool { return a.finished(a.clock() - began) })
 	_ = a.balancers.Close() // the process ends
 	_ = a.outbound.Close()
 	_ = a.upstream.Close()
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -21,72 +21,79 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Times of a balancer.
+// Intervals and limits of a balancer.
 const (
-	// tickIdle and tickBusy are the times between two looks at what is due,
-	// without and with flows whose owner is being asked for.
+	// tickIdle and tickBusy are the intervals of the balancer's periodic work. tickBusy
+	// applies before the first listing and during searches for the owner of a flow.
 	tickIdle = 50 * time.Millisecond
 	tickBusy = 5 * time.Millisecond
-	// quietTime is the time without packets after which a balancer that was
-	// told to stop ends: routers notice it after two misses, about 1 s.
-	quietTime = 1200 * time.Millisecond
-	// leastLinger is the least time that it carries on.
-	leastLinger = 1500 * time.Millisecond
+	// idleBeforeExit is the time without packets after which a stopping balancer ends.
+	// Routers stop sending to it after two failed readiness checks, about 1 s.
+	idleBeforeExit = 1200 * time.Millisecond
+	// balancerMinStop is the minimum time that a stopping balancer continues to serve.
+	balancerMinStop = 1500 * time.Millisecond
 )
 
-// balancer is the running role.
+// balancer is a running balancer.
 type balancer struct {
 	env   Env
 	log   *slog.Logger
 	clock func() time.Duration
 
+	// callers and agents are the sockets for packets of callers and for datagrams of
+	// agents and other balancers.
 	callers, agents *net.UDPConn
 	store           *platform.Store
 	follower        *registry.Follower
 
-	// mu lets one goroutine at a time own core, share, source, notes, seeds and timer.
+	// mu guards the fields from here to noAgentAnswers, except tickSoon.
 	mu sync.Mutex
-	// share decides whether the store is watched or another balancer listened to;
-	// source is that one, invalid for none.
-	share  *watchshare.State
-	source netip.Addr
-	// listed is up to where the store's changes are known, settling whether operators may
-	// still write again what the store lost; lesser is a source that was told of as
-	// knowing less, invalid for none.
-	listed   store.Position
-	settling bool
-	lesser   netip.Addr
-	// storeReached tells that the store answers, beganInCopy that the first listing was of
-	// an era that is not settled yet.
-	storeReached, beganInCopy bool
-	core                      *steer.Core
-	notes                     *notes
-	seeds                     []netip.AddrPort
-	timer                     timer
+	// watchShare decides whether this balancer watches the store or receives store changes
+	// from another balancer. source is that other balancer's host, invalid if this
+	// balancer watches the store.
+	watchShare *watchshare.State
+	source     netip.Addr
+	// knownUpTo is the store position up to which every change is known. settling reports
+	// that the store was recently restored from a copy and that operators may still be
+	// repeating the writes that it lost. laggingSource is a source that was logged as
+	// having fewer changes than this balancer, invalid for none.
+	knownUpTo     store.Position
+	settling      bool
+	laggingSource netip.Addr
+	// storeReachable reports that the store answers. startedUnsettled reports that the
+	// era of the first listing was not settled and still is not.
+	storeReachable, startedUnsettled bool
+	core                             *steer.Core
+	decisions                        *decisionLog
+	seeds                            []netip.AddrPort
+	timer                            decisionTimer
 
-	// evacuations tells since when data centres are evacuated.
+	// evacuations records when this balancer learned of each evacuated data centre.
 	evacuations evacuations
-	// version is that of the configuration in force, configAt the position of the one
-	// that was last looked at; the follower's goroutine writes them.
+	// version is the version of the configuration in force. configAt is the store
+	// position of the last configuration that was examined, whether or not it was
+	// adopted.
 	version  uint64
 	configAt store.Position
-	// soon asks for a tick soon, busy tells that ticks are frequent already.
-	soon chan struct{}
-	busy bool
-	// blind tells that no agent answered when readiness was last asked for.
-	blind    bool
-	ready    atomic.Bool
-	stopping atomic.Bool
-	// storeHeard is when the store last answered the follower.
-	storeHeard atomic.Int64
-	// lastPacket is when a caller's packet came.
+	// tickSoon requests a tick within tickBusy. tickingFast reports that the interval is
+	// already tickBusy.
+	tickSoon    chan struct{}
+	tickingFast bool
+	// noAgentAnswers reports that no agent answered at the last readiness check.
+	noAgentAnswers bool
+	ready          atomic.Bool
+	stopping       atomic.Bool
+	// storeAnswered is when the store last answered the follower or, while there is a
+	// source, the balancer at the root of the source's tree.
+	storeAnswered atomic.Int64
+	// lastPacket is when the last packet of a caller arrived.
 	lastPacket atomic.Int64
 }
 
 func newBalancer(env Env) *balancer {
-	b := &balancer{env: env, log: logging.Part(env.Logger, "packet-balancer"), clock: newClock(), soon: make(chan struct{}, 1)}
-	b.notes = newNotes(b.log, b.clock)
-	b.share = watchshare.New(env.Host.Packets.Addr(), newRandom())
+	b := &balancer{env: env, log: logging.Part(env.Logger, "packet-balancer"), clock: newClock(), tickSoon: make(chan struct{}, 1)}
+	b.decisions = newDecisionLog(b.log, b.clock)
+	b.watchShare = watchshare.New(env.Host.Packets.Addr(), newRandom())
 	b.core = steer.New(steer.Settings{
 		DataCentre: env.Host.DataCentre, Regions: env.Host.DataCentres, CallerPort: env.Host.Packets.Port(), Random: newRandom(),
 		AbsentAfter: steer.DefaultAbsentAfter, AwaitPeers: true, FlowMaxAge: env.Host.FlowMaxAge,
@@ -95,7 +102,7 @@
 	return b
 }
 
-// RunBalancer serves until the process is told to stop and has finished.
+// RunBalancer runs a balancer until the process is asked to stop and has shut down.
 func RunBalancer(env Env) error {
 	b := newBalancer(env)
 	if err := b.listen(); err != nil {
@@ -116,13 +123,13 @@
 		return err
 	}
 	b.log.Info("Started.", "data", env.Host.Packets.String(), "dc", env.Host.DataCentre, "store", env.Host.Store.String())
-	env.follow(b.change)
+	env.applyUntilStop(b.applySettings)
 	b.stop()
 	closeOps(server)
 	return nil
 }
 
-// listen binds the sockets towards callers and agents.
+// listen opens the sockets for callers and agents.
 func (b *balancer) listen() (err error) {
 	if b.callers, err = listen(b.env.Host.Packets); err != nil {
 		return err
@@ -136,40 +143,40 @@
 	b.store.SetLogger(logging.Part(b.env.Logger, "registry"))
 	b.follower = registry.NewFollower(b.store, logging.Part(b.env.Logger, "registry"))
 	b.setSeeds()
-	b.follower.Changed = b.changed
-	b.follower.Reached = b.reached
-	b.follower.Balancers = b.balancers
-	b.follower.Known = b.known
-	b.follower.Unlisted = b.unlisted
-	b.follower.Asked = b.peersAsked
-	b.follower.Shared = b.shared
+	b.follower.Changed = b.onListing
+	b.follower.Reached = b.onReachability
+	b.follower.Balancers = b.balancerCount
+	b.follower.Known = b.knownAgents
+	b.follower.Unlisted = b.unlistedAgents
+	b.follower.Asked = b.onPeersAsked
+	b.follower.Shared = b.hasListeners
 	b.follower.AwaitSource = true
 	b.follower.Snapshots = !b.env.Host.FirstStart
-	b.follower.Heard = b.heard
-	b.gauges()
+	b.follower.Heard = b.onStoreAnswer
+	b.registerGauges()
 	go b.follower.Run(ctx)
 	go receive(b.callers, platform.MaxPacketSize+1, b.fromCaller)
 	go receive(b.agents, inner.MaxSize+1, b.fromAgent)
 	go b.tick(ctx)
 }
 
-// isReady tells the routers whether packets are to come. A balancer that hears
-// no agent is of no use; others may be.
+// isReady reports to the routers whether to send packets to this balancer. A balancer
+// that no agent answers can't serve them; other balancers may be able to.
 func (b *balancer) isReady() bool {
 	if !b.ready.Load() || b.stopping.Load() {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if blind := b.core.Blind(b.clock()); blind != b.blind {
-		b.blind = blind
+	if blind := b.core.Blind(b.clock()); blind != b.noAgentAnswers {
+		b.noAgentAnswers = blind
 		if blind {
 			b.log.Warn("Not ready, no agent answers.", "version", b.version)
 		} else {
 			b.log.Info("Ready again, agents answer.", "version", b.version)
 		}
 	}
-	return !b.blind
+	return !b.noAgentAnswers
 }
 
 func (b *balancer) fromCaller(from netip.AddrPort, datagram []byte) {
@@ -181,9 +188,9 @@
 	result, err := b.core.FromCaller(now, datagram)
 	timed()
 	if err != nil {
-		b.notes.unreadable("packet", from, len(datagram), err)
+		b.decisions.logMalformed("packet", from, len(datagram), err)
 	}
-	b.do(result)
+	b.apply(result)
 }
 
 func (b *balancer) fromAgent(from netip.AddrPort, datagram []byte) {
@@ -194,16 +201,17 @@
 	}
 	result, err := b.core.FromAgent(b.clock(), from, datagram)
 	if err != nil {
-		b.notes.unreadable("datagram", from, len(datagram), err)
+		b.decisions.logMalformed("datagram", from, len(datagram), err)
 	}
-	b.do(result)
+	b.apply(result)
 	if !b.ready.Load() {
 		b.checkReady()
 	}
 }
 
-// do carries out a result.
-func (b *balancer) do(r *steer.Result) {
+// apply sends the datagrams of a result and records its metrics and log notes. The caller
+// holds mu.
+func (b *balancer) apply(r *steer.Result) {
 	for _, a := range r.Actions {
 		conn := b.agents
 		if a.ToCaller {
@@ -214,47 +222,49 @@
 	for i := range r.Notes {
 		switch r.Notes[i].Kind {
 		case steer.KindNewer:
-			b.follower.Hint(b.peerAt(r.Notes[i].Source), uint64(r.Notes[i].Count))
+			b.follower.Hint(b.controlAddress(r.Notes[i].Source), uint64(r.Notes[i].Count))
 		case steer.KindState:
-			if r.Notes[i].Count != 0 { // a change, and not the first that is heard
-				newsSeconds.Update(r.Notes[i].Age.Seconds())
+			if r.Notes[i].Count != 0 { // a change of state, not the first status
+				stateReportSeconds.Update(r.Notes[i].Age.Seconds())
 			}
 		case steer.KindMoved:
 			handOffSeconds.Update(r.Notes[i].Took.Seconds())
 		case steer.KindFound:
-			searchSeconds.Update(r.Notes[i].Age.Seconds())
+			ownerSearchSeconds.Update(r.Notes[i].Age.Seconds())
 		case steer.KindReset:
-			if r.Notes[i].Age > 0 { // after a search, and not from memory
-				deadSeconds.Update(r.Notes[i].Age.Seconds())
+			if r.Notes[i].Age > 0 { // reset after a search, not because the flow was remembered as ended
+				deadFlowSeconds.Update(r.Notes[i].Age.Seconds())
 			}
 		}
 	}
-	b.notes.balancer(r.Notes)
-	if !b.busy && b.core.Waiting() {
-		b.busy = true
+	b.decisions.logBalancer(r.Notes)
+	if !b.tickingFast && b.core.Waiting() {
+		b.tickingFast = true
 		select {
-		case b.soon <- struct{}{}:
-		default: // it has been asked already
+		case b.tickSoon <- struct{}{}:
+		default: // a tick has already been requested
 		}
 	}
 }
 
-// peerAt returns where the balancer of a host answers other processes: all hosts
-// have the same ports.
-func (b *balancer) peerAt(host netip.Addr) netip.AddrPort {
+// controlAddress returns the control address of the balancer on a host, which has the
+// same port on all hosts. It is invalid for an invalid host and for this balancer's own.
+func (b *balancer) controlAddress(host netip.Addr) netip.AddrPort {
 	if !host.IsValid() || host == b.env.Host.Packets.Addr() {
 		return netip.AddrPort{}
 	}
 	return netip.AddrPortFrom(host, b.env.Host.Control.Port())
 }
 
-// checkReady lets the routers send packets once some agent can take them.
+// checkReady makes the balancer ready once it has a configuration and some agent has
+// answered.
 func (b *balancer) checkReady() {
 	if b.version > 0 && b.core.Serving() && !b.ready.Swap(true) {
 		b.log.Info("Ready.", "version", b.version, "after_ms", b.clock().Milliseconds())
 	}
 }
 
+// tick does the periodic work until ctx ends.
 func (b *balancer) tick(ctx context.Context) {
 	timer := time.NewTimer(tickIdle)
 	defer timer.Stop()
@@ -262,7 +272,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-b.soon:
+		case <-b.tickSoon:
 			timer.Reset(tickBusy)
 		case <-timer.C:
 			timer.Reset(b.tickOnce())
@@ -270,93 +280,96 @@
 	}
 }
 
+// tickOnce does the periodic work and returns the time until it is due again.
 func (b *balancer) tickOnce() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.do(b.core.Tick(b.clock()))
-	b.tickShare()
-	b.busy = b.core.Waiting() || b.listed == 0
-	if b.busy {
+	b.apply(b.core.Tick(b.clock()))
+	b.tickWatchShare()
+	b.tickingFast = b.core.Waiting() || b.knownUpTo == 0
+	if b.tickingFast {
 		return tickBusy
 	}
 	return tickIdle
 }
 
-// changed takes over what the store holds.
-func (b *balancer) changed(l *registry.Listing) {
+// onListing applies a new state of the store.
+func (b *balancer) onListing(l *registry.Listing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	first := b.listed == 0
-	b.listed, b.settling = l.AsOf, !l.Settled()
-	b.beganInCopy = b.beganInCopy || first
-	b.freshenTable()
+	first := b.knownUpTo == 0
+	b.knownUpTo, b.settling = l.AsOf, !l.Settled()
+	b.startedUnsettled = b.startedUnsettled || first
+	b.updateTableFresh()
 	b.adopt(l)
 	b.evacuate(l.Evacuations())
-	b.do(b.core.SetAgents(b.clock(), l.Agents(), l.Age()))
-	b.sendShare(b.share.Known(b.clock(), l.AsOf))
+	b.apply(b.core.SetAgents(b.clock(), l.Agents(), l.Age()))
+	b.sendWatchShare(b.watchShare.Known(b.clock(), l.AsOf))
 	b.checkReady()
 }
 
-// heard notes that a step of following the store has succeeded: a call, or changes
-// taken from the source, whose word is not this process's own.
-func (b *balancer) heard() {
+// onStoreAnswer records a successful step of following the store: a call, or changes
+// received from the source. Only the former proves that the store answers this process,
+// so only then are listeners informed.
+func (b *balancer) onStoreAnswer() {
 	now := b.clock()
-	b.storeHeard.Store(int64(now))
+	b.storeAnswered.Store(int64(now))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.source.IsValid() {
-		b.sendShare(b.share.Heard(now))
+		b.sendWatchShare(b.watchShare.Heard(now))
 	}
 }
 
-// peersAsked takes over agents that other balancers know; some may be missing in
-// the store.
-func (b *balancer) peersAsked(known []steer.Agent) {
+// onPeersAsked adds the agents that other balancers know. The store may not list some of
+// them.
+func (b *balancer) onPeersAsked(known []steer.Agent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.do(b.core.SetPeersAsked(b.clock(), known))
+	b.apply(b.core.SetPeersAsked(b.clock(), known))
 }
 
-// known returns all agents that the balancer knows.
-func (b *balancer) known() []steer.Agent {
+// knownAgents returns all agents that the balancer knows.
+func (b *balancer) knownAgents() []steer.Agent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Known()
 }
 
-// unlisted returns the agents that the balancer knows and the store does not list.
-func (b *balancer) unlisted() []steer.Agent {
+// unlistedAgents returns the agents that the balancer knows and the store does not list.
+func (b *balancer) unlistedAgents() []steer.Agent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Unlisted()
 }
 
-func (b *balancer) balancers() int {
+func (b *balancer) balancerCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Balancers()
 }
 
-func (b *balancer) reached(ok bool) {
+func (b *balancer) onReachability(ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.storeReached = ok
-	b.freshenTable()
+	b.storeReachable = ok
+	b.updateTableFresh()
 }
 
-// setSeeds tells the follower the seeds of the settings.
+// setSeeds passes the seeds in the settings to the follower and to the sharing of
+// watches.
 func (b *balancer) setSeeds() {
 	found := seeds(b.env.Host)
 	b.follower.SetSeeds(found)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seeds = found
-	b.share.SetSeeds(seedHosts(found))
-	b.share.SetStart(isSeed(b.env.Host), b.env.Host.FirstStart)
+	b.watchShare.SetSeeds(seedHosts(found))
+	b.watchShare.SetStart(isSeed(b.env.Host), b.env.Host.FirstStart)
 }
 
-// change takes over settings that have changed.
-func (b *balancer) change(c platform.Changeable) {
+// applySettings applies changed settings.
+func (b *balancer) applySettings(c platform.Changeable) {
 	b.store.SetAddress(c.Store)
 	b.env.Host.Changeable = c
 	b.setSeeds()
@@ -365,18 +378,18 @@
 	b.mu.Unlock()
 }
 
-// stop lets the routers turn away, carries on while packets come, and ends
-// within the grace.
+// stop makes the routers turn to other balancers, continues to serve while packets
+// arrive, and returns within the grace period.
 func (b *balancer) stop() {
 	b.stopping.Store(true)
 	began := b.clock()
 	b.log.Info("Stopping.", "grace_ms", b.env.Host.Grace.Milliseconds())
 	b.mu.Lock()
-	b.sendShare(b.share.Leave(began))
+	b.sendWatchShare(b.watchShare.Leave(began))
 	b.mu.Unlock()
-	lingerUntil(b.env.Host.Grace-endMargin, func() bool {
+	waitUntil(b.env.Host.Grace-endMargin, func() bool {
 		now := b.clock()
-		return now-began >= leastLinger && now-time.Duration(b.lastPacket.Load()) >= quietTime
+		return now-began >= balancerMinStop && now-time.Duration(b.lastPacket.Load()) >= idleBeforeExit
 	})
 	_ = b.callers.Close() // the process ends
 	_ = b.agents.Close()
--- a/internal/packetface/role/bench_test.go
+++ b/internal/packetface/role/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// The cost of forwarding a packet of a known flow, beside that of a relay that
-// only copies datagrams: go test -bench Forward ./internal/packetface/role
+// These benchmarks compare the cost of forwarding a packet of a known flow with that of a
+// relay that only copies datagrams: go test -bench Forward ./internal/packetface/role
 
 const payload = 200
 
@@ -33,8 +33,8 @@
 
 func addressOf(conn *net.UDPConn) netip.AddrPort { return conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// pump sends a packet and waits for it at the far end, again and again.
-func pump(b *testing.B, to netip.AddrPort, sink *net.UDPConn, p []byte) {
+// measureRoundTrips repeatedly sends a packet and waits until it arrives at the sink.
+func measureRoundTrips(b *testing.B, to netip.AddrPort, sink *net.UDPConn, p []byte) {
 	source := socket(b)
 	buffer := make([]byte, inner.MaxSize)
 	b.ReportAllocs()
@@ -62,7 +62,7 @@
 	relay, sink := socket(b), socket(b)
 	to := addressOf(sink)
 	go receive(relay, inner.MaxSize, func(_ netip.AddrPort, datagram []byte) { send(relay, to, datagram) })
-	pump(b, addressOf(relay), sink, callerPacket(platform.FlagACK, payload))
+	measureRoundTrips(b, addressOf(relay), sink, callerPacket(platform.FlagACK, payload))
 }
 
 func BenchmarkForwardBalancer(b *testing.B) {
@@ -80,5 +80,5 @@
 		b.Fatal(err)
 	}
 	go receive(balancer.callers, platform.MaxPacketSize+1, balancer.fromCaller)
-	pump(b, addressOf(balancer.callers), sink, callerPacket(platform.FlagACK, payload))
+	measureRoundTrips(b, addressOf(balancer.callers), sink, callerPacket(platform.FlagACK, payload))
 }
--- a/internal/packetface/role/common.go
+++ b/internal/packetface/role/common.go
@@ -1,5 +1,6 @@
-// Package role runs the two roles of the packet face: it reads sockets, asks
-// the pure parts what to do, and does it.
+// Package role runs the two roles of the packet face, balancer and agent: it reads from
+// the sockets, passes what arrives to the packages that decide (steer for a balancer,
+// gate for an agent) and carries out their decisions.
 package role
 
 import (
@@ -22,59 +23,60 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Env is what the daemon gives a role at its start.
+// Env holds what the daemon passes to a role at its start.
 type Env struct {
 	Logger *slog.Logger
 	Host   platform.Host
-	// Stop is closed when the process is told to stop.
+	// Stop is closed when the process is asked to stop.
 	Stop <-chan struct{}
-	// Changes brings settings that have changed, nil for never.
+	// Changes delivers changed settings; nil if they never change.
 	Changes <-chan platform.Changeable
-	// Policies tells which decisions are made.
+	// Policies selects the optional decisions that are in use.
 	Policies policy.Set
 }
 
-// follow calls take with settings that have changed until the process is told
+// applyUntilStop calls apply with each change of the settings until the process is asked
 // to stop.
-func (e *Env) follow(take func(platform.Changeable)) {
+func (e *Env) applyUntilStop(apply func(platform.Changeable)) {
 	for {
 		select {
 		case <-e.Stop:
 			return
 		case c := <-e.Changes:
-			take(c)
+			apply(c)
 		}
 	}
 }
 
 const (
-	// receiveBuffer is the size of a socket's buffer in bytes: some 200 ms of a
-	// busy host's packets.
+	// receiveBuffer is the size of a socket's receive buffer in bytes. It holds about 200
+	// ms of a busy host's packets.
 	receiveBuffer = 1 << 20
-	// endMargin is kept free before the end of the grace.
+	// endMargin is the part of the grace period that is kept free at its end.
 	endMargin = 700 * time.Millisecond
-	// stopTick is the time between two looks whether a stop is finished.
+	// stopTick is the interval at which a stopping process checks whether it can end.
 	stopTick = 100 * time.Millisecond
-	// headerTimeout and idleTimeout end connections to the control address whose
-	// peer sends nothing; heartbeats come every second or so.
+	// headerTimeout and idleTimeout close connections to the control address on which the
+	// peer sends nothing. Heartbeats arrive about once a second.
 	headerTimeout = 2 * time.Second
 	idleTimeout   = 30 * time.Second
-	// opsCloseTime bounds the end of running requests for readiness.
+	// opsCloseTime bounds the wait for running readiness checks at the end of the
+	// process.
 	opsCloseTime = 100 * time.Millisecond
 )
 
-// clock returns the time since its creation by the steady clock. It never
-// returns 0, which stands for never.
+// newClock returns a function that returns the time since newClock was called by the
+// monotonic clock. It never returns 0, which stands for never.
 func newClock() func() time.Duration {
 	started := time.Now()
 	return func() time.Duration { return time.Since(started) + 1 }
 }
 
-// incarnation returns random bits that no other start has.
+// incarnation returns a random number that identifies this run of the process.
 func incarnation() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		return 0, errors.Wrap(err, "role: incarnation")
+		return 0, errors.Wrap(err, "role: generate the incarnation")
 	}
 	return binary.BigEndian.Uint64(b[:]), nil
 }
@@ -83,29 +85,29 @@
 	return mathrand.New(mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64()))
 }
 
-// listen binds a socket for datagrams.
+// listen opens a UDP socket.
 func listen(addr netip.AddrPort) (*net.UDPConn, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, errors.Wrapf(err, "role: listen on %s", addr)
 	}
-	// A smaller buffer than asked for is no reason not to serve.
+	// The process can serve with a smaller buffer.
 	_ = conn.SetReadBuffer(receiveBuffer)
 	return conn, nil
 }
 
-// seeds returns the seeds of a host's settings that are not the host itself.
+// seeds returns the valid seeds in a host's settings except the host itself.
 func seeds(h platform.Host) []netip.AddrPort {
 	return slices.DeleteFunc(h.Seeds[:], func(seed netip.AddrPort) bool {
 		return !seed.IsValid() || seed == h.Control
 	})
 }
 
-// isSeed reports whether the settings name the host itself as a seed, as those of other
-// hosts then do.
+// isSeed reports whether the settings name the host itself as a seed. The settings of
+// other hosts name the same seeds.
 func isSeed(h platform.Host) bool { return slices.Contains(h.Seeds[:], h.Control) }
 
-// serveControl serves calls at the control address until the process ends.
+// serveControl serves HTTP calls at the control address until the process ends.
 func serveControl(addr netip.AddrPort, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", addr.String())
 	if err != nil {
@@ -137,15 +139,15 @@
 	sendErrors    = metrics.NewCounter(`saltbend_packet_socket_errors_total{op="send"}`)
 )
 
-// send sends a datagram. One that can't be sent is counted and lost, as any
-// datagram may be.
+// send sends a datagram. A failure is only counted, as any datagram may be lost on its
+// way.
 func send(conn *net.UDPConn, to netip.AddrPort, b []byte) {
 	if _, err := conn.WriteToUDPAddrPort(b, to); err != nil {
 		sendErrors.Inc()
 	}
 }
 
-// every calls f until stop is closed.
+// every calls f once per period until stop is closed.
 func every(stop <-chan struct{}, period time.Duration, f func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -159,8 +161,8 @@
 	}
 }
 
-// lingerUntil waits until finished, at most for limit.
-func lingerUntil(limit time.Duration, finished func() bool) {
+// waitUntil polls finished until it returns true or the time limit has passed.
+func waitUntil(limit time.Duration, finished func() bool) {
 	end := time.Now().Add(limit)
 	for time.Now().Before(end) && !finished() {
 		time.Sleep(stopTick)
--- a/internal/packetface/role/config.go
+++ b/internal/packetface/role/config.go
@@ -6,9 +6,10 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// How a configuration comes into force at a balancer.
+// This file applies new configurations at a balancer.
 
-// adopt puts a configuration in force if its version is higher.
+// adopt puts the configuration of a listing in force if its version is higher than the
+// current one.
 func (b *balancer) adopt(l *registry.Listing) {
 	if l.ConfigAt == b.configAt {
 		return
@@ -20,10 +21,10 @@
 		return
 	}
 	if len(findings) > 0 {
-		b.log.Warn("Routes passed over.", "findings", findings.Error(), "version", config.Version)
+		b.log.Warn("Invalid settings of the configuration ignored.", "findings", findings.Error(), "version", config.Version)
 	}
 	if config.Version == b.version {
-		return // written again, after the store came back from a copy
+		return // the same version, rewritten after the store was restored from a copy
 	}
 	if config.Version < b.version {
 		b.log.Warn("Configuration is not newer.", "offered", config.Version, "version", b.version)
@@ -35,10 +36,11 @@
 	b.core.SetTable(b.clock(), table, config.IdleLimit)
 }
 
-// freshenTable tells the core whether the configuration is known to be the newest, so
-// that a face without a route is told so. One of a balancer that began while the store's
-// era was not settled may be that of an older copy. The caller holds mu.
-func (b *balancer) freshenTable() {
-	b.beganInCopy = b.beganInCopy && b.settling
-	b.core.SetTableFresh(b.storeReached && !b.beganInCopy)
+// updateTableFresh informs the core whether the configuration is known to be the newest.
+// Only then may the core reset flows to a face without a route. A balancer that started
+// while the store's era had not settled may have the older configuration of a restored
+// copy. The caller holds mu.
+func (b *balancer) updateTableFresh() {
+	b.startedUnsettled = b.startedUnsettled && b.settling
+	b.core.SetTableFresh(b.storeReachable && !b.startedUnsettled)
 }
--- a/internal/packetface/role/evacuations.go
+++ b/internal/packetface/role/evacuations.go
@@ -14,49 +14,48 @@
 	false: metrics.NewCounter(`saltbend_packet_evacuations_total{to="taken-back"}`),
 }
 
-// evacuations tells operators of the data centres that this balancer keeps new flows
-// away from.
+// evacuations tracks the data centres whose upstreams this balancer gives no new flows.
 type evacuations struct {
-	// since holds when each request was heard of.
-	since map[string]time.Duration
+	// firstSeen maps the data centres to when this balancer learned of their evacuation.
+	firstSeen map[string]time.Duration
 }
 
-// change takes over the requests that stand and returns the data centres that are
-// newly evacuated, and those that are taken back.
-func (e *evacuations) change(now time.Duration, all []evacuation.Request) (begun []evacuation.Request, ended []string) {
-	before := e.since
-	e.since = make(map[string]time.Duration, len(all))
+// update replaces the requests in force. It returns the requests that are new and the
+// data centres whose requests have been withdrawn.
+func (e *evacuations) update(now time.Duration, all []evacuation.Request) (begun []evacuation.Request, ended []string) {
+	before := e.firstSeen
+	e.firstSeen = make(map[string]time.Duration, len(all))
 	for _, request := range all {
 		since, known := before[request.DataCentre]
 		if !known {
 			since = now
 			begun = append(begun, request)
 		}
-		e.since[request.DataCentre] = since
+		e.firstSeen[request.DataCentre] = since
 	}
 	for dataCentre := range before {
-		if _, stands := e.since[dataCentre]; !stands {
+		if _, requested := e.firstSeen[dataCentre]; !requested {
 			ended = append(ended, dataCentre)
 		}
 	}
 	return begun, ended
 }
 
-// report returns the requests for operators.
+// report returns the requests in the form of the status report.
 func (e *evacuations) report(now time.Duration, all []evacuation.Request) (out []report.Evacuation) {
 	for _, request := range all {
 		out = append(out, report.Evacuation{
-			DataCentre: request.DataCentre, At: request.At.String(), KnownForMS: (now - e.since[request.DataCentre]).Milliseconds(),
+			DataCentre: request.DataCentre, At: request.At.String(), KnownForMS: (now - e.firstSeen[request.DataCentre]).Milliseconds(),
 		})
 	}
 	return out
 }
 
-// evacuate puts the operators' requests to empty data centres in force, before the
-// agents that were read with them. The caller holds mu.
+// evacuate applies the operators' requests to evacuate data centres. It is called before
+// the agents of the same listing are applied. The caller holds mu.
 func (b *balancer) evacuate(record evacuation.Record) {
 	now := b.clock()
-	begun, ended := b.evacuations.change(now, record.Requests())
+	begun, ended := b.evacuations.update(now, record.Requests())
 	for _, request := range begun {
 		evacuationChanges[true].Inc()
 		b.log.Info("Data centre evacuated.", "dc", request.DataCentre, "at", request.At, "known", b.env.Host.HasDataCentre(request.DataCentre))
@@ -65,5 +64,5 @@
 		evacuationChanges[false].Inc()
 		b.log.Info("Data centre taken back.", "dc", dataCentre, "as_of", record.Word(dataCentre).AsOf)
 	}
-	b.do(b.core.SetEvacuations(now, record))
+	b.apply(b.core.SetEvacuations(now, record))
 }
--- a/internal/packetface/role/metrics.go
+++ b/internal/packetface/role/metrics.go
@@ -12,22 +12,22 @@
 var (
 	answerSeconds = metrics.NewHistogram("saltbend_packet_answer_seconds")
 	waitSeconds   = metrics.NewHistogram("saltbend_packet_slot_wait_seconds")
-	// decisionSeconds is sampled, as reading the clock costs as much as a decision.
-	decisionSeconds = metrics.NewHistogram("saltbend_packet_decision_seconds")
-	handOffSeconds  = metrics.NewHistogram("saltbend_packet_hand_off_seconds")
-	newsSeconds     = metrics.NewHistogram("saltbend_packet_agent_news_seconds")
-	searchSeconds   = metrics.NewHistogram("saltbend_packet_owner_search_seconds")
-	deadSeconds     = metrics.NewHistogram("saltbend_packet_dead_flow_search_seconds")
+	// decisionSeconds is sampled, because reading the clock takes as long as a decision.
+	decisionSeconds    = metrics.NewHistogram("saltbend_packet_decision_seconds")
+	handOffSeconds     = metrics.NewHistogram("saltbend_packet_hand_off_seconds")
+	stateReportSeconds = metrics.NewHistogram("saltbend_packet_agent_news_seconds")
+	ownerSearchSeconds = metrics.NewHistogram("saltbend_packet_owner_search_seconds")
+	deadFlowSeconds    = metrics.NewHistogram("saltbend_packet_dead_flow_search_seconds")
 )
 
-// decisionSample is the number of packets of which one decision is timed.
+// decisionSample is the number of packets for each timed decision.
 const decisionSample = 64
 
-// timer times one decision in decisionSample. It has one owner at a time.
-type timer struct{ packets int }
+// decisionTimer times one decision in decisionSample. It is not safe for concurrent use.
+type decisionTimer struct{ packets int }
 
-// start returns the function that ends the timing of a decision.
-func (t *timer) start() func() {
+// start returns a function that ends the timing of a decision.
+func (t *decisionTimer) start() func() {
 	t.packets++
 	if t.packets%decisionSample != 0 {
 		return func() {}
@@ -36,8 +36,9 @@
 	return func() { decisionSeconds.UpdateDuration(began) }
 }
 
-// observe adds the times that an agent's decisions took note of.
-func observe(r *gate.Result) {
+// recordDurations adds the response and queueing times of an agent's result to the
+// metrics.
+func recordDurations(r *gate.Result) {
 	for _, d := range r.Answered {
 		answerSeconds.Update(d.Seconds())
 	}
@@ -46,8 +47,8 @@
 	}
 }
 
-// gauges shows what a balancer holds and believes.
-func (b *balancer) gauges() {
+// registerGauges registers the gauges of a balancer's state.
+func (b *balancer) registerGauges() {
 	count := func(pick func(steer.Counts) int) func() float64 {
 		return func() float64 {
 			b.mu.Lock()
@@ -60,7 +61,7 @@
 	metrics.GetOrCreateGauge("saltbend_packet_watch_listeners", func() float64 {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return float64(b.share.Listeners(b.clock()))
+		return float64(b.watchShare.Listeners(b.clock()))
 	})
 	metrics.GetOrCreateGauge("saltbend_packet_agents", count(func(c steer.Counts) int { return c.Agents }))
 	metrics.GetOrCreateGauge("saltbend_packet_agents_suspected", count(func(c steer.Counts) int { return c.Suspected }))
@@ -70,12 +71,12 @@
 		return float64(b.version)
 	})
 	metrics.GetOrCreateGauge("saltbend_packet_store_age_seconds", func() float64 {
-		return (b.clock() - time.Duration(b.storeHeard.Load())).Seconds()
+		return (b.clock() - time.Duration(b.storeAnswered.Load())).Seconds()
 	})
 }
 
-// gauges shows what an agent holds and believes.
-func (a *agent) gauges() {
+// registerGauges registers the gauges of an agent's state.
+func (a *agent) registerGauges() {
 	count := func(pick func(gate.Counts) float64) func() float64 {
 		return func() float64 {
 			a.mu.Lock()
--- a/internal/packetface/role/notes.go
+++ b/internal/packetface/role/notes.go
@@ -15,62 +15,63 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Bounds on the log of each kind of decision, in lines a second; what goes over
-// is counted and told once a second.
+// Rate limit of the log lines for each kind and reason of decisions. Lines beyond it are
+// counted, and the count is logged at most once a second.
 const (
 	linesPerSecond = 50
 	linesBurst     = 100
 )
 
-// notes logs and counts decisions. It has one owner at a time.
-type notes struct {
-	log      *slog.Logger
-	clock    func() time.Duration
-	buckets  map[string]*bucket
-	unusable logging.Once
+// decisionLog logs and counts decisions. It is not safe for concurrent use.
+type decisionLog struct {
+	log             *slog.Logger
+	clock           func() time.Duration
+	limits          map[string]*lineLimit
+	heartbeatErrors logging.Once
 }
 
-// bucket bounds the lines of one kind.
-type bucket struct {
+// lineLimit is a token bucket for the log lines of one kind and reason. suppressed counts
+// the lines left out since the count was last logged, at reported.
+type lineLimit struct {
 	counter    *metrics.Counter
 	tokens     float64
-	filled     time.Duration
+	refilled   time.Duration
 	suppressed int
-	told       time.Duration
+	reported   time.Duration
 }
 
-func newNotes(log *slog.Logger, clock func() time.Duration) *notes {
-	return &notes{log: log, clock: clock, buckets: make(map[string]*bucket)}
+func newDecisionLog(log *slog.Logger, clock func() time.Duration) *decisionLog {
+	return &decisionLog{log: log, clock: clock, limits: make(map[string]*lineLimit)}
 }
 
-// allow counts a decision and reports whether its line is to be written.
-func (n *notes) allow(kind, reason string) bool {
-	b := n.buckets[kind+reason]
+// allow counts a decision and reports whether its line may be logged.
+func (n *decisionLog) allow(kind, reason string) bool {
+	b := n.limits[kind+reason]
 	now := n.clock()
 	if b == nil {
-		b = &bucket{
+		b = &lineLimit{
 			counter: metrics.GetOrCreateCounter(fmt.Sprintf(`saltbend_packet_decisions_total{kind=%q,reason=%q}`, kind, reason)),
-			tokens:  linesBurst, filled: now,
+			tokens:  linesBurst, refilled: now,
 		}
-		n.buckets[kind+reason] = b
+		n.limits[kind+reason] = b
 	}
 	b.counter.Inc()
-	b.tokens = min(linesBurst, b.tokens+linesPerSecond*(now-b.filled).Seconds())
-	b.filled = now
+	b.tokens = min(linesBurst, b.tokens+linesPerSecond*(now-b.refilled).Seconds())
+	b.refilled = now
 	if b.tokens >= 1 {
 		b.tokens--
 		return true
 	}
 	b.suppressed++
-	if now-b.told >= time.Second {
-		n.log.Warn("Lines left out.", "kind", kind, "reason", reason, "count", b.suppressed)
-		b.suppressed, b.told = 0, now
+	if now-b.reported >= time.Second {
+		n.log.Warn("Log lines suppressed by the rate limit.", "kind", kind, "reason", reason, "count", b.suppressed)
+		b.suppressed, b.reported = 0, now
 	}
 	return false
 }
 
-// balancer logs what a balancer decided.
-func (n *notes) balancer(all []steer.Note) {
+// logBalancer logs the decisions of a balancer.
+func (n *decisionLog) logBalancer(all []steer.Note) {
 	for i := range all {
 		note := &all[i]
 		if !n.allow(string(note.Kind), note.Reason) {
@@ -91,13 +92,13 @@
 	}
 }
 
-// agent logs what an agent decided.
-func (n *notes) agent(all []gate.Note) {
+// logAgent logs the decisions of an agent.
+func (n *decisionLog) logAgent(all []gate.Note) {
 	for i := range all {
 		note := &all[i]
 		reason := note.Reason
 		if note.Kind == gate.KindUpstream {
-			reason = "" // it holds an id, which must not name a metric
+			reason = "" // it is an upstream's ID, which must not become a metric label
 		}
 		if !n.allow(string(note.Kind), reason) {
 			continue
@@ -117,18 +118,19 @@
 	}
 }
 
-// unreadable logs a datagram that could not be read.
-func (n *notes) unreadable(what string, from netip.AddrPort, size int, err error) {
+// logMalformed logs a datagram that can't be decoded.
+func (n *decisionLog) logMalformed(what string, from netip.AddrPort, size int, err error) {
 	if n.allow("unreadable", what) {
-		n.log.Warn("Datagram passed over.", "what", what, "from", from.String(), "bytes", size, "error", err.Error())
+		n.log.Warn("Malformed datagram ignored.", "what", what, "from", from.String(), "bytes", size, "error", err.Error())
 	}
 }
 
-// unusableHeartbeat logs a heartbeat that no upstream sent so, each kind once: another
-// writer may go on.
-func (n *notes) unusableHeartbeat(err error) {
-	if n.allow("unreadable", "heartbeat") && n.unusable.First(err.Error()) {
-		n.log.Warn("Heartbeat passed over.", "error", err.Error())
+// logInvalidHeartbeat logs a heartbeat that is invalid and therefore not from an
+// upstream. Each error text is logged once, because the program that sends the heartbeat
+// may continue to do so.
+func (n *decisionLog) logInvalidHeartbeat(err error) {
+	if n.allow("unreadable", "heartbeat") && n.heartbeatErrors.First(err.Error()) {
+		n.log.Warn("Invalid heartbeat ignored.", "error", err.Error())
 	}
 }
 
--- a/internal/packetface/role/services.go
+++ b/internal/packetface/role/services.go
@@ -8,69 +8,73 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// An address may be used again by another service, and another writer may report a
-// service that there is none of. An agent knows no configuration; when its upstream
-// reports a service that is new to it, it looks in the store whether one names it.
+// An address may be reassigned to an upstream of another service, and another program may
+// report a service that does not exist. An agent does not follow the configuration. When
+// a heartbeat names a service that is new to the agent, the agent reads the configuration
+// from the store and checks that it names the service.
 
 const (
-	// servicesTimeout bounds the reading of a configuration: an upstream waits a second
-	// for the answer to its heartbeat.
+	// servicesTimeout bounds the read of a configuration. An upstream waits 1 s for the
+	// response to its heartbeat.
 	servicesTimeout = 600 * time.Millisecond
-	// servicesEvery is the least time between two readings, whatever is reported.
-	servicesEvery = time.Second
+	// servicesInterval is the minimum time between two reads, however many heartbeats
+	// name unknown services.
+	servicesInterval = time.Second
 )
 
-// naming says whether a configuration names a service.
-type naming uint8
+// serviceStatus is whether the configuration names a service.
+type serviceStatus uint8
 
 const (
-	serviceNamed naming = iota
-	serviceUnnamed
-	// serviceUnsure: no configuration could be read.
-	serviceUnsure
+	serviceConfigured serviceStatus = iota
+	serviceNotConfigured
+	// serviceUnknown means that no configuration could be read.
+	serviceUnknown
 )
 
-// services remembers which services a configuration names.
-type services struct {
-	mu    sync.Mutex
-	named map[string]bool
-	// version is that of the configuration that names them.
+// serviceCache holds the services that the last configuration read from the store names.
+type serviceCache struct {
+	mu         sync.Mutex
+	configured map[string]bool
+	// version is the version of that configuration.
 	version uint64
-	// asked is when a configuration was last asked for, reached whether it came.
-	asked   time.Duration
-	reached bool
+	// readAt is when a configuration was last requested, 0 for never. readOK reports
+	// whether that succeeded.
+	readAt time.Duration
+	readOK bool
 }
 
-// knowsService reports whether a configuration names a service. That of the host's
-// settings needs no proof.
-func (a *agent) knowsService(name string) naming {
+// serviceStatusOf returns whether the configuration names a service. The service in the
+// host's settings is accepted without a check.
+func (a *agent) serviceStatusOf(name string) serviceStatus {
 	if name == a.env.Host.Service {
-		return serviceNamed
+		return serviceConfigured
 	}
 	s := &a.services
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.named[name] {
-		return serviceNamed
+	if s.configured[name] {
+		return serviceConfigured
 	}
-	if now := a.clock(); s.asked == 0 || now-s.asked >= servicesEvery {
+	if now := a.clock(); s.readAt == 0 || now-s.readAt >= servicesInterval {
 		err := s.read(a.store)
-		s.asked, s.reached = now, err == nil
+		s.readAt, s.readOK = now, err == nil
 		if err != nil {
-			a.log.Warn("Configuration not read for a service.", "service", name, "error", err.Error())
+			a.log.Warn("Failed to read the configuration to check a service.", "service", name, "error", err.Error())
 		}
 	}
 	switch {
-	case !s.reached:
-		return serviceUnsure
-	case s.named[name]:
-		return serviceNamed
+	case !s.readOK:
+		return serviceUnknown
+	case s.configured[name]:
+		return serviceConfigured
 	}
-	return serviceUnnamed
+	return serviceNotConfigured
 }
 
-// read takes over the services of the configuration in the store.
-func (s *services) read(store *platform.Store) error {
+// read replaces the cached services by those of the configuration in the store, unless
+// that is older.
+func (s *serviceCache) read(store *platform.Store) error {
 	ctx, cancel := context.WithTimeout(context.Background(), servicesTimeout)
 	defer cancel()
 	item, _, err := store.Get(ctx, platform.ConfigKey)
@@ -82,11 +86,11 @@
 		return err
 	}
 	if config.Version < s.version {
-		return nil // the store came back older, and the newer one is to be written again
+		return nil // the store was restored from an older copy; operators will write the newer version again
 	}
-	s.version, s.named = config.Version, make(map[string]bool)
+	s.version, s.configured = config.Version, make(map[string]bool)
 	for _, name := range config.ServiceNames() {
-		s.named[name] = true
+		s.configured[name] = true
 	}
 	return nil
 }
--- a/internal/packetface/role/sharing.go
+++ b/internal/packetface/role/sharing.go
@@ -11,96 +11,100 @@
 	"github.com/saltbend/saltbend/internal/packetface/watchshare"
 )
 
-// A balancer's part in sharing the watches of the store: it carries the messages of
-// package watchshare and tells the follower whom to learn from.
+// This file sends and receives the datagrams with which balancers share watches of the
+// store (package watchshare), and sets the source from which the follower receives store
+// changes.
 
 var (
-	followRequests = metrics.NewCounter(`saltbend_packet_watch_requests_total`)
-	strangeNews    = metrics.NewCounter(`saltbend_packet_watch_unreadable_total`)
+	subscribeRequests = metrics.NewCounter(`saltbend_packet_watch_requests_total`)
+	rejectedMessages  = metrics.NewCounter(`saltbend_packet_watch_unreadable_total`)
 )
 
-// newsKnows counts news by what their sender knows, compared with this balancer.
-var newsKnows = map[string]*metrics.Counter{
+// updatesByPosition counts the store updates of other balancers by their store position
+// compared with this balancer's.
+var updatesByPosition = map[string]*metrics.Counter{
 	"more": metrics.NewCounter(`saltbend_packet_watch_news_total{knows="more"}`),
 	"same": metrics.NewCounter(`saltbend_packet_watch_news_total{knows="same"}`),
 	"less": metrics.NewCounter(`saltbend_packet_watch_news_total{knows="less"}`),
 }
 
-// turns counts how often a balancer began to watch or to listen.
-var turns = map[bool]*metrics.Counter{
+// sourceChanges counts how often a balancer took another balancer as its source (true) or
+// began to watch the store itself (false).
+var sourceChanges = map[bool]*metrics.Counter{
 	true:  metrics.NewCounter(`saltbend_packet_watch_turns_total{to="listen"}`),
 	false: metrics.NewCounter(`saltbend_packet_watch_turns_total{to="watch"}`),
 }
 
-// fromPeer takes a message of another balancer; it reports whether the datagram was
-// one. Balancers send from the port at which they are reached, others are passed over.
+// fromPeer handles a datagram of another balancer; it reports whether the datagram is of
+// a kind that balancers send. Balancers send from the port on which they receive, so
+// datagrams from other ports are rejected.
 func (b *balancer) fromPeer(from netip.AddrPort, datagram []byte) bool {
 	kind := inner.KindOf(datagram)
 	if kind != inner.KindFollow && kind != inner.KindNews {
 		return false
 	}
 	if from.Port() != b.env.Host.InnerPorts[0] {
-		strangeNews.Inc()
+		rejectedMessages.Inc()
 		return true
 	}
 	now := b.clock()
 	if kind == inner.KindFollow {
-		followRequests.Inc()
+		subscribeRequests.Inc()
 		follow, err := inner.ParseFollow(datagram)
 		if err != nil {
-			strangeNews.Inc()
+			rejectedMessages.Inc()
 			return true
 		}
-		b.sendShare(b.share.Request(now, from.Addr(), follow))
+		b.sendWatchShare(b.watchShare.Request(now, from.Addr(), follow))
 		return true
 	}
 	news, err := inner.ParseNews(datagram)
 	if err != nil {
-		strangeNews.Inc()
+		rejectedMessages.Inc()
 		return true
 	}
-	b.sendShare(b.share.News(now, from.Addr(), news))
-	b.followShare()
-	b.compareNews(from.Addr(), news)
+	b.sendWatchShare(b.watchShare.News(now, from.Addr(), news))
+	b.updateSource()
+	b.countUpdate(from.Addr(), news)
 	return true
 }
 
-// compareNews counts news by whether their sender knows more of the store than this
-// balancer, and tells when the source begins to know less: what it tells then is not
-// taken over.
-func (b *balancer) compareNews(from netip.Addr, news inner.News) {
-	switch order := cmp.Compare(news.AsOf, b.listed); {
+// countUpdate counts a store update by its position compared with this balancer's. It
+// logs when the source first reports a lower position than this balancer has; the
+// follower ignores what such a source sends.
+func (b *balancer) countUpdate(from netip.Addr, news inner.News) {
+	switch order := cmp.Compare(news.AsOf, b.knownUpTo); {
 	case order > 0:
-		newsKnows["more"].Inc()
+		updatesByPosition["more"].Inc()
 	case order == 0:
-		newsKnows["same"].Inc()
+		updatesByPosition["same"].Inc()
 	default:
-		newsKnows["less"].Inc()
-		if from == b.source && b.lesser != from {
-			b.log.Info("Source knows less than this balancer.", "source", from.String(), "as_of", news.AsOf, "own_as_of", b.listed)
-			b.lesser = from
+		updatesByPosition["less"].Inc()
+		if from == b.source && b.laggingSource != from {
+			b.log.Info("Source has fewer store changes than this balancer.", "source", from.String(), "as_of", news.AsOf, "own_as_of", b.knownUpTo)
+			b.laggingSource = from
 		}
 		return
 	}
-	b.lesser = netip.Addr{}
+	b.laggingSource = netip.Addr{}
 }
 
-// tickShare does what is due for sharing by time alone. The caller holds mu.
-func (b *balancer) tickShare() {
+// tickWatchShare does the periodic work of sharing watches. The caller holds mu.
+func (b *balancer) tickWatchShare() {
 	now := b.clock()
 	if !b.env.Policies.On(policy.SharedWatches) {
 		b.follower.ReadStore()
 		return
 	}
-	b.sendShare(b.share.Tick(now, b.core.Balancers()))
-	b.followShare()
-	if b.share.ReadsStore(now) {
+	b.sendWatchShare(b.watchShare.Tick(now, b.core.Balancers()))
+	b.updateSource()
+	if b.watchShare.ReadsStore(now) {
 		b.follower.ReadStore()
 	}
 }
 
-// sendShare sends messages to other balancers. The caller holds mu.
-func (b *balancer) sendShare(messages []watchshare.Send) {
+// sendWatchShare sends datagrams to other balancers. The caller holds mu.
+func (b *balancer) sendWatchShare(messages []watchshare.Send) {
 	for _, m := range messages {
 		to := netip.AddrPortFrom(m.To, b.env.Host.InnerPorts[0])
 		if m.News == nil {
@@ -111,34 +115,34 @@
 	}
 }
 
-// followShare tells the follower whom to learn from when that has changed, and of
-// news. The caller holds mu.
-func (b *balancer) followShare() {
-	source, listens := b.share.Source()
+// updateSource passes a changed source to the follower, and informs the follower if the
+// source has changes that this balancer lacks. The caller holds mu.
+func (b *balancer) updateSource() {
+	source, listens := b.watchShare.Source()
 	if listens {
-		b.storeHeard.Store(int64(b.share.Confirmed()))
+		b.storeAnswered.Store(int64(b.watchShare.Confirmed()))
 	}
 	if source != b.source {
 		before := b.source
 		b.source = source
-		turns[listens].Inc()
-		b.follower.Listen(b.peerAt(source))
+		sourceChanges[listens].Inc()
+		b.follower.Listen(b.controlAddress(source))
 		if listens {
-			b.log.Info("Listens to another balancer's watch.", "source", source.String(), "before", before.String())
+			b.log.Info("Receiving store changes from another balancer.", "source", source.String(), "before", before.String())
 		} else {
-			b.log.Info("Watches the store itself.", "before", before.String())
+			b.log.Info("Watching the store directly.", "before", before.String())
 		}
 	}
-	if b.share.Behind() {
+	if b.watchShare.Behind() {
 		b.follower.News()
 	}
 }
 
-// shared reports whether others rely on this process's watches.
-func (b *balancer) shared() bool {
+// hasListeners reports whether other balancers receive store changes from this one.
+func (b *balancer) hasListeners() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.share.Listeners(b.clock()) > 0
+	return b.watchShare.Listeners(b.clock()) > 0
 }
 
 // seedHosts returns the hosts of the seeds.
--- a/internal/packetface/role/status.go
+++ b/internal/packetface/role/status.go
@@ -7,7 +7,7 @@
 	"github.com/saltbend/saltbend/internal/packetface/steer"
 )
 
-// report returns what the balancer believes now.
+// report returns the current status report of the balancer.
 func (b *balancer) report() report.Balancer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -15,17 +15,17 @@
 	view := b.core.View(now)
 	out := report.Balancer{
 		Host: b.env.Host.Name, DataCentre: b.env.Host.DataCentre,
-		Ready: b.ready.Load() && !b.blind && !b.stopping.Load(), Stopping: b.stopping.Load(),
+		Ready: b.ready.Load() && !b.noAgentAnswers && !b.stopping.Load(), Stopping: b.stopping.Load(),
 		Version: b.version, Routes: view.Routes, Era: view.List.AsOf.Era(), Settling: b.settling,
 		ListAsOf: view.List.AsOf.String(), ListHeard: view.Heard.String(), ListOutdated: view.Heard > view.List.AsOf,
-		StoreAgeMS: report.AgeMS(now, time.Duration(b.storeHeard.Load())),
+		StoreAgeMS: report.AgeMS(now, time.Duration(b.storeAnswered.Load())),
 		Flows:      view.Counts.Flows, Searches: view.Counts.Asks, Agents: []report.Agent{}, Seeds: b.seeds,
 	}
 	out.Evacuations = b.evacuations.report(now, view.Evacuations)
 	if b.source.IsValid() {
 		out.ListensTo = b.source.String()
 	}
-	out.Listeners = b.share.Listeners(now)
+	out.Listeners = b.watchShare.Listeners(now)
 	for i := range view.Agents {
 		out.Agents = append(out.Agents, reportAgent(now, &view.Agents[i]))
 	}
