--- /dev/null
+++ b/internal/packetface/role/watchshare.go
@@ -0,0 +1,155 @@
+package role
+
+import (
+	"cmp"
+	"net/netip"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"github.com/saltbend/saltbend/internal/packetface/inner"
+	"github.com/saltbend/saltbend/internal/packetface/policy"
+	"github.com/saltbend/saltbend/internal/packetface/watchshare"
+)
+
+// This file sends and receives the datagrams with which balancers share watches of the
+// store (package watchshare), and sets the source from which the follower receives store
+// changes.
+
+var (
+	subscribeRequests = metrics.NewCounter(`saltbend_packet_watch_requests_total`)
+	rejectedMessages  = metrics.NewCounter(`saltbend_packet_watch_unreadable_total`)
+)
+
+// updatesByPosition counts the store updates of other balancers by their store position
+// compared with this balancer's.
+var updatesByPosition = map[string]*metrics.Counter{
+	"more": metrics.NewCounter(`saltbend_packet_watch_news_total{knows="more"}`),
+	"same": metrics.NewCounter(`saltbend_packet_watch_news_total{knows="same"}`),
+	"less": metrics.NewCounter(`saltbend_packet_watch_news_total{knows="less"}`),
+}
+
+// sourceChanges counts how often a balancer took another balancer as its source (true) or
+// began to watch the store itself (false).
+var sourceChanges = map[bool]*metrics.Counter{
+	true:  metrics.NewCounter(`saltbend_packet_watch_turns_total{to="listen"}`),
+	false: metrics.NewCounter(`saltbend_packet_watch_turns_total{to="watch"}`),
+}
+
+// fromPeer handles a datagram of another balancer; it reports whether the datagram is of
+// a kind that balancers send. Balancers send from the port on which they receive, so
+// datagrams from other ports are rejected.
+func (b *balancer) fromPeer(from netip.AddrPort, datagram []byte) bool {
+	kind := inner.KindOf(datagram)
+	if kind != inner.KindFollow && kind != inner.KindNews {
+		return false
+	}
+	if from.Port() != b.env.Host.InnerPorts[0] {
+		rejectedMessages.Inc()
+		return true
+	}
+	now := b.clock()
+	if kind == inner.KindFollow {
+		subscribeRequests.Inc()
+		follow, err := inner.ParseFollow(datagram)
+		if err != nil {
+			rejectedMessages.Inc()
+			return true
+		}
+		b.sendWatchShare(b.watchShare.Request(now, from.Addr(), follow))
+		return true
+	}
+	news, err := inner.ParseNews(datagram)
+	if err != nil {
+		rejectedMessages.Inc()
+		return true
+	}
+	b.sendWatchShare(b.watchShare.News(now, from.Addr(), news))
+	b.updateSource()
+	b.countUpdate(from.Addr(), news)
+	return true
+}
+
+// countUpdate counts a store update by its position compared with this balancer's. It
+// logs when the source first reports a lower position than this balancer has; the
+// follower ignores what such a source sends.
+func (b *balancer) countUpdate(from netip.Addr, news inner.News) {
+	switch order := cmp.Compare(news.AsOf, b.knownUpTo); {
+	case order > 0:
+		updatesByPosition["more"].Inc()
+	case order == 0:
+		updatesByPosition["same"].Inc()
+	default:
+		updatesByPosition["less"].Inc()
+		if from == b.source && b.laggingSource != from {
+			b.log.Info("Source has fewer store changes than this balancer.", "source", from.String(), "as_of", news.AsOf, "own_as_of", b.knownUpTo)
+			b.laggingSource = from
+		}
+		return
+	}
+	b.laggingSource = netip.Addr{}
+}
+
+// tickWatchShare does the periodic work of sharing watches. The caller holds mu.
+func (b *balancer) tickWatchShare() {
+	now := b.clock()
+	if !b.env.Policies.On(policy.SharedWatches) {
+		b.follower.ReadStore()
+		return
+	}
+	b.sendWatchShare(b.watchShare.Tick(now, b.core.Balancers()))
+	b.updateSource()
+	if b.watchShare.ReadsStore(now) {
+		b.follower.ReadStore()
+	}
+}
+
+// sendWatchShare sends datagrams to other balancers. The caller holds mu.
+func (b *balancer) sendWatchShare(messages []watchshare.Send) {
+	for _, m := range messages {
+		to := netip.AddrPortFrom(m.To, b.env.Host.InnerPorts[0])
+		if m.News == nil {
+			send(b.agents, to, inner.AppendFollow(nil, m.Follow))
+			continue
+		}
+		send(b.agents, to, inner.AppendNews(nil, m.News))
+	}
+}
+
+// updateSource passes a changed source to the follower, and informs the follower if the
+// source has changes that this balancer lacks. The caller holds mu.
+func (b *balancer) updateSource() {
+	source, listens := b.watchShare.Source()
+	if listens {
+		b.storeAnswered.Store(int64(b.watchShare.Confirmed()))
+	}
+	if source != b.source {
+		before := b.source
+		b.source = source
+		sourceChanges[listens].Inc()
+		b.follower.Listen(b.controlAddress(source))
+		if listens {
+			b.log.Info("Receiving store changes from another balancer.", "source", source.String(), "before", before.String())
+		} else {
+			b.log.Info("Watching the store directly.", "before", before.String())
+		}
+	}
+	if b.watchShare.Behind() {
+		b.follower.News()
+	}
+}
+
+// hasListeners reports whether other balancers receive store changes from this one.
+func (b *balancer) hasListeners() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.watchShare.Listeners(b.clock()) > 0
+}
+
+// seedHosts returns the hosts of the seeds.
+func seedHosts(seeds []netip.AddrPort) []netip.Addr {
+	hosts := make([]netip.Addr, len(seeds))
+	for i, seed := range seeds {
+		hosts[i] = seed.Addr()
+	}
+	return hosts
+}
