--- a/internal/packetface/registry/batch.go
+++ b/internal/packetface/registry/batch.go
@@ -14,22 +14,22 @@
 // that comes alone is written at once; those that follow within batchEvery are written
 // together.
 
-// batchEvery is the least time between two calls: ten in the two seconds in which
+// batchInterval is the least time between two calls: ten in the two seconds in which
 // entries that were lost are to be back.
-const batchEvery = 200 * time.Millisecond
+const batchInterval = 200 * time.Millisecond
 
 // batch collects writes of others. It is pure: T is whoever waits for the outcome.
 type batch[T any] struct {
 	waiting []pending[T]
 	// busy tells that a call is under way, sent is when the last one began, 0 for never.
 	busy bool
-	sent time.Duration
+	lastCall time.Duration
 }
 
 // pending is a write with whoever waits for its outcome.
 type pending[T any] struct {
 	write platform.Write
-	from  T
+	waiter  T
 }
 
 // add takes in a write.
@@ -40,28 +40,28 @@
 	if b.busy || len(b.waiting) == 0 {
 		return 0, false
 	}
-	if b.sent == 0 || len(b.waiting) >= platform.MaxWrites {
+	if b.lastCall == 0 || len(b.waiting) >= platform.MaxWrites {
 		return 0, true
 	}
-	return max(0, b.sent+batchEvery-now), true
+	return max(0, b.lastCall+batchInterval-now), true
 }
 
 // take returns the writes of the next call. Two of one key don't go together: the store
 // refuses such a call whole.
-func (b *batch[T]) take(now time.Duration) (together []pending[T]) {
-	b.busy, b.sent = true, now
+func (b *batch[T]) take(now time.Duration) (selected []pending[T]) {
+	b.busy, b.lastCall = true, now
 	keys := make(map[string]bool)
 	var left []pending[T]
 	for _, p := range b.waiting {
-		if len(together) == platform.MaxWrites || keys[p.write.Key] {
+		if len(selected) == platform.MaxWrites || keys[p.write.Key] {
 			left = append(left, p)
 			continue
 		}
 		keys[p.write.Key] = true
-		together = append(together, p)
+		selected = append(selected, p)
 	}
 	b.waiting = left
-	return together
+	return selected
 }
 
 // done notes that the call has ended.
--- a/internal/packetface/registry/batch_test.go
+++ b/internal/packetface/registry/batch_test.go
@@ -27,7 +27,7 @@
 		}
 		if wait, ok := b.due(now); ok && wait == 0 {
 			for _, p := range b.take(now) {
-				longest = max(longest, now-p.from)
+				longest = max(longest, now-p.waiter)
 			}
 			calls, until = calls+1, now+answer
 		}
@@ -54,7 +54,7 @@
 			}
 			calls, longest := writes(arrivals)
 			g.Expect(calls).To(BeNumerically("<=", 3000/200+1+agents/platform.MaxWrites))
-			g.Expect(longest).To(BeNumerically("<=", 2*batchEvery))
+			g.Expect(longest).To(BeNumerically("<=", 2*batchInterval))
 		})
 	}
 }
--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -18,10 +18,10 @@
 
 const (
 	changesPath = "/packet/changes"
-	// leastKept and maxKeptBytes bound the changes that are kept for others: as many as
-	// there are keys, or leastKept. With more, everything would be the shorter answer.
-	leastKept    = 256
-	maxKeptBytes = 2 << 20
+	// minRecentChanges and maxKeptBytes bound the changes that are kept for others: as many as
+	// there are keys, or minRecentChanges. With more, everything would be the shorter answer.
+	minRecentChanges    = 256
+	maxRecentBytes = 2 << 20
 )
 
 // changes are the last changes of the store in their order. The zero value knows none.
@@ -41,7 +41,7 @@
 		c.bytes += len(item.Value)
 	}
 	c.to = max(c.to, to)
-	for len(c.items) > max(keys, leastKept) || c.bytes > maxKeptBytes {
+	for len(c.items) > max(keys, minRecentChanges) || c.bytes > maxRecentBytes {
 		c.from = c.items[0].At
 		c.bytes -= len(c.items[0].Value)
 		c.items = c.items[1:]
@@ -75,9 +75,9 @@
 type changeLog struct {
 	shared  *Shared
 	changes changes
-	// listing and everything are the listing as it is told to those that ask for it, and
+	// listing and full are the listing as it is told to those that ask for it, and
 	// to listeners that lack too much.
-	listing, everything document
+	listing, full document
 }
 
 // all returns the answer to a listener that lacks too much.
@@ -91,16 +91,16 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	log := f.whole(w)
+	log := f.publishedLog(w)
 	if log == nil {
 		return
 	}
 	items, ok := log.changes.since(store.Position(after))
 	if !ok {
-		log.everything.write(w, r, func() any { return log.all() })
+		log.full.write(w, r, func() any { return log.all() })
 		return
 	}
-	writePlain(w, Changes{AsOf: log.changes.to, Items: items})
+	writeUncompressed(w, Changes{AsOf: log.changes.to, Items: items})
 }
 
 // Listen lets the follower learn from the balancer at a control address, or watch the
@@ -108,39 +108,39 @@
 func (f *Follower) Listen(source netip.AddrPort) {
 	f.unconfirmed.Store(!source.IsValid())
 	f.source.Store(&source)
-	ring(f.news)
+	signal(f.sourceSignal)
 }
 
 // News tells that the balancer that is listened to knows of changes.
-func (f *Follower) News() { ring(f.news) }
+func (f *Follower) News() { signal(f.sourceSignal) }
 
-// listensTo returns the balancer to learn from; ok is false while the store is
+// currentSource returns the balancer to learn from; ok is false while the store is
 // watched.
-func (f *Follower) listensTo() (source netip.AddrPort, ok bool) {
+func (f *Follower) currentSource() (source netip.AddrPort, ok bool) {
 	if p := f.source.Load(); p != nil && p.IsValid() {
 		return *p, true
 	}
 	return netip.AddrPort{}, false
 }
 
-// listen waits for news of a balancer and takes over the changes that it knows. On a
+// followSource waits for news of a balancer and takes over the changes that it knows. On a
 // hint of something newer it asks the store if the balancer does not tell of it soon.
-func (f *Follower) listen(ctx context.Context, source netip.AddrPort) error {
+func (f *Follower) followSource(ctx context.Context, source netip.AddrPort) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-f.news:
+	case <-f.sourceSignal:
 	case <-f.hints:
-		return f.listenAfterHint(ctx, source)
+		return f.awaitSourceAfterHint(ctx, source)
 	}
-	if now, ok := f.listensTo(); !ok || now != source {
+	if now, ok := f.currentSource(); !ok || now != source {
 		return nil // the caller's loop goes on with the other
 	}
-	return f.takeChanges(ctx, source)
+	return f.fetchChanges(ctx, source)
 }
 
 // ReadStore tells a follower that waits for a source to read the store itself.
-func (f *Follower) ReadStore() { ring(f.readStore) }
+func (f *Follower) ReadStore() { signal(f.readStore) }
 
 // awaitSource waits until there is a balancer to listen to; ok is false where the store
 // is to be read instead.
@@ -151,19 +151,19 @@
 			return netip.AddrPort{}, false
 		case <-f.readStore:
 			f.AwaitSource = false
-		case <-f.news:
+		case <-f.sourceSignal:
 		}
-		if source, ok = f.listensTo(); ok {
+		if source, ok = f.currentSource(); ok {
 			return source, true
 		}
 	}
 	return netip.AddrPort{}, false
 }
 
-// expectSource waits a little for a balancer to listen to before the first watch: where
+// awaitSourceBriefly waits a little for a balancer to listen to before the first watch: where
 // there is a snapshot the fleet is large, and one is found soon.
-func (f *Follower) expectSource(ctx context.Context) {
-	timer := time.NewTimer(sourceExpected)
+func (f *Follower) awaitSourceBriefly(ctx context.Context) {
+	timer := time.NewTimer(sourceWaitTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -171,21 +171,21 @@
 			return
 		case <-timer.C:
 			return
-		case <-f.news:
-			if _, ok := f.listensTo(); ok {
-				ring(f.news)
+		case <-f.sourceSignal:
+			if _, ok := f.currentSource(); ok {
+				signal(f.sourceSignal)
 				return
 			}
 		}
 	}
 }
 
-// sourceExpected is well within the time for which the reading before it counts as new.
-const sourceExpected = 500 * time.Millisecond
+// sourceWaitTimeout is well within the time for which the reading before it counts as new.
+const sourceWaitTimeout = 500 * time.Millisecond
 
-// beginWith takes over all that another balancer knows.
-func (f *Follower) beginWith(ctx context.Context, source netip.AddrPort) error {
-	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
+// loadFromSource takes over all that another balancer knows.
+func (f *Follower) loadFromSource(ctx context.Context, source netip.AddrPort) error {
+	ctx, cancel := context.WithTimeout(ctx, sourceLoadTimeout)
 	defer cancel()
 	var answer Changes
 	if err := f.fetch(ctx, source, changesPath+"?after=0", &answer); err != nil {
@@ -194,27 +194,27 @@
 	if !answer.Whole {
 		return errors.New("registry: the source does not know everything")
 	}
-	f.takeWhole(answer.Items, answer.AsOf)
+	f.replaceListing(answer.Items, answer.AsOf)
 	f.Log.Info("Listing taken from the source.", "source", source.String(), "as_of", answer.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
 	return nil
 }
 
-func (f *Follower) listenAfterHint(ctx context.Context, source netip.AddrPort) error {
-	timer := time.NewTimer(hintAfter)
+func (f *Follower) awaitSourceAfterHint(ctx context.Context, source netip.AddrPort) error {
+	timer := time.NewTimer(hintMinWatchAge)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-f.news:
-		return f.takeChanges(ctx, source)
+	case <-f.sourceSignal:
+		return f.fetchChanges(ctx, source)
 	case <-timer.C:
 		return f.readAfterHint(ctx)
 	}
 }
 
-// takeChanges asks a balancer for the changes since the own listing. Where it does not
+// fetchChanges asks a balancer for the changes since the own listing. Where it does not
 // answer, the store is read: a failing source must not keep news away.
-func (f *Follower) takeChanges(ctx context.Context, source netip.AddrPort) error {
+func (f *Follower) fetchChanges(ctx context.Context, source netip.AddrPort) error {
 	var answer Changes
 	path := changesPath + "?after=" + strconv.FormatUint(uint64(f.listing.AsOf), 10)
 	if err := f.fetch(ctx, source, path, &answer); err != nil {
@@ -225,10 +225,10 @@
 		return nil
 	}
 	if answer.Whole {
-		f.takeWhole(answer.Items, answer.AsOf)
+		f.replaceListing(answer.Items, answer.AsOf)
 		return nil
 	}
-	f.at = answer.AsOf
+	f.watchFrom = answer.AsOf
 	f.apply(answer.Items, answer.AsOf)
 	return nil
 }
@@ -236,10 +236,10 @@
 // apply takes over changes of the store, from a watch or from another balancer.
 func (f *Follower) apply(items []platform.Item, asOf store.Position) {
 	f.report(f.listing.Apply(items, asOf))
-	f.kept.add(items, asOf, len(f.listing.entries))
-	f.takeHint() // one that came before is of these changes
-	f.changed()
+	f.recent.add(items, asOf, len(f.listing.entries))
+	f.clearHint() // one that came before is of these changes
+	f.deliver()
 }
 
-// errStopsWatching says that a watch was given up as another balancer's is shared.
-var errStopsWatching = errors.New("registry: another balancer's watch is shared")
+// errSourceAvailable says that a watch was given up as another balancer's is shared.
+var errSourceAvailable = errors.New("registry: another balancer's watch is shared")
--- a/internal/packetface/registry/document.go
+++ b/internal/packetface/registry/document.go
@@ -21,7 +21,7 @@
 // write answers a request with the value, which is asked for once.
 func (d *document) write(w http.ResponseWriter, r *http.Request, value func() any) {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		writePlain(w, value())
+		writeUncompressed(w, value())
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -34,9 +34,9 @@
 	_, _ = w.Write(d.text) // as above
 }
 
-// writePlain answers a request with a value that is for one alone: to compress it takes
+// writeUncompressed answers a request with a value that is for one alone: to compress it takes
 // more time than to send it.
-func writePlain(w http.ResponseWriter, value any) {
+func writeUncompressed(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value) // an error means that the other has gone
 }
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -24,40 +24,40 @@
 
 // Times of following the store.
 const (
-	// watchLeast and watchMost bound how long one watch waits. A watch may be
+	// watchWaitMin and watchMost bound how long one watch waits. A watch may be
 	// deaf: the store can drop changes from its history unheard, and only the
 	// next watch is told.
-	watchLeast = 1 * time.Second
-	watchMost  = 10 * time.Second
-	// watchPart is the time that each balancer of the fleet adds to the wait:
+	watchWaitMin = 1 * time.Second
+	watchWaitMax  = 10 * time.Second
+	// watchWaitPerBalancer is the time that each balancer of the fleet adds to the wait:
 	// one of them begins a watch in each such time, however many they are, and
 	// the others hear of a newer version from it by way of the agents.
-	watchPart = 500 * time.Millisecond
-	// hintAfter is the age of a watch from which on a hint ends it: a younger
+	watchWaitPerBalancer = 500 * time.Millisecond
+	// hintMinWatchAge is the age of a watch from which on a hint ends it: a younger
 	// one is about to tell the same.
-	hintAfter = 300 * time.Millisecond
-	// pausePart is the time that each balancer of the fleet adds to the pause
+	hintMinWatchAge = 300 * time.Millisecond
+	// pausePerBalancer is the time that each balancer of the fleet adds to the pause
 	// after a watch that brought changes, within pauseLeast and pauseMost: a
 	// storm of changes costs few calls, whatever the size of the fleet.
-	pausePart  = 50 * time.Millisecond
-	pauseLeast = 150 * time.Millisecond
-	pauseMost  = 1200 * time.Millisecond
-	// retryPart is the time that each balancer of the fleet adds to the pause after a
+	pausePerBalancer  = 50 * time.Millisecond
+	pauseMin = 150 * time.Millisecond
+	pauseMax  = 1200 * time.Millisecond
+	// retryPerBalancer is the time that each balancer of the fleet adds to the pause after a
 	// failed call of one that nobody relies on.
-	retryPart = 50 * time.Millisecond
-	// retryAtOnce is the pause after the first failed call of one that others rely on.
-	retryAtOnce = 20 * time.Millisecond
+	retryPerBalancer = 50 * time.Millisecond
+	// sharedRetryPause is the pause after the first failed call of one that others rely on.
+	sharedRetryPause = 20 * time.Millisecond
 	// confirmWait is how long the first watch waits after a source was given up: its
 	// answer tells others at once that this balancer hears the store.
 	confirmWait = time.Millisecond
 )
 
-// passedOver counts entries that no agent wrote.
-var passedOver = metrics.NewCounter(`saltbend_packet_entries_passed_over_total`)
+// rejectedEntries counts entries that no agent wrote.
+var rejectedEntries = metrics.NewCounter(`saltbend_packet_entries_passed_over_total`)
 
-// everything is the prefix of all keys: one watch serves the configuration and
+// allKeys is the prefix of all keys: one watch serves the configuration and
 // the agents.
-const everything = ""
+const allKeys = ""
 
 // Follower keeps a balancer's copy of what the store holds.
 type Follower struct {
@@ -88,21 +88,21 @@
 	Snapshots bool
 
 	listing *Listing
-	// at is the store's position from which the next watch goes on.
-	at      store.Position
+	// watchFrom is the store's position from which the next watch goes on.
+	watchFrom      store.Position
 	reached bool
 	// settleAt is when this process may note the listing's era as settled.
 	settleAt time.Time
-	// settled tells that it was settled when others were told last.
-	settled bool
-	// told tells that the first loss or answer of the store has been told,
-	// seedless that the seeds were found to know nothing.
-	told, seedless bool
+	// settledLogged tells that it was settledLogged when others were told last.
+	settledLogged bool
+	// reachedReported tells that the first loss or answer of the store has been reachedReported,
+	// noListingLogged that the seeds were found to know nothing.
+	reachedReported, noListingLogged bool
 	hints          chan struct{}
-	// hinted is the highest version of the configuration that was hinted at.
-	hinted atomic.Uint64
-	// news rings when the balancer that is listened to has news, or is another.
-	news chan struct{}
+	// hintedVersion is the highest version of the configuration that was hintedVersion at.
+	hintedVersion atomic.Uint64
+	// sourceSignal rings when the balancer that is listened to has sourceSignal, or is another.
+	sourceSignal chan struct{}
 	// source is the balancer that is listened to, none while the store is watched.
 	source atomic.Pointer[netip.AddrPort]
 	// readStore rings when there is none at the start; unconfirmed tells that the
@@ -111,16 +111,16 @@
 	// snapshot is what is known of the one in the store.
 	snapshot    snapshot
 	unconfirmed atomic.Bool
-	// begunWith is the balancer that the first listing came from, invalid for the store;
+	// initialSource is the balancer that the first listing came from, invalid for the store;
 	// heardOfAgents tells that Asked was called.
-	begunWith     netip.AddrPort
-	heardOfAgents atomic.Bool
-	// kept are the last changes; log has them with the newest listing, for peers;
+	initialSource     netip.AddrPort
+	agentsReceived atomic.Bool
+	// recent are the last changes; log has them with the newest listing, for peers;
 	// peer is a balancer that knows more than this one.
-	kept changes
-	log  atomic.Pointer[changeLog]
-	// handedOn is the position of the last listing that Changed has taken, 0 for none.
-	handedOn atomic.Uint64
+	recent changes
+	published  atomic.Pointer[changeLog]
+	// deliveredAsOf is the position of the last listing that Changed has taken, 0 for none.
+	deliveredAsOf atomic.Uint64
 	peer     atomic.Pointer[netip.AddrPort]
 	seeds    atomic.Pointer[[]netip.AddrPort]
 	peers    http.Client
@@ -128,15 +128,15 @@
 	agentsMu sync.Mutex
 	agents   *document
 	agentsAt time.Time
-	// foreign are the entries of other writers that were told of.
-	foreign logging.Once
+	// loggedErrors are the entries of other writers that were told of.
+	loggedErrors logging.Once
 }
 
 // NewFollower returns a Follower; set its callbacks before Run.
 func NewFollower(s *platform.Store, log *slog.Logger) *Follower {
 	return &Follower{
-		Store: s, Log: log, settled: true,
-		hints: make(chan struct{}, 1), news: make(chan struct{}, 1), readStore: make(chan struct{}, 1),
+		Store: s, Log: log, settledLogged: true,
+		hints: make(chan struct{}, 1), sourceSignal: make(chan struct{}, 1), readStore: make(chan struct{}, 1),
 	}
 }
 
@@ -146,31 +146,31 @@
 	if peer.IsValid() {
 		f.peer.Store(&peer)
 	}
-	f.hinted.Store(max(version, f.hinted.Load())) // from one goroutine
-	ring(f.hints)
+	f.hintedVersion.Store(max(version, f.hintedVersion.Load())) // from one goroutine
+	signal(f.hints)
 }
 
 // Run follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	backoff := seed.Backoff{Least: retryLeast, Most: retryMost}
+	backoff := seed.Backoff{Least: retryMin, Most: retryMax}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
 		f.settle(ctx)
-		f.keepSnapshot(ctx)
+		f.writeSnapshot(ctx)
 		first := f.listing == nil
 		err := f.step(ctx)
 		if first && f.listing != nil {
-			go f.askAgents(ctx, f.begunWith, f.listing.AsOf)
+			go f.askAgents(ctx, f.initialSource, f.listing.AsOf)
 		}
 		if err == nil {
-			f.tell(nil)
+			f.reportReached(nil)
 			backoff.Reset()
 			continue
 		}
 		pause := f.retryAfter(&backoff, random)
-		f.tell(err)
-		if f.takeHint() {
-			f.learn(ctx)
+		f.reportReached(err)
+		if f.clearHint() {
+			f.mergeFromPeer(ctx)
 		}
 		f.waitToRetry(ctx, pause)
 	}
@@ -182,14 +182,14 @@
 // pauses of all balancers together make some 20 calls a second, however many they are: the
 // first that the store answers tells the others.
 func (f *Follower) retryAfter(backoff *seed.Backoff, random *rand.Rand) time.Duration {
-	shared, firstFailure := f.isShared(), f.told && f.reached
+	shared, firstFailure := f.isShared(), f.reachedReported && f.reached
 	switch {
 	case shared && firstFailure:
-		return retryAtOnce
+		return sharedRetryPause
 	case f.Shared == nil || shared || f.listing == nil:
 		return backoff.Next(random)
 	}
-	longest := time.Duration(f.Balancers()) * retryPart
+	longest := time.Duration(f.Balancers()) * retryPerBalancer
 	return max(backoff.Next(random), longest/2+rand.N(longest/2+1))
 }
 
@@ -205,10 +205,10 @@
 		case <-timer.C:
 			return
 		case <-f.hints:
-			f.learn(ctx)
-		case <-f.news:
-			if _, listens := f.listensTo(); listens {
-				ring(f.news) // what is known there may be newer
+			f.mergeFromPeer(ctx)
+		case <-f.sourceSignal:
+			if _, listens := f.currentSource(); listens {
+				signal(f.sourceSignal) // what is known there may be newer
 				return
 			}
 		}
@@ -218,30 +218,30 @@
 // step reads everything, or watches for changes once it has.
 func (f *Follower) step(ctx context.Context) error {
 	if f.listing == nil {
-		return f.begin(ctx)
+		return f.load(ctx)
 	}
-	if source, ok := f.listensTo(); ok {
-		return f.listen(ctx, source)
+	if source, ok := f.currentSource(); ok {
+		return f.followSource(ctx, source)
 	}
 	changes, asOf, hinted, err := f.watch(ctx)
-	if errors.Is(err, errStopsWatching) {
+	if errors.Is(err, errSourceAvailable) {
 		return nil
 	}
 	if hinted {
 		return f.readAfterHint(ctx)
 	}
 	if errors.Is(err, platform.ErrCompacted) {
-		f.Log.Info("History is gone, reading everything.", "at", f.at)
+		f.Log.Info("History is gone, reading everything.", "at", f.watchFrom)
 		return f.read(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	if !asOf.SameEra(f.known()) {
+	if !asOf.SameEra(f.knownPosition()) {
 		return f.read(ctx) // the changes are not all that there were since, or are of an era before
 	}
-	f.at = asOf
-	changes = f.takeSnapshot(changes)
+	f.watchFrom = asOf
+	changes = f.filterSnapshot(changes)
 	if len(changes) == 0 {
 		return nil
 	}
@@ -253,9 +253,9 @@
 // pause returns how long changes are collected before the next watch.
 func (f *Follower) pause() time.Duration {
 	if f.isShared() {
-		return pauseLeast
+		return pauseMin
 	}
-	return min(max(time.Duration(f.Balancers())*pausePart, pauseLeast), pauseMost)
+	return min(max(time.Duration(f.Balancers())*pausePerBalancer, pauseMin), pauseMax)
 }
 
 func (f *Follower) isShared() bool { return f.Shared != nil && f.Shared() }
@@ -266,11 +266,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan interruption, 1)
 	go func() { ended <- f.awaitInterruption(ctx, cancel) }()
-	changes, asOf, err = f.Store.Watch(ctx, everything, f.at, f.watchWait())
+	changes, asOf, err = f.Store.Watch(ctx, allKeys, f.watchFrom, f.watchWait())
 	cancel()
 	why := <-ended
 	if err != nil && why == interruptedBySource {
-		err = errStopsWatching
+		err = errSourceAvailable
 	}
 	return changes, asOf, err != nil && why == interruptedByHint, err
 }
@@ -288,7 +288,7 @@
 // another balancer is to be listened to; it reports why.
 func (f *Follower) awaitInterruption(ctx context.Context, cancel context.CancelFunc) interruption {
 	defer cancel()
-	timer := time.NewTimer(hintAfter)
+	timer := time.NewTimer(hintMinWatchAge)
 	defer timer.Stop()
 	var hints <-chan struct{}
 	for {
@@ -299,9 +299,9 @@
 			hints = f.hints
 		case <-hints:
 			return interruptedByHint
-		case <-f.news:
-			if _, ok := f.listensTo(); ok {
-				ring(f.news) // what is known there may be newer
+		case <-f.sourceSignal:
+			if _, ok := f.currentSource(); ok {
+				signal(f.sourceSignal) // what is known there may be newer
 				return interruptedBySource
 			}
 		}
@@ -314,7 +314,7 @@
 	if f.unconfirmed.Swap(false) {
 		return confirmWait
 	}
-	wait := min(max(time.Duration(f.Balancers())*watchPart, watchLeast), watchMost)
+	wait := min(max(time.Duration(f.Balancers())*watchWaitPerBalancer, watchWaitMin), watchWaitMax)
 	if f.isShared() {
 		wait = watchshare.WatchWait
 	}
@@ -322,11 +322,11 @@
 }
 
 func (f *Follower) read(ctx context.Context) error {
-	all, asOf, err := f.Store.Range(ctx, everything)
+	all, asOf, err := f.Store.Range(ctx, allKeys)
 	if err != nil {
 		return err
 	}
-	return f.take(all, asOf)
+	return f.acceptReading(all, asOf)
 }
 
 // readAfterHint reads everything, and asks the process that knows more where the store
@@ -334,75 +334,75 @@
 // an older configuration until operators write theirs again.
 func (f *Follower) readAfterHint(ctx context.Context) error {
 	err := f.read(ctx)
-	if err != nil || f.lacksHinted() {
-		f.learn(ctx)
+	if err != nil || f.olderThanHinted() {
+		f.mergeFromPeer(ctx)
 	}
 	return err
 }
 
-// lacksHinted reports whether the configuration is older than one that was hinted at.
-func (f *Follower) lacksHinted() bool {
-	return platform.ConfigurationVersion(f.listing.Config) < f.hinted.Load()
+// olderThanHinted reports whether the configuration is older than one that was hinted at.
+func (f *Follower) olderThanHinted() bool {
+	return platform.ConfigurationVersion(f.listing.Config) < f.hintedVersion.Load()
 }
 
-// take takes over a reading of everything, unless it is of an era before what is known.
-func (f *Follower) take(all []platform.Item, asOf store.Position) error {
-	if before := f.known(); asOf.Era() < before.Era() {
+// acceptReading takes over a reading of everything, unless it is of an era before what is known.
+func (f *Follower) acceptReading(all []platform.Item, asOf store.Position) error {
+	if before := f.knownPosition(); asOf.Era() < before.Era() {
 		return errors.Wrapf(store.ErrUnavailable, "registry: reading at %s, known %s", asOf, before)
 	}
-	f.takeWhole(all, asOf)
+	f.replaceListing(all, asOf)
 	f.Log.Info("Store read.", "as_of", asOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
 	return nil
 }
 
-// known returns up to where every change is known, 0 before the first listing.
-func (f *Follower) known() store.Position {
+// knownPosition returns up to where every change is knownPosition, 0 before the first listing.
+func (f *Follower) knownPosition() store.Position {
 	if f.listing == nil {
 		return 0
 	}
 	return f.listing.AsOf
 }
 
-// takeWhole takes over all keys as they were at a position.
-func (f *Follower) takeWhole(all []platform.Item, asOf store.Position) {
-	all = f.takeSnapshot(all)
+// replaceListing takes over all keys as they were at a position.
+func (f *Follower) replaceListing(all []platform.Item, asOf store.Position) {
+	all = f.filterSnapshot(all)
 	listing, unreadable := NewListing(all, asOf)
 	f.report(unreadable)
 	before := f.summary()
 	if f.listing != nil {
-		f.keepNet(all, asOf)
+		f.recordDifferences(all, asOf)
 		listing.Inherit(f.listing)
 	} else {
-		f.kept = changes{from: asOf, to: asOf}
+		f.recent = changes{from: asOf, to: asOf}
 	}
-	f.listing, f.at = listing, asOf
+	f.listing, f.watchFrom = listing, asOf
 	f.noteEra(before)
-	f.takeHint()
-	f.changed()
+	f.clearHint()
+	f.deliver()
 }
 
-// keepNet keeps for others what differs between a reading of everything and what was
+// recordDifferences keeps for others what differs between a reading of everything and what was
 // known before it. Without that, all listeners would ask for everything whenever the
 // store drops its history.
-func (f *Follower) keepNet(all []platform.Item, asOf store.Position) {
-	if !asOf.SameEra(f.kept.to) || asOf < f.kept.to {
-		f.kept = changes{from: asOf, to: asOf}
+func (f *Follower) recordDifferences(all []platform.Item, asOf store.Position) {
+	if !asOf.SameEra(f.recent.to) || asOf < f.recent.to {
+		f.recent = changes{from: asOf, to: asOf}
 		return
 	}
-	f.kept.add(f.listing.net(all, f.kept.to, asOf), asOf, len(all))
+	f.recent.add(f.listing.differences(all, f.recent.to, asOf), asOf, len(all))
 }
 
-// changed hands on the newest listing.
-func (f *Follower) changed() {
+// deliver hands on the newest listing.
+func (f *Follower) deliver() {
 	shared := f.listing.Shared()
-	f.log.Store(&changeLog{shared: &shared, changes: f.kept})
-	f.tellSettled()
+	f.published.Store(&changeLog{shared: &shared, changes: f.recent})
+	f.logSettled()
 	f.Changed(f.listing)
-	f.handedOn.Store(uint64(f.listing.AsOf))
+	f.deliveredAsOf.Store(uint64(f.listing.AsOf))
 }
 
-// takeHint takes a hint that came before now; it reports whether one did.
-func (f *Follower) takeHint() bool {
+// clearHint takes a hint that came before now; it reports whether one did.
+func (f *Follower) clearHint() bool {
 	select {
 	case <-f.hints:
 		return true
@@ -413,27 +413,27 @@
 
 func (f *Follower) report(unreadable []error) {
 	for _, err := range unreadable {
-		passedOver.Inc()
-		if f.foreign.First(err.Error()) {
+		rejectedEntries.Inc()
+		if f.loggedErrors.First(err.Error()) {
 			f.Log.Warn("Entry passed over.", "error", err.Error())
 		}
 	}
 }
 
-// tell logs and reports each loss and return of the store.
-func (f *Follower) tell(err error) {
+// reportReached logs and reports each loss and return of the store.
+func (f *Follower) reportReached(err error) {
 	reached := err == nil
 	if reached {
 		f.Heard()
 	}
-	if f.told && reached == f.reached {
+	if f.reachedReported && reached == f.reached {
 		return
 	}
-	f.told, f.reached = true, reached
+	f.reachedReported, f.reached = true, reached
 	if reached {
-		f.Log.Info("Store reached.", "at", f.at)
+		f.Log.Info("Store reached.", "at", f.watchFrom)
 	} else {
-		f.Log.Warn("Store lost.", "error", err.Error(), "at", f.at)
+		f.Log.Warn("Store lost.", "error", err.Error(), "at", f.watchFrom)
 	}
 	f.Reached(reached)
 }
--- a/internal/packetface/registry/listing.go
+++ b/internal/packetface/registry/listing.go
@@ -76,7 +76,7 @@
 		default:
 			agent, err := parseEntry(change)
 			if err != nil {
-				l.damage(change.Key)
+				l.markDamaged(change.Key)
 				unreadable = append(unreadable, err)
 				continue
 			}
@@ -90,13 +90,13 @@
 }
 
 // applyConfig takes over a configuration unless it is older than the one that is known.
-func (l *Listing) applyConfig(change platform.Item) (passedOver []error) {
+func (l *Listing) applyConfig(change platform.Item) (rejected []error) {
 	known := l.entries[platform.ConfigKey]
 	if !replaces(change, known) {
 		if change.At > known.At {
-			passedOver = append(passedOver, errors.Wrapf(ErrOlderConfiguration, "at %s, known at %s", change.At, known.At))
+			rejected = append(rejected, errors.Wrapf(ErrOlderConfiguration, "at %s, known at %s", change.At, known.At))
 		}
-		return passedOver
+		return rejected
 	}
 	l.Config, l.ConfigAt = change.Value, change.At
 	l.entries[platform.ConfigKey] = change
@@ -122,10 +122,10 @@
 	return c.At >= known.At
 }
 
-// net returns the changes that lead from what was known at a position to a reading of all
+// differences returns the changes that lead from what was known at a position to a reading of all
 // keys: what is newer there, and what is missing as removed at the position of the
 // reading. What is kept of an earlier era until it is written again is not missing.
-func (l *Listing) net(all []platform.Item, known, asOf store.Position) (out []platform.Item) {
+func (l *Listing) differences(all []platform.Item, known, asOf store.Position) (out []platform.Item) {
 	there := make(map[string]bool, len(all))
 	for _, item := range all {
 		there[item.Key] = true
@@ -164,8 +164,8 @@
 	}
 }
 
-// settling returns the write that notes the listing's era as settled.
-func (l *Listing) settling() platform.Write {
+// settledWrite returns the write that notes the listing's era as settled.
+func (l *Listing) settledWrite() platform.Write {
 	return platform.Write{Key: settledKey, Expected: l.entries[settledKey].At, Value: strconv.AppendUint(nil, l.AsOf.Era(), 10)}
 }
 
@@ -189,8 +189,8 @@
 	return out
 }
 
-// damage notes that an agent's entry was overwritten by another writer.
-func (l *Listing) damage(key string) {
+// markDamaged notes that an agent's entry was overwritten by another writer.
+func (l *Listing) markDamaged(key string) {
 	if agent, ok := l.agents[key]; ok {
 		agent.Damaged = true
 		l.agents[key] = agent
--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -31,12 +31,12 @@
 	// maxListingBytes bounds its answer: a configuration of 1 MB and 7,000
 	// entries of agents, in JSON.
 	maxListingBytes = 8 << 20
-	// agentsKept is how long the answer with all known agents serves all that ask.
-	agentsKept = 100 * time.Millisecond
-	// seedEvery is how long a balancer that starts waits for the store before it
+	// agentsCacheTime is how long the answer with all known agents serves all that ask.
+	agentsCacheTime = 100 * time.Millisecond
+	// seedInterval is how long a balancer that starts waits for the store before it
 	// asks the seeds, and between two such questions; a slow store answers in
 	// some 240 ms.
-	seedEvery = 300 * time.Millisecond
+	seedInterval = 300 * time.Millisecond
 	// seedTimeout bounds a question to the seeds. One that lives answers within some
 	// 10 ms; after a common loss of power some are still dark, and the first packet
 	// to those is repeated after a second only.
@@ -44,10 +44,10 @@
 	// unlistedTimeout bounds the question for agents that are not listed, which others
 	// answer once they know as much of the store; askAgainEvery is the time between tries.
 	unlistedTimeout = 250 * time.Millisecond
-	askAgainEvery   = 25 * time.Millisecond
-	// beginTimeout bounds the question for everything that a source knows, after which
+	unlistedRetryInterval   = 25 * time.Millisecond
+	// sourceLoadTimeout bounds the question for everything that a source knows, after which
 	// the store is read: after a common loss of power many ask at once.
-	beginTimeout = 400 * time.Millisecond
+	sourceLoadTimeout = 400 * time.Millisecond
 )
 
 // SetSeeds names balancers that may know a listing; they may be gone.
@@ -66,7 +66,7 @@
 
 // serveListing serves the newest listing.
 func (f *Follower) serveListing(w http.ResponseWriter, r *http.Request) {
-	if log := f.whole(w); log != nil {
+	if log := f.publishedLog(w); log != nil {
 		log.listing.write(w, r, func() any { return log.shared })
 	}
 }
@@ -81,24 +81,24 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if f.log.Load() == nil {
-		writePlain(w, []steer.Agent{}) // it has only just started, too, and knows none
+	if f.published.Load() == nil {
+		writeUncompressed(w, []steer.Agent{}) // it has only just started, too, and knows none
 		return
 	}
-	if f.handedOn.Load() < asOf || query.Has("heard") && !f.heardOfAgents.Load() {
+	if f.deliveredAsOf.Load() < asOf || query.Has("heard") && !f.agentsReceived.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	writePlain(w, f.Unlisted())
+	writeUncompressed(w, f.Unlisted())
 }
 
 // serveAgents serves all agents that this balancer knows, or has known a moment ago.
 func (f *Follower) serveAgents(w http.ResponseWriter, r *http.Request) {
-	if f.whole(w) == nil {
+	if f.publishedLog(w) == nil {
 		return
 	}
 	f.agentsMu.Lock()
-	if f.agents == nil || time.Since(f.agentsAt) >= agentsKept {
+	if f.agents == nil || time.Since(f.agentsAt) >= agentsCacheTime {
 		f.agents, f.agentsAt = &document{}, time.Now()
 	}
 	agents := f.agents
@@ -106,10 +106,10 @@
 	agents.write(w, r, func() any { return f.Known() })
 }
 
-// whole returns the newest listing with its changes; without one it answers the request
+// publishedLog returns the newest listing with its changes; without one it answers the request
 // and returns nil.
-func (f *Follower) whole(w http.ResponseWriter) *changeLog {
-	log := f.log.Load()
+func (f *Follower) publishedLog(w http.ResponseWriter) *changeLog {
+	log := f.published.Load()
 	if log == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -130,67 +130,67 @@
 	err   error
 }
 
-// begin reads the store and, while it does not answer, asks the seeds: a
+// load reads the store and, while it does not answer, asks the seeds: a
 // balancer that starts meanwhile can serve by what one of them knows. That may
 // lack what changed since the seed was turned away, as the seed does; agents
 // tell of it.
-func (f *Follower) begin(ctx context.Context) error {
+func (f *Follower) load(ctx context.Context) error {
 	if source, ok := f.awaitSource(ctx); ok {
 		f.AwaitSource = false
-		err := f.beginWith(ctx, source)
+		err := f.loadFromSource(ctx, source)
 		if err == nil {
-			f.begunWith = source
+			f.initialSource = source
 			return nil
 		}
 		f.Log.Warn("Source not reached, reading the store.", "source", source.String(), "error", err.Error())
 	}
-	if f.Snapshots && f.beginWithSnapshot(ctx) {
-		f.expectSource(ctx)
+	if f.Snapshots && f.loadFromSnapshot(ctx) {
+		f.awaitSourceBriefly(ctx)
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	read := make(chan reading, 1)
 	go func() {
-		items, asOf, err := f.Store.Range(ctx, everything)
+		items, asOf, err := f.Store.Range(ctx, allKeys)
 		read <- reading{items, asOf, err}
 	}()
-	ticker := time.NewTicker(seedEvery)
+	ticker := time.NewTicker(seedInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case r := <-read:
 			if r.err != nil {
-				f.askSeeds(ctx)
+				f.loadFromSeeds(ctx)
 				return r.err
 			}
-			return f.take(r.items, r.asOf)
+			return f.acceptReading(r.items, r.asOf)
 		case <-ticker.C:
-			if f.askSeeds(ctx) {
+			if f.loadFromSeeds(ctx) {
 				return errors.Wrap(store.ErrUnavailable, "registry: a seed was faster")
 			}
 		}
 	}
 }
 
-// askSeeds takes over the newest listing that a seed knows; it reports whether
+// loadFromSeeds takes over the newest listing that a seed knows; it reports whether
 // any knows one.
-func (f *Follower) askSeeds(ctx context.Context) bool {
-	best, from, failures := f.newest(ctx)
+func (f *Follower) loadFromSeeds(ctx context.Context) bool {
+	best, from, failures := f.newestSeedListing(ctx)
 	if best.AsOf == 0 {
-		if !f.seedless {
+		if !f.noListingLogged {
 			f.Log.Warn("No seed knows a listing.", "errors", failures)
 		}
-		f.seedless = true
+		f.noListingLogged = true
 		return false
 	}
-	f.listing, f.at = emptyListing(), best.AsOf
-	f.kept = changes{from: best.AsOf, to: best.AsOf}
+	f.listing, f.watchFrom = emptyListing(), best.AsOf
+	f.recent = changes{from: best.AsOf, to: best.AsOf}
 	_, unreadable := f.listing.Merge(best)
 	f.report(unreadable)
 	f.noteEra(summary{})
 	f.Log.Info("Listing taken from a seed.", "seed", from.String(), "as_of", best.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
-	f.changed()
+	f.deliver()
 	return true
 }
 
@@ -203,31 +203,31 @@
 	var known []steer.Agent
 	var failures []string
 	if source.IsValid() {
-		known, failures = agentsOf(askAll(ctx, &[]netip.AddrPort{source}, unlistedTimeout, f.askForAgents(path+"&heard")))
+		known, failures = agentsOf(askAll(ctx, &[]netip.AddrPort{source}, unlistedTimeout, f.unlistedRequest(path+"&heard")))
 	}
 	if !source.IsValid() || len(failures) > 0 {
-		known, failures = agentsOf(askAll(ctx, f.seeds.Load(), unlistedTimeout, f.askForAgents(path)))
+		known, failures = agentsOf(askAll(ctx, f.seeds.Load(), unlistedTimeout, f.unlistedRequest(path)))
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	f.Log.Info("Others asked for agents.", "source", source.String(), "known", len(known), "errors", failures)
-	f.heardOfAgents.Store(true)
+	f.agentsReceived.Store(true)
 	f.Asked(known)
 }
 
-// askForAgents returns how a peer is asked for the agents that are not listed: again while
+// unlistedRequest returns how a peer is asked for the agents that are not listed: again while
 // it does not know the position yet and there is time. One of an earlier version tells all
 // that it knows.
-func (f *Follower) askForAgents(path string) func(context.Context, netip.AddrPort) peerAnswer[[]steer.Agent] {
-	unlisted, all := askOnce[[]steer.Agent](f, path), askOnce[[]steer.Agent](f, agentsPath)
+func (f *Follower) unlistedRequest(path string) func(context.Context, netip.AddrPort) peerAnswer[[]steer.Agent] {
+	unlisted, all := singleRequest[[]steer.Agent](f, path), singleRequest[[]steer.Agent](f, agentsPath)
 	return func(ctx context.Context, peer netip.AddrPort) peerAnswer[[]steer.Agent] {
 		for {
 			a := unlisted(ctx, peer)
 			switch {
 			case errors.Is(a.err, peercall.ErrUnknownCall):
 				return all(ctx, peer)
-			case !errors.Is(a.err, peercall.ErrRefused) || wait.For(ctx, askAgainEvery) != nil:
+			case !errors.Is(a.err, peercall.ErrRefused) || wait.For(ctx, unlistedRetryInterval) != nil:
 				return a
 			}
 		}
@@ -272,8 +272,8 @@
 	return all
 }
 
-// askOnce returns how a peer is asked once for what is at a path.
-func askOnce[T any](f *Follower, path string) func(context.Context, netip.AddrPort) peerAnswer[T] {
+// singleRequest returns how a peer is asked once for what is at a path.
+func singleRequest[T any](f *Follower, path string) func(context.Context, netip.AddrPort) peerAnswer[T] {
 	return func(ctx context.Context, peer netip.AddrPort) peerAnswer[T] {
 		a := peerAnswer[T]{from: peer}
 		a.err = f.fetch(ctx, peer, path, &a.answer)
@@ -281,10 +281,10 @@
 	}
 }
 
-// newest returns the newest listing that a seed knows, an empty one if none
+// newestSeedListing returns the newestSeedListing listing that a seed knows, an empty one if none
 // answers, and why the others did not.
-func (f *Follower) newest(ctx context.Context) (best Shared, from netip.AddrPort, failures []string) {
-	for _, a := range askAll(ctx, f.seeds.Load(), seedTimeout, askOnce[Shared](f, listingPath)) {
+func (f *Follower) newestSeedListing(ctx context.Context) (best Shared, from netip.AddrPort, failures []string) {
+	for _, a := range askAll(ctx, f.seeds.Load(), seedTimeout, singleRequest[Shared](f, listingPath)) {
 		if a.err != nil {
 			failures = append(failures, a.failure())
 			continue
@@ -296,8 +296,8 @@
 	return best, from, failures
 }
 
-// learn takes over what a peer knows while the store is not reached.
-func (f *Follower) learn(ctx context.Context) {
+// mergeFromPeer takes over what a peer knows while the store is not reached.
+func (f *Follower) mergeFromPeer(ctx context.Context) {
 	peer := f.peer.Load()
 	if f.listing == nil || peer == nil {
 		return
@@ -312,8 +312,8 @@
 	f.report(unreadable)
 	f.noteEra(before)
 	if changed {
-		f.kept = changes{from: f.listing.AsOf, to: f.listing.AsOf}
+		f.recent = changes{from: f.listing.AsOf, to: f.listing.AsOf}
 		f.Log.Info("Learned from a peer.", "peer", peer.String(), "config_at", f.listing.ConfigAt, "as_of", f.listing.AsOf)
-		f.changed()
+		f.deliver()
 	}
 }
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -18,15 +18,15 @@
 
 // Waits between tries while the store does not answer.
 const (
-	retryLeast = 200 * time.Millisecond
-	retryMost  = 1 * time.Second
+	retryMin = 200 * time.Millisecond
+	retryMax  = 1 * time.Second
 )
 
-// verifyWithin is the time within which agents look for their entries after the store
+// verifyWindow is the time within which agents look for their entries after the store
 // came back from a copy: 6,100 of them make 3,050 calls a second, half of what the store
 // of a fleet of 59 hosts allows. Those whose entries balancers miss are told and look at
 // once.
-const verifyWithin = 2 * time.Second
+const verifyWindow = 2 * time.Second
 
 // agentReturns counts returns of the store from a copy that an agent has noticed.
 var agentReturns = metrics.NewCounter(`saltbend_packet_entry_returns_total`)
@@ -43,43 +43,43 @@
 	// one: it then knows that all entries up to it may be there.
 	Seen func(at store.Position)
 
-	ways      ways
+	routes      storeRoutes
 	publisher *Publisher
-	wants     chan *Entry
+	entryUpdates     chan *Entry
 	hints     chan struct{}
-	idles     chan struct{}
+	idleSignals     chan struct{}
 	eras      chan uint64
 	failing   bool
 	// entry is the one that is wanted, nil for none; inherited the one that a process
 	// before this one left.
 	entry     *Entry
 	inherited Entry
-	// quiet tells that no call is due.
-	quiet atomic.Bool
+	// noCallDue tells that no call is due.
+	noCallDue atomic.Bool
 }
 
 // NewAgent returns the keeper of the entry at the entry's address; set Seen
 // before Run.
 func NewAgent(s *platform.Store, log *slog.Logger, clock func() time.Duration, self Entry) *Agent {
 	return &Agent{
-		ways: newWays(s), Log: log, Clock: clock, publisher: NewPublisher(agentKey(self.Addr)),
-		wants: make(chan *Entry, 1), hints: make(chan struct{}, 1), idles: make(chan struct{}, 1),
+		routes: newStoreRoutes(s), Log: log, Clock: clock, publisher: NewPublisher(agentKey(self.Addr)),
+		entryUpdates: make(chan *Entry, 1), hints: make(chan struct{}, 1), idleSignals: make(chan struct{}, 1),
 		eras: make(chan uint64, 1),
 	}
 }
 
 // SetSeeds names the control addresses of balancers through which calls are made
 // while the store turns this host away; they may be gone.
-func (a *Agent) SetSeeds(seeds []netip.AddrPort) { a.ways.setSeeds(seeds) }
+func (a *Agent) SetSeeds(seeds []netip.AddrPort) { a.routes.setSeeds(seeds) }
 
 // Want sets the entry that is to be in the store, nil for none.
 func (a *Agent) Want(entry *Entry) {
 	select {
-	case <-a.wants: // the latest counts
+	case <-a.entryUpdates: // the latest counts
 	default:
 	}
-	a.wants <- entry
-	a.quiet.Store(false)
+	a.entryUpdates <- entry
+	a.noCallDue.Store(false)
 }
 
 // Inherit asks to go on with the entry that a process before this one left at the
@@ -87,10 +87,10 @@
 func (a *Agent) Inherit() { a.publisher.Inherit() }
 
 // Quiet reports whether no call was due when Run last looked.
-func (a *Agent) Quiet() bool { return a.quiet.Load() }
+func (a *Agent) Quiet() bool { return a.noCallDue.Load() }
 
 // Hint tells that the entry is gone from the store, as a balancer says.
-func (a *Agent) Hint() { ring(a.hints) }
+func (a *Agent) Hint() { signal(a.hints) }
 
 // Era tells of an era of the store that balancers know. Calls come from one goroutine.
 func (a *Agent) Era(era uint64) {
@@ -102,26 +102,26 @@
 }
 
 // Idle tells that no balancer has called for a while.
-func (a *Agent) Idle() { ring(a.idles) }
+func (a *Agent) Idle() { signal(a.idleSignals) }
 
-// ring leaves word in a channel that holds one.
-func ring(bell chan<- struct{}) {
+// signal leaves word in a channel that holds one.
+func signal(ch chan<- struct{}) {
 	select {
-	case bell <- struct{}{}:
+	case ch <- struct{}{}:
 	default:
 	}
 }
 
 // Run makes the calls that are due until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
-	backoff := seed.Backoff{Least: retryLeast, Most: retryMost}
+	backoff := seed.Backoff{Least: retryMin, Most: retryMax}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
 		wait := a.publisher.Due(a.Clock())
 		step := a.publisher.Next(a.Clock())
-		a.quiet.Store(step == StepNone && len(a.wants) == 0)
+		a.noCallDue.Store(step == StepNone && len(a.entryUpdates) == 0)
 		if step != StepNone {
-			if err := a.make(ctx, step); err == nil {
+			if err := a.call(ctx, step); err == nil {
 				backoff.Reset()
 				continue
 			}
@@ -139,18 +139,18 @@
 	case <-timer.C:
 	case <-a.hints:
 		a.publisher.Hint(a.Clock())
-	case <-a.idles:
+	case <-a.idleSignals:
 		a.publisher.Idle(a.Clock())
 	case era := <-a.eras:
-		a.hearEra(era, rand.N(verifyWithin))
-	case a.entry = <-a.wants:
-		a.want()
+		a.observeEra(era, rand.N(verifyWindow))
+	case a.entry = <-a.entryUpdates:
+		a.updateWanted()
 	}
 }
 
-// want tells the publisher what is to be in the store. What upstreams have shown before
+// updateWanted tells the publisher what is to be in the store. What upstreams have shown before
 // this process stays known.
-func (a *Agent) want() {
+func (a *Agent) updateWanted() {
 	if a.entry == nil {
 		a.publisher.Want(nil)
 		return
@@ -162,23 +162,23 @@
 	a.publisher.Want(entry.encode())
 }
 
-// takeInherited remembers the entry of a process before this one.
-func (a *Agent) takeInherited(item platform.Item) {
+// useInherited remembers the entry of a process before this one.
+func (a *Agent) useInherited(item platform.Item) {
 	entry, err := decodeEntry(item)
 	if err != nil {
 		return // it is written anew
 	}
 	a.inherited = entry
 	if a.entry != nil {
-		a.want()
+		a.updateWanted()
 	}
 }
 
-// hearEra tells the publisher of an era, and the log if the store came back from a copy.
-func (a *Agent) hearEra(era uint64, within time.Duration) {
+// observeEra tells the publisher of an era, and the log if the store came back from a copy.
+func (a *Agent) observeEra(era uint64, within time.Duration) {
 	p := a.publisher
 	before := p.era
-	p.HearEra(a.Clock(), era, within)
+	p.ObserveEra(a.Clock(), era, within)
 	if p.returned && p.era != before {
 		agentReturns.Inc()
 		a.Log.Warn("Store came back older, the entry is read.", "era_before", before, "era", era,
@@ -186,17 +186,17 @@
 	}
 }
 
-// make makes one call and tells the publisher its outcome, after the era that the answer
+// call makes one call and tells the publisher its outcome, after the era that the answer
 // named.
-func (a *Agent) make(ctx context.Context, step Step) (err error) {
+func (a *Agent) call(ctx context.Context, step Step) (err error) {
 	sent := a.Clock()
 	listed, seen := a.publisher.Listed(), a.publisher.asOf
-	calls := a.ways.store(sent)
+	calls := a.routes.store(sent)
 	switch step {
 	case StepGrant:
 		var lease platform.Lease
 		lease, err = calls.Grant(ctx, max(leaseTTL, a.LeaseLeast))
-		a.hearAnswer()
+		a.observeAnswerEra()
 		if err == nil {
 			a.publisher.Granted(lease, sent)
 		}
@@ -212,17 +212,17 @@
 		}
 	case StepEnd:
 		err = calls.End(ctx, a.publisher.lease.ID)
-		a.hearAnswer()
+		a.observeAnswerEra()
 		a.publisher.Ended(err)
 	case StepRenew:
 		err = calls.Renew(ctx, a.publisher.lease.ID)
-		a.hearAnswer()
+		a.observeAnswerEra()
 		a.publisher.Renewed(err, sent)
 	}
-	if err != nil && !a.ways.past && !errors.Is(err, platform.ErrLeaseEnded) {
-		a.ways.failed(a.Clock())
+	if err != nil && !a.routes.skipWriters && !errors.Is(err, platform.ErrLeaseEnded) {
+		a.routes.useNext(a.Clock())
 	}
-	a.tell(step, listed, err)
+	a.logOutcome(step, listed, err)
 	if a.publisher.asOf > seen {
 		a.Seen(a.publisher.asOf)
 	}
@@ -232,30 +232,30 @@
 // write writes the entry by way of a balancer, which makes one call for many agents, or
 // itself where none is reached.
 func (a *Agent) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
-	at, err = a.ways.writeThrough(ctx, w)
+	at, err = a.routes.writeViaBalancer(ctx, w)
 	if !errors.Is(err, errNotSent) {
-		a.hearEra(at.Era(), 0)
+		a.observeEra(at.Era(), 0)
 		if err == nil && at.Era() < a.publisher.era {
 			err = errors.Wrapf(store.ErrOutcomeUnknown, "registry: written at %s, known era %d", at, a.publisher.era)
 		}
 		return at, err
 	}
-	if a.ways.at == 0 && !errors.Is(err, errNoWriter) {
+	if a.routes.current == 0 && !errors.Is(err, errNoWriter) {
 		a.Log.Info("No balancer writes the entry.", "error", err.Error())
 	}
 	at, err = calls.Apply(ctx, w)
-	a.hearAnswer()
+	a.observeAnswerEra()
 	return at, err
 }
 
 // read reads the entry.
 func (a *Agent) read(ctx context.Context, calls *platform.Store) error {
 	item, asOf, err := calls.Get(ctx, a.publisher.key)
-	a.hearAnswer()
+	a.observeAnswerEra()
 	inherits := a.publisher.inherit
 	a.publisher.Read(item, asOf, err)
 	if inherits && err == nil {
-		a.takeInherited(item)
+		a.useInherited(item)
 	}
 	if errors.Is(err, store.ErrNotFound) {
 		return nil // an answer
@@ -263,11 +263,11 @@
 	return err
 }
 
-// hearAnswer notes the era that an answer of the store has named.
-func (a *Agent) hearAnswer() { a.hearEra(a.ways.straight.Era(), 0) }
+// observeAnswerEra notes the era that an answer of the store has named.
+func (a *Agent) observeAnswerEra() { a.observeEra(a.routes.direct.Era(), 0) }
 
-// tell logs each change of the entry, and each loss and return of the store.
-func (a *Agent) tell(step Step, listed bool, err error) {
+// logOutcome logs each change of the entry, and each loss and return of the store.
+func (a *Agent) logOutcome(step Step, listed bool, err error) {
 	p := a.publisher
 	if err != nil {
 		if !a.failing {
@@ -281,6 +281,6 @@
 		a.Log.Info("Store answers again.", "step", step.String())
 	}
 	if step != StepRenew || listed != p.Listed() {
-		a.Log.Info("Entry kept.", "step", step.String(), "listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "by_way_of_seed", a.ways.at)
+		a.Log.Info("Entry kept.", "step", step.String(), "listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "by_way_of_seed", a.routes.current)
 	}
 }
--- a/internal/packetface/registry/publisher.go
+++ b/internal/packetface/registry/publisher.go
@@ -15,13 +15,13 @@
 	// leaseTTL is the lease of an entry. It is long, so that an outage does not
 	// end it: balancers see by themselves that an agent is gone.
 	leaseTTL = 30 * time.Second
-	// renewPart is the part of a lease after which it is renewed.
-	renewPart = 3
-	// recheckEvery bounds how often the entry is looked for on a hint that it
+	// renewDivisor is the part of a lease after which it is renewed.
+	renewDivisor = 3
+	// recheckInterval bounds how often the entry is looked for on a hint that it
 	// is gone.
-	recheckEvery = 500 * time.Millisecond
-	// idleRead is the same for an agent that no balancer calls.
-	idleRead = 20 * time.Second
+	recheckInterval = 500 * time.Millisecond
+	// idleReadInterval is the same for an agent that no balancer calls.
+	idleReadInterval = 20 * time.Second
 )
 
 // Step is a call of the store that is due.
@@ -55,8 +55,8 @@
 	renewed time.Duration
 	// renewSoon asks for a renewal before its time.
 	renewSoon bool
-	// unsure tells that a write may have been done or undone: read first.
-	unsure  bool
+	// uncertain tells that a write may have been done or undone: read first.
+	uncertain  bool
 	checked time.Duration
 	// inherit asks for what a process before this one has left, withdrawn tells that
 	// no entry is to be there whoever wrote it.
@@ -85,8 +85,8 @@
 
 // Hint tells that the entry may be gone.
 func (p *Publisher) Hint(now time.Duration) {
-	if p.checked == 0 || now-p.checked >= recheckEvery {
-		p.unsure, p.checked = true, now
+	if p.checked == 0 || now-p.checked >= recheckInterval {
+		p.uncertain, p.checked = true, now
 	}
 }
 
@@ -94,18 +94,18 @@
 // renewal is the cheapest call that tells whether the lease lives; the entry
 // itself is looked for more rarely.
 func (p *Publisher) Idle(now time.Duration) {
-	if now-p.checked >= idleRead {
+	if now-p.checked >= idleReadInterval {
 		p.Hint(now)
 		return
 	}
 	p.renewSoon = true
 }
 
-// HearEra notes an era of the store. In a later one the store came back from a copy, and
+// ObserveEra notes an era of the store. In a later one the store came back from a copy, and
 // nothing that was written or granted is certain: the entry is read within a time, and
 // before any other call. The number of a lease may be another's now, and ending or
 // renewing it would end that one's entry, or keep one that is gone.
-func (p *Publisher) HearEra(now time.Duration, era uint64, within time.Duration) {
+func (p *Publisher) ObserveEra(now time.Duration, era uint64, within time.Duration) {
 	if era <= p.era {
 		return
 	}
@@ -116,7 +116,7 @@
 }
 
 // Listed reports whether the entry is in the store as far as is known.
-func (p *Publisher) Listed() bool { return p.written != nil && !p.unsure }
+func (p *Publisher) Listed() bool { return p.written != nil && !p.uncertain }
 
 // Next returns the call that is due.
 func (p *Publisher) Next(now time.Duration) Step {
@@ -132,14 +132,14 @@
 	case p.inherit:
 		return StepRead
 	case p.withdrawn:
-		return p.nextWithout()
+		return p.nextWithdrawn()
 	case p.wanted == nil:
 		return p.nextUndecided(now)
 	}
 	switch {
 	case p.lease.ID == 0:
 		return StepGrant
-	case p.unsure:
+	case p.uncertain:
 		return StepRead
 	case !bytes.Equal(p.written, p.wanted):
 		return StepWrite
@@ -149,7 +149,7 @@
 
 // nextRenewal returns StepRenew when the lease is to be renewed.
 func (p *Publisher) nextRenewal(now time.Duration) Step {
-	if p.renewSoon || now-p.renewed >= p.lease.TTL/renewPart {
+	if p.renewSoon || now-p.renewed >= p.lease.TTL/renewDivisor {
 		return StepRenew
 	}
 	return StepNone
@@ -163,7 +163,7 @@
 	return p.nextRenewal(now)
 }
 
-func (p *Publisher) nextWithout() Step {
+func (p *Publisher) nextWithdrawn() Step {
 	if p.lease.ID != 0 {
 		return StepEnd
 	}
@@ -174,7 +174,7 @@
 func (p *Publisher) Due(now time.Duration) time.Duration {
 	due := leaseTTL
 	if p.lease.ID != 0 {
-		due = p.renewed + p.lease.TTL/renewPart - now
+		due = p.renewed + p.lease.TTL/renewDivisor - now
 	}
 	if p.returned {
 		due = min(due, p.verifyAt-now)
@@ -199,7 +199,7 @@
 	case err == nil:
 		p.renewed = sent
 	case errors.Is(err, platform.ErrLeaseEnded):
-		p.lost()
+		p.leaseLost()
 	}
 }
 
@@ -207,13 +207,13 @@
 // unknown can't be done any more after it.
 func (p *Publisher) Ended(err error) {
 	if err == nil || errors.Is(err, platform.ErrLeaseEnded) {
-		p.lost()
+		p.leaseLost()
 	}
 }
 
-// lost notes that the lease has ended, and the entry with it.
-func (p *Publisher) lost() {
-	p.lease, p.unsure = platform.Lease{}, true
+// leaseLost notes that the lease has ended, and the entry with it.
+func (p *Publisher) leaseLost() {
+	p.lease, p.uncertain = platform.Lease{}, true
 }
 
 // Wrote takes the answer to StepWrite.
@@ -222,9 +222,9 @@
 	case err == nil:
 		p.written, p.at, p.asOf = text, at, max(p.asOf, at)
 	case errors.Is(err, platform.ErrLeaseEnded):
-		p.lost()
+		p.leaseLost()
 	case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown):
-		p.unsure = true
+		p.uncertain = true
 	}
 }
 
@@ -233,25 +233,25 @@
 func (p *Publisher) Read(item platform.Item, asOf store.Position, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
-		p.written, p.at, p.unsure = nil, 0, false
+		p.written, p.at, p.uncertain = nil, 0, false
 	case err == nil:
-		p.written, p.at, p.unsure = item.Value, item.At, false
+		p.written, p.at, p.uncertain = item.Value, item.At, false
 	default:
 		return
 	}
 	p.asOf = max(p.asOf, asOf)
 	switch {
 	case p.inherit:
-		p.takeOver(item.Lease)
+		p.adoptLease(item.Lease)
 	case p.returned:
 		p.verify(item)
 	}
 	p.inherit, p.returned = false, false
 }
 
-// takeOver goes on under the lease of an inherited entry. How much of it is left is
+// adoptLease goes on under the lease of an inherited entry. How much of it is left is
 // not known, so it is renewed at once.
-func (p *Publisher) takeOver(lease uint64) {
+func (p *Publisher) adoptLease(lease uint64) {
 	if lease != 0 {
 		p.lease, p.renewSoon = platform.Lease{ID: lease, TTL: leaseTTL}, true
 	}
@@ -266,5 +266,5 @@
 		item.Lease = 0
 	}
 	p.lease = platform.Lease{}
-	p.takeOver(item.Lease)
+	p.adoptLease(item.Lease)
 }
--- a/internal/packetface/registry/publisher_test.go
+++ b/internal/packetface/registry/publisher_test.go
@@ -30,10 +30,10 @@
 func TestPublisherKeepsItsEntry(t *testing.T) {
 	g := NewWithT(t)
 	p := written(g)
-	g.Expect(p.Due(0)).To(Equal(leaseTTL / renewPart))
-	g.Expect(p.Next(leaseTTL / renewPart)).To(Equal(StepRenew))
-	p.Renewed(nil, leaseTTL/renewPart)
-	g.Expect(p.Next(leaseTTL / renewPart)).To(Equal(StepNone))
+	g.Expect(p.Due(0)).To(Equal(leaseTTL / renewDivisor))
+	g.Expect(p.Next(leaseTTL / renewDivisor)).To(Equal(StepRenew))
+	p.Renewed(nil, leaseTTL/renewDivisor)
+	g.Expect(p.Next(leaseTTL / renewDivisor)).To(Equal(StepNone))
 
 	p.Want([]byte("other"))
 	g.Expect(p.Next(0)).To(Equal(StepWrite))
@@ -115,11 +115,11 @@
 	g.Expect(p.Next(2 * time.Second)).To(Equal(StepRenew))
 	p.Renewed(nil, 2*time.Second)
 	g.Expect(p.Next(2 * time.Second)).To(Equal(StepNone))
-	p.Idle(idleRead)
-	g.Expect(p.Next(idleRead)).To(Equal(StepRead))
-	p.Idle(idleRead + time.Second)
-	p.Renewed(platform.ErrLeaseEnded, idleRead)
-	g.Expect(p.Next(idleRead)).To(Equal(StepGrant))
+	p.Idle(idleReadInterval)
+	g.Expect(p.Next(idleReadInterval)).To(Equal(StepRead))
+	p.Idle(idleReadInterval + time.Second)
+	p.Renewed(platform.ErrLeaseEnded, idleReadInterval)
+	g.Expect(p.Next(idleReadInterval)).To(Equal(StepGrant))
 }
 
 // inherited returns a publisher of a process that found the entry of the one before.
@@ -144,7 +144,7 @@
 	g.Expect(p.Next(0)).To(Equal(StepNone)) // the upstream has not reported yet
 	p.Want(entryText)
 	g.Expect(p.Next(0)).To(Equal(StepNone))
-	g.Expect(p.Next(leaseTTL / renewPart)).To(Equal(StepRenew))
+	g.Expect(p.Next(leaseTTL / renewDivisor)).To(Equal(StepRenew))
 	p.Want([]byte("other"))
 	g.Expect(p.Next(0)).To(Equal(StepWrite))
 	g.Expect(p.Write()).To(Equal(platform.Write{Key: "k", Expected: 9, Value: []byte("other"), Lease: 7}))
--- a/internal/packetface/registry/restore.go
+++ b/internal/packetface/registry/restore.go
@@ -22,7 +22,7 @@
 	// settleSpread is added at random, so that one balancer notes it and the others hear
 	// of that; settleAgain is the time between two tries of one.
 	settleSpread = 2 * time.Second
-	settleAgain  = 1 * time.Second
+	settleRetryInterval  = 1 * time.Second
 )
 
 // storeReturns counts how often the store came back from a copy, in another era.
@@ -61,11 +61,11 @@
 // their time to write again what it lost; a balancer that listens leaves that to those
 // that watch. All take it over as they do any other change.
 func (f *Follower) settle(ctx context.Context) {
-	if _, listens := f.listensTo(); listens || f.listing == nil || f.listing.Settled() || time.Now().Before(f.settleAt) {
+	if _, listens := f.currentSource(); listens || f.listing == nil || f.listing.Settled() || time.Now().Before(f.settleAt) {
 		return
 	}
-	f.settleAt = time.Now().Add(settleAgain)
-	at, err := f.Store.Apply(ctx, f.listing.settling())
+	f.settleAt = time.Now().Add(settleRetryInterval)
+	at, err := f.Store.Apply(ctx, f.listing.settledWrite())
 	switch {
 	case err == nil:
 		f.Log.Info("Era noted as settled.", "at", at, "as_of", f.listing.AsOf)
@@ -77,12 +77,12 @@
 // settledText tells in the log whether the store's era is settled.
 var settledText = map[bool]string{true: "Era is settled.", false: "Era is not settled yet."}
 
-// tellSettled logs whether the era is settled when that has changed.
-func (f *Follower) tellSettled() {
+// logSettled logs whether the era is settled when that has changed.
+func (f *Follower) logSettled() {
 	settled := f.listing.Settled()
-	if settled == f.settled {
+	if settled == f.settledLogged {
 		return
 	}
-	f.settled = settled
+	f.settledLogged = settled
 	f.Log.Info(settledText[settled], "as_of", f.listing.AsOf, "evacuations", f.summary().evacuations)
 }
--- a/internal/packetface/registry/retry_test.go
+++ b/internal/packetface/registry/retry_test.go
@@ -21,11 +21,11 @@
 	f.Balancers = func() int { return balancers }
 	f.Heard, f.Reached = func() {}, func(bool) {}
 	f.listing = emptyListing()
-	f.tell(nil)
-	backoff, random := seed.Backoff{Least: retryLeast, Most: retryMost}, rand.New(rand.NewPCG(1, 2))
+	f.reportReached(nil)
+	backoff, random := seed.Backoff{Least: retryMin, Most: retryMax}, rand.New(rand.NewPCG(1, 2))
 	for range 5 {
 		pauses = append(pauses, f.retryAfter(&backoff, random))
-		f.tell(store.ErrUnavailable)
+		f.reportReached(store.ErrUnavailable)
 	}
 	return pauses
 }
@@ -37,8 +37,8 @@
 	g := NewWithT(t)
 	pauses := failing(304, true)
 	g.Expect(pauses[0]).To(BeNumerically("<=", 50*time.Millisecond))
-	g.Expect(pauses[1:]).To(HaveEach(BeNumerically(">=", retryLeast/2)))
-	g.Expect(pauses[1:]).To(HaveEach(BeNumerically("<=", retryMost)))
+	g.Expect(pauses[1:]).To(HaveEach(BeNumerically(">=", retryMin/2)))
+	g.Expect(pauses[1:]).To(HaveEach(BeNumerically("<=", retryMax)))
 }
 
 // While the store is away each balancer is alone: all together make some 20 to 40 calls a
@@ -50,5 +50,5 @@
 			g.Expect(float64(balancers) / pause.Seconds()).To(BeNumerically("<=", 41))
 		}
 	}
-	g.Expect(failing(4, false)).To(HaveEach(BeNumerically("<=", retryMost)), "a small fleet")
+	g.Expect(failing(4, false)).To(HaveEach(BeNumerically("<=", retryMax)), "a small fleet")
 }
--- a/internal/packetface/registry/snapshot.go
+++ b/internal/packetface/registry/snapshot.go
@@ -31,13 +31,13 @@
 const (
 	// snapshotKey is the key of the snapshot.
 	snapshotKey = "saltbend/listing"
-	// snapshotLeast is the number of entries from which on there is one: the store tells
+	// snapshotMinEntries is the number of entries from which on there is one: the store tells
 	// some 500 in one call.
-	snapshotLeast = 500
-	// snapshotEvery is the time between two snapshots, spread by snapshotSpread so that
+	snapshotMinEntries = 500
+	// snapshotInterval is the time between two snapshots, spread by snapshotSpread so that
 	// one balancer writes it and the others hear of that. A store that keeps the history
 	// of 20 s can then tell what has changed since.
-	snapshotEvery  = 8 * time.Second
+	snapshotInterval  = 8 * time.Second
 	snapshotSpread = 4 * time.Second
 	// maxSnapshotBytes bounds its compressed and its plain text: 20,000 agents.
 	maxSnapshotBytes = 900 << 10
@@ -50,7 +50,7 @@
 var (
 	snapshotsWritten = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="written"}`)
 	snapshotsUsed    = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="used"}`)
-	snapshotsUseless = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="useless"}`)
+	snapshotsUnusable = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="useless"}`)
 )
 
 // snapshot is what a balancer knows of the one in the store.
@@ -115,51 +115,51 @@
 	if item.At.Revision() == from.Revision()+1 {
 		from = item.At // nothing came between: the store need not have that change any more
 	}
-	listing, foreign := NewListing(shared.Entries, from)
+	listing, unreadable := NewListing(shared.Entries, from)
 	if now == from {
-		return listing, foreign, nil // nothing has changed since
+		return listing, unreadable, nil // nothing has changed since
 	}
-	changes, asOf, err := f.Store.Watch(ctx, everything, from, confirmWait)
+	changes, asOf, err := f.Store.Watch(ctx, allKeys, from, confirmWait)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !asOf.SameEra(from) {
 		return nil, nil, errors.Wrapf(store.ErrUnavailable, "registry: changes at %s, snapshot at %s", asOf, from)
 	}
-	foreign = append(foreign, listing.Apply(f.takeSnapshot(changes), asOf)...)
-	return listing, foreign, nil
+	unreadable = append(unreadable, listing.Apply(f.filterSnapshot(changes), asOf)...)
+	return listing, unreadable, nil
 }
 
-// beginWithSnapshot takes over the snapshot and the changes since; it reports whether
+// loadFromSnapshot takes over the snapshot and the changes since; it reports whether
 // there is one that can be used.
-func (f *Follower) beginWithSnapshot(ctx context.Context) bool {
-	listing, foreign, err := f.readSnapshot(ctx)
+func (f *Follower) loadFromSnapshot(ctx context.Context) bool {
+	listing, unreadable, err := f.readSnapshot(ctx)
 	if errors.Is(err, store.ErrNotFound) {
 		return false
 	}
 	if err != nil {
-		snapshotsUseless.Inc()
+		snapshotsUnusable.Inc()
 		f.Log.Info("Snapshot not used.", "error", err.Error())
 		return false
 	}
 	snapshotsUsed.Inc()
-	f.report(foreign)
-	f.listing, f.at = listing, listing.AsOf
-	f.kept = changes{from: f.at, to: f.at}
+	f.report(unreadable)
+	f.listing, f.watchFrom = listing, listing.AsOf
+	f.recent = changes{from: f.watchFrom, to: f.watchFrom}
 	f.noteEra(summary{})
-	f.Log.Info("Snapshot read.", "as_of", f.at, "agents", len(listing.agents), "config_at", listing.ConfigAt)
-	f.takeHint()
-	f.changed()
+	f.Log.Info("Snapshot read.", "as_of", f.watchFrom, "agents", len(listing.agents), "config_at", listing.ConfigAt)
+	f.clearHint()
+	f.deliver()
 	return true
 }
 
-// takeSnapshot returns changes without those of the snapshot, and notes what they tell of
+// filterSnapshot returns changes without those of the snapshot, and notes what they tell of
 // it. Nobody else needs them.
-func (f *Follower) takeSnapshot(changes []platform.Item) []platform.Item {
+func (f *Follower) filterSnapshot(changes []platform.Item) []platform.Item {
 	others := changes[:0:0]
 	for _, c := range changes {
 		if c.Key == snapshotKey {
-			f.snapshot.note(c)
+			f.snapshot.update(c)
 			continue
 		}
 		f.snapshot.newest = max(f.snapshot.newest, c.At)
@@ -168,26 +168,26 @@
 	return others
 }
 
-// note takes over a change of the snapshot.
-func (s *snapshot) note(c platform.Item) {
+// update takes over a change of the snapshot.
+func (s *snapshot) update(c platform.Item) {
 	s.at, s.covers = c.At, 0
 	if !c.Removed && len(c.Value) >= 8 {
 		s.covers = store.At(c.At.Era(), binary.BigEndian.Uint64(c.Value))
 	}
-	s.due = time.Now().Add(snapshotEvery + rand.N(snapshotSpread))
+	s.due = time.Now().Add(snapshotInterval + rand.N(snapshotSpread))
 }
 
-// keepSnapshot writes the snapshot when it is due; a balancer that listens, or that
+// writeSnapshot writes the snapshot when it is due; a balancer that listens, or that
 // nobody relies on, leaves that to others.
-func (f *Follower) keepSnapshot(ctx context.Context) {
+func (f *Follower) writeSnapshot(ctx context.Context) {
 	s := &f.snapshot
-	if _, listens := f.listensTo(); listens || f.listing == nil || !s.stale() || time.Now().Before(s.due) || !f.isShared() {
+	if _, listens := f.currentSource(); listens || f.listing == nil || !s.stale() || time.Now().Before(s.due) || !f.isShared() {
 		return
 	}
 	if !f.listing.wantsSnapshot() {
 		return
 	}
-	s.due = time.Now().Add(snapshotEvery + rand.N(snapshotSpread))
+	s.due = time.Now().Add(snapshotInterval + rand.N(snapshotSpread))
 	text, err := encodeSnapshot(f.listing.Shared())
 	if err != nil || len(text) > maxSnapshotBytes {
 		f.Log.Warn("Snapshot is too large or can't be encoded.", "bytes", len(text), "entries", len(f.listing.entries))
@@ -206,7 +206,7 @@
 // wantsSnapshot reports whether the listing is large, and all of it of one era: what is
 // kept from an earlier one is not in the store.
 func (l *Listing) wantsSnapshot() bool {
-	if len(l.entries) < snapshotLeast || !l.Settled() {
+	if len(l.entries) < snapshotMinEntries || !l.Settled() {
 		return false
 	}
 	for _, entry := range l.entries {
--- a/internal/packetface/registry/writes.go
+++ b/internal/packetface/registry/writes.go
@@ -38,7 +38,7 @@
 	outcomeConflict outcome = "conflict"
 	// outcomeLeaseEnded and outcomeNone: nothing was writeAnswer.
 	outcomeLeaseEnded outcome = "lease-ended"
-	outcomeNone       outcome = "unavailable"
+	outcomeUnavailable       outcome = "unavailable"
 	outcomeUnknown    outcome = "unknown"
 )
 
@@ -54,7 +54,7 @@
 	outcomeDone:       nil,
 	outcomeConflict:   store.ErrConflict,
 	outcomeLeaseEnded: platform.ErrLeaseEnded,
-	outcomeNone:       store.ErrUnavailable,
+	outcomeUnavailable:       store.ErrUnavailable,
 }
 
 // err returns the error that an outcome stands for; one that is not known says that
@@ -84,20 +84,20 @@
 type writer struct {
 	store *platform.Store
 	log   *slog.Logger
-	began time.Time
+	started time.Time
 	// mu guards batch.
 	mu    sync.Mutex
 	batch batch[chan<- writeAnswer]
 }
 
 func newWriter(s *platform.Store, log *slog.Logger) *writer {
-	return &writer{store: s, log: log, began: time.Now()}
+	return &writer{store: s, log: log, started: time.Now()}
 }
 
 // serve takes the write of an agent and answers once its outcome is known.
 func (w *writer) serve(out http.ResponseWriter, r *http.Request) {
 	var write platform.Write
-	if err := json.NewDecoder(http.MaxBytesReader(out, r.Body, maxWriteBytes)).Decode(&write); err != nil || !ownWrite(write) {
+	if err := json.NewDecoder(http.MaxBytesReader(out, r.Body, maxWriteBytes)).Decode(&write); err != nil || !isEntryWrite(write) {
 		out.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -114,15 +114,15 @@
 	}
 }
 
-// ownWrite reports whether an agent writes so.
-func ownWrite(w platform.Write) bool {
+// isEntryWrite reports whether an agent writes so.
+func isEntryWrite(w platform.Write) bool {
 	_, err := decodeEntry(platform.Item{Key: w.Key, Value: w.Value, Lease: w.Lease})
 	return err == nil && !w.Delete
 }
 
 // schedule makes the next call when it is due. The caller holds mu.
 func (w *writer) schedule() {
-	wait, ok := w.batch.due(time.Since(w.began))
+	wait, ok := w.batch.due(time.Since(w.started))
 	if !ok {
 		return
 	}
@@ -133,7 +133,7 @@
 func (w *writer) writeDue() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := time.Since(w.began) + 1 // 0 stands for never
+	now := time.Since(w.started) + 1 // 0 stands for never
 	if wait, ok := w.batch.due(now); ok && wait == 0 {
 		go w.write(w.batch.take(now))
 	}
@@ -145,7 +145,7 @@
 	defer cancel()
 	for _, group := range w.apply(ctx, all) {
 		for _, p := range group.members {
-			p.from <- group.writeAnswer
+			p.waiter <- group.writeAnswer
 		}
 	}
 	w.mu.Lock()
