--- a/internal/packetface/registry/batch.go
+++ b/internal/packetface/registry/batch.go
@@ -6,36 +6,38 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Agents write their entries by way of a balancer, which makes one call of the store for
-// many of them.
+// Agents send the writes of their entries to a balancer, which combines many of them into
+// one call of the store.
 //
-// The load it is made for: at the first start of a fleet, or when the store has taken away
-// the entries of a part of it, hundreds of agents write within a few seconds. An entry
-// that comes alone is written at once; those that follow within batchEvery are written
-// together.
+// When a fleet starts for the first time, or when the store has lost the entries of a
+// part of it, hundreds of agents write within a few seconds. A single entry is written at
+// once; writes that arrive within batchInterval of the last call are sent together.
 
-// batchInterval is the least time between two calls: ten in the two seconds in which
-// entries that were lost are to be back.
+// batchInterval is the minimum time between the starts of two calls. It allows ten calls
+// within the two seconds in which lost entries must be listed again.
 const batchInterval = 200 * time.Millisecond
 
-// batch collects writes of others. It is pure: T is whoever waits for the outcome.
+// batch collects writes of agents until the next call. It makes no calls itself; T
+// identifies the request that waits for the outcome of a write.
 type batch[T any] struct {
 	waiting []pending[T]
-	// busy tells that a call is under way, sent is when the last one began, 0 for never.
-	busy bool
+	// busy is set while a call is running. lastCall is the time at which the last call
+	// began, 0 if there was none.
+	busy     bool
 	lastCall time.Duration
 }
 
-// pending is a write with whoever waits for its outcome.
+// pending is a write and the request that waits for its outcome.
 type pending[T any] struct {
-	write platform.Write
-	waiter  T
+	write  platform.Write
+	waiter T
 }
 
-// add takes in a write.
+// add queues a write for the next call.
 func (b *batch[T]) add(p pending[T]) { b.waiting = append(b.waiting, p) }
 
-// due returns the time until the next call; ok is false where none is to be made.
+// due returns the time until the next call. ok is false if a call is running or no write
+// is queued.
 func (b *batch[T]) due(now time.Duration) (wait time.Duration, ok bool) {
 	if b.busy || len(b.waiting) == 0 {
 		return 0, false
@@ -46,8 +48,9 @@
 	return max(0, b.lastCall+batchInterval-now), true
 }
 
-// take returns the writes of the next call. Two of one key don't go together: the store
-// refuses such a call whole.
+// take removes the writes of the next call from the queue and marks the call as running.
+// It selects at most one write for each key, because the store refuses a call that has
+// two.
 func (b *batch[T]) take(now time.Duration) (selected []pending[T]) {
 	b.busy, b.lastCall = true, now
 	keys := make(map[string]bool)
@@ -64,5 +67,5 @@
 	return selected
 }
 
-// done notes that the call has ended.
+// done records that the running call has ended.
 func (b *batch[T]) done() { b.busy = false }
--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -13,28 +13,30 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// A balancer that listens to another one (package watchshare) asks it for the changes
-// since its own listing, in the order in which the store made them.
+// A balancer that shares the watch of another one (see package watchshare) is a listener,
+// and the other one is its source. The listener requests the changes since its own
+// listing; the source returns them in the order in which the store made them.
 
 const (
 	changesPath = "/packet/changes"
-	// minRecentChanges and maxKeptBytes bound the changes that are kept for others: as many as
-	// there are keys, or minRecentChanges. With more, everything would be the shorter answer.
-	minRecentChanges    = 256
-	maxRecentBytes = 2 << 20
+	// minRecentChanges and maxRecentBytes bound the changes that are retained for
+	// listeners: at most as many as the store has keys, but always up to
+	// minRecentChanges. Beyond that, the full listing is the shorter answer.
+	minRecentChanges = 256
+	maxRecentBytes   = 2 << 20
 )
 
-// changes are the last changes of the store in their order. The zero value knows none.
+// changes are the most recent changes of the store in their order. The zero value has
+// none.
 type changes struct {
-	// from is the position after which all are kept, to that up to which; they are of one
-	// era.
+	// All changes after from and up to to are retained. Both positions are of one era.
 	from, to store.Position
 	items    []platform.Item
 	bytes    int
 }
 
-// add keeps changes after which every one up to the position is known. keys is the number
-// of keys that the store holds.
+// add appends changes that are complete up to a position, and evicts the oldest ones
+// beyond the bounds. keys is the number of keys in the store.
 func (c *changes) add(more []platform.Item, to store.Position, keys int) {
 	c.items = append(c.items, more...)
 	for _, item := range more {
@@ -48,8 +50,8 @@
 	}
 }
 
-// since returns the changes after a position; ok is false where some are no longer kept,
-// and for a position of an era before.
+// since returns the changes after a position. ok is false if some of them have been
+// evicted, or if the position is of an earlier era.
 func (c *changes) since(after store.Position) (items []platform.Item, ok bool) {
 	if after < c.from {
 		return nil, false
@@ -62,29 +64,32 @@
 	return nil, true
 }
 
-// Changes is what a balancer answers one that listens to it.
+// Changes is the answer of a source to a listener, encoded as JSON.
 type Changes struct {
+	// AsOf is the position up to which the answer is complete.
 	AsOf store.Position
-	// Whole tells that Items are all keys, and not changes.
+	// Whole is set if Items are all keys of the listing instead of changes.
 	Whole bool
 	Items []platform.Item
 }
 
-// changeLog is the newest listing with the changes that led to it, for others. It never
-// changes.
+// changeLog is the newest listing with the changes that led to it, as other balancers
+// receive it. It is immutable.
 type changeLog struct {
 	shared  *Shared
 	changes changes
-	// listing and full are the listing as it is told to those that ask for it, and
-	// to listeners that lack too much.
+	// listing and full are the encoded answers to a request for the listing and to a
+	// listener whose missing changes have been evicted.
 	listing, full document
 }
 
-// all returns the answer to a listener that lacks too much.
+// all returns the full listing for a listener whose missing changes have been evicted.
 func (l *changeLog) all() Changes {
 	return Changes{AsOf: l.shared.AsOf, Whole: true, Items: l.shared.Entries}
 }
 
+// serveChanges answers a listener with the changes since its position, or with the full
+// listing if some of those have been evicted.
 func (f *Follower) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -103,19 +108,19 @@
 	writeUncompressed(w, Changes{AsOf: log.changes.to, Items: items})
 }
 
-// Listen lets the follower learn from the balancer at a control address, or watch the
-// store itself if there is none.
+// Listen sets the source: the control address of the balancer to fetch changes from. With
+// an invalid address the follower watches the store itself.
 func (f *Follower) Listen(source netip.AddrPort) {
 	f.unconfirmed.Store(!source.IsValid())
 	f.source.Store(&source)
 	signal(f.sourceSignal)
 }
 
-// News tells that the balancer that is listened to knows of changes.
+// News signals that the source has announced changes.
 func (f *Follower) News() { signal(f.sourceSignal) }
 
-// currentSource returns the balancer to learn from; ok is false while the store is
-// watched.
+// currentSource returns the source. ok is false while the follower watches the store
+// itself.
 func (f *Follower) currentSource() (source netip.AddrPort, ok bool) {
 	if p := f.source.Load(); p != nil && p.IsValid() {
 		return *p, true
@@ -123,8 +128,9 @@
 	return netip.AddrPort{}, false
 }
 
-// followSource waits for news of a balancer and takes over the changes that it knows. On a
-// hint of something newer it asks the store if the balancer does not tell of it soon.
+// followSource waits until the source announces changes, and fetches them. After a hint
+// that something newer exists, it reads the store unless the source announces changes
+// soon.
 func (f *Follower) followSource(ctx context.Context, source netip.AddrPort) error {
 	select {
 	case <-ctx.Done():
@@ -134,16 +140,16 @@
 		return f.awaitSourceAfterHint(ctx, source)
 	}
 	if now, ok := f.currentSource(); !ok || now != source {
-		return nil // the caller's loop goes on with the other
+		return nil // Run continues with the current source
 	}
 	return f.fetchChanges(ctx, source)
 }
 
-// ReadStore tells a follower that waits for a source to read the store itself.
+// ReadStore makes a follower that waits for a source at its start read the store itself.
 func (f *Follower) ReadStore() { signal(f.readStore) }
 
-// awaitSource waits until there is a balancer to listen to; ok is false where the store
-// is to be read instead.
+// awaitSource waits until a source is set. ok is false if the store is to be read
+// instead.
 func (f *Follower) awaitSource(ctx context.Context) (source netip.AddrPort, ok bool) {
 	for f.AwaitSource {
 		select {
@@ -160,8 +166,8 @@
 	return netip.AddrPort{}, false
 }
 
-// awaitSourceBriefly waits a little for a balancer to listen to before the first watch: where
-// there is a snapshot the fleet is large, and one is found soon.
+// awaitSourceBriefly waits up to sourceWaitTimeout for a source before the first watch. A
+// snapshot exists only in a large fleet, in which a source is found soon.
 func (f *Follower) awaitSourceBriefly(ctx context.Context) {
 	timer := time.NewTimer(sourceWaitTimeout)
 	defer timer.Stop()
@@ -180,10 +186,11 @@
 	}
 }
 
-// sourceWaitTimeout is well within the time for which the reading before it counts as new.
+// sourceWaitTimeout is well below watchshare.StaleAfter, the time for which the snapshot
+// that was read before counts as up to date.
 const sourceWaitTimeout = 500 * time.Millisecond
 
-// loadFromSource takes over all that another balancer knows.
+// loadFromSource loads the first listing from the source.
 func (f *Follower) loadFromSource(ctx context.Context, source netip.AddrPort) error {
 	ctx, cancel := context.WithTimeout(ctx, sourceLoadTimeout)
 	defer cancel()
@@ -192,13 +199,15 @@
 		return err
 	}
 	if !answer.Whole {
-		return errors.New("registry: the source does not know everything")
+		return errors.New("registry: source balancer returned changes instead of its full listing")
 	}
 	f.replaceListing(answer.Items, answer.AsOf)
-	f.Log.Info("Listing taken from the source.", "source", source.String(), "as_of", answer.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
+	f.Log.Info("Loaded the listing from the source balancer.", "source", source.String(), "as_of", answer.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
 	return nil
 }
 
+// awaitSourceAfterHint fetches changes if the source announces some within
+// hintMinWatchAge, and reads the store otherwise.
 func (f *Follower) awaitSourceAfterHint(ctx context.Context, source netip.AddrPort) error {
 	timer := time.NewTimer(hintMinWatchAge)
 	defer timer.Stop()
@@ -212,13 +221,13 @@
 	}
 }
 
-// fetchChanges asks a balancer for the changes since the own listing. Where it does not
-// answer, the store is read: a failing source must not keep news away.
+// fetchChanges fetches the changes since the own listing from the source. If the source
+// does not answer, it reads the store, so that a failed source does not delay changes.
 func (f *Follower) fetchChanges(ctx context.Context, source netip.AddrPort) error {
 	var answer Changes
 	path := changesPath + "?after=" + strconv.FormatUint(uint64(f.listing.AsOf), 10)
 	if err := f.fetch(ctx, source, path, &answer); err != nil {
-		f.Log.Warn("Source not reached, reading the store.", "source", source.String(), "error", err.Error())
+		f.Log.Warn("Fetching changes from the source balancer failed; reading the store.", "source", source.String(), "error", err.Error())
 		return f.read(ctx)
 	}
 	if answer.AsOf <= f.listing.AsOf {
@@ -233,13 +242,14 @@
 	return nil
 }
 
-// apply takes over changes of the store, from a watch or from another balancer.
+// apply applies changes of the store that came from a watch or from the source.
 func (f *Follower) apply(items []platform.Item, asOf store.Position) {
 	f.report(f.listing.Apply(items, asOf))
 	f.recent.add(items, asOf, len(f.listing.entries))
-	f.clearHint() // one that came before is of these changes
+	f.clearHint() // an earlier hint is about these changes
 	f.deliver()
 }
 
-// errSourceAvailable says that a watch was given up as another balancer's is shared.
-var errSourceAvailable = errors.New("registry: another balancer's watch is shared")
+// errSourceAvailable is returned when a watch is cancelled because the follower has a
+// source now.
+var errSourceAvailable = errors.New("registry: watch cancelled to follow a source balancer")
--- a/internal/packetface/registry/document.go
+++ b/internal/packetface/registry/document.go
@@ -9,16 +9,17 @@
 	"sync"
 )
 
-// document is a value in compressed JSON, encoded once for all that ask for it: after a
-// common start hundreds of balancers ask the same few for everything, over links of 20
-// Mbit/s. The zero value is not encoded yet.
+// document is a value that is encoded to compressed JSON once, for all requests. After a
+// simultaneous start hundreds of balancers request the full listing from the same few,
+// over links of 20 Mbit/s. The zero value has not been encoded yet.
 type document struct {
 	once sync.Once
 	text []byte
 	err  error
 }
 
-// write answers a request with the value, which is asked for once.
+// write answers a request with the document. It calls value at most once for all
+// compressed answers, and for each client that does not accept gzip.
 func (d *document) write(w http.ResponseWriter, r *http.Request, value func() any) {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		writeUncompressed(w, value())
@@ -31,17 +32,17 @@
 		return
 	}
 	w.Header().Set("Content-Encoding", "gzip")
-	_, _ = w.Write(d.text) // as above
+	_, _ = w.Write(d.text) // an error means that the client has disconnected
 }
 
-// writeUncompressed answers a request with a value that is for one alone: to compress it takes
-// more time than to send it.
+// writeUncompressed answers a request with a value that serves one client only:
+// compressing it would take more time than it saves in sending.
 func writeUncompressed(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // an error means that the other has gone
+	_ = json.NewEncoder(w).Encode(value) // an error means that the client has disconnected
 }
 
-// compress returns a value in compressed JSON.
+// compress returns a value as compressed JSON.
 func compress(value any) ([]byte, error) {
 	var text bytes.Buffer
 	zip, err := gzip.NewWriterLevel(&text, gzip.BestSpeed)
--- a/internal/packetface/registry/entry.go
+++ b/internal/packetface/registry/entry.go
@@ -1,7 +1,15 @@
-// Package registry is what the packet face keeps in the platform's store: an
-// entry for each agent, under a lease. Publisher decides for an agent which
-// call of the store is due; Listing keeps a balancer's copy of all entries.
-// Both are pure; Agent and Follower make the calls.
+// Package registry keeps the packet face's data in the platform's store: one entry for
+// each agent, written under a lease, beside the configuration and the operators' requests
+// to evacuate data centres. An agent is the process on a host with upstreams that
+// receives flows; a balancer assigns flows to agents.
+//
+// Publisher decides which call of the store is due for the entry of an agent. Listing is
+// a balancer's copy of the store's keys. Neither makes calls; Agent and Follower do. A
+// seed is a balancer that the settings name as a first contact.
+//
+// The store numbers its changes by revisions. If it is restored from an older copy,
+// revisions repeat; an era counts these restores, and a store.Position is an era with a
+// revision.
 package registry
 
 import (
@@ -17,37 +25,39 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// agentPrefix starts the key of each agent's entry; its address follows.
+// agentPrefix starts the key of each agent's entry. The rest of the key is the agent's
+// address.
 const agentPrefix = "saltbend/agents/"
 
-// maxEntryBytes bounds the text of an entry.
+// maxEntryBytes bounds the encoded size of an entry.
 const maxEntryBytes = 1024
 
-// Entry is what the store holds about an agent. It tells where the agent is and what
-// it serves, not which process or which life of its upstream: so it stays as it is
-// when those start anew, and no balancer has to hear of that from the store.
+// Entry is what the store holds about an agent: where the agent is and what it serves. It
+// does not identify the process or the run of its upstream, so it stays the same when
+// those restart, and balancers need no update from the store.
 type Entry struct {
 	Addr       netip.AddrPort `json:"addr"`
 	Service    string         `json:"service"`
 	DataCentre string         `json:"dc"`
 	Slots      int            `json:"slots"`
-	// WarmupMS is how long upstreams of the service were seen to be cold after their start
-	// in milliseconds, 0 for not yet.
+	// WarmupMS is the time in milliseconds for which upstreams of the service have been
+	// observed to be cold after their start, 0 if it is not known yet.
 	WarmupMS int64 `json:"warmup_ms,omitempty"`
 }
 
-// maxSlots bounds the slots that an entry may name; more is no agent's word.
+// maxSlots bounds the slots of an entry; no agent writes more.
 const maxSlots = math.MaxUint16
 
-// maxWarmupMS bounds the warm-up that an entry may name, in milliseconds.
+// maxWarmupMS bounds the warm-up time of an entry, in milliseconds.
 const maxWarmupMS = math.MaxUint16
 
-// ErrEntry says that an entry could not be read.
+// ErrEntry is returned for an entry that cannot be decoded or that no agent has written.
 var ErrEntry = errors.New("registry: unreadable entry")
 
 func agentKey(addr netip.AddrPort) string { return agentPrefix + addr.String() }
 
-// encode returns the entry's text. It can't fail: all its fields have one.
+// encode returns the entry as JSON. It cannot fail, because JSON can represent every
+// value of its fields.
 func (e *Entry) encode() []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -56,7 +66,7 @@
 	return text
 }
 
-// parseEntry reads an agent's entry.
+// parseEntry decodes the entry of an agent.
 func parseEntry(item platform.Item) (steer.Agent, error) {
 	e, err := decodeEntry(item)
 	if err != nil {
@@ -68,14 +78,15 @@
 	}, nil
 }
 
-// decodeEntry reads an entry. Others may write under the prefix, too: an entry is an
-// agent's only if it is whole and kept under a lease.
+// decodeEntry decodes and validates an entry. Other programs may write keys with the same
+// prefix, so an entry counts as an agent's only if all its fields are valid and it has a
+// lease.
 func decodeEntry(item platform.Item) (Entry, error) {
 	if item.Lease == 0 {
 		return Entry{}, errors.Wrapf(ErrEntry, "key %.80q: lease is missing", item.Key)
 	}
 	if len(item.Value) > maxEntryBytes {
-		return Entry{}, errors.Wrapf(ErrEntry, "key %.80q: %d bytes", item.Key, len(item.Value))
+		return Entry{}, errors.Wrapf(ErrEntry, "key %.80q: value too large, %d bytes", item.Key, len(item.Value))
 	}
 	var e Entry
 	if err := json.Unmarshal(item.Value, &e); err != nil {
@@ -87,8 +98,8 @@
 	return e, nil
 }
 
-// wrong returns the name of a field that no agent writes so under the key, empty if all
-// are right.
+// wrong returns the name of a field whose value no agent writes under the key, or an
+// empty string if all are valid.
 func (e *Entry) wrong(key string) string {
 	switch {
 	case !e.Addr.IsValid() || key != agentKey(e.Addr):
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -22,117 +22,126 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Times of following the store.
+// Intervals and time limits of a Follower.
 const (
-	// watchWaitMin and watchMost bound how long one watch waits. A watch may be
-	// deaf: the store can drop changes from its history unheard, and only the
-	// next watch is told.
+	// watchWaitMin and watchWaitMax bound how long one watch waits. A watch may miss
+	// changes: the store can drop them from its history without an error, which only the
+	// next watch reports.
 	watchWaitMin = 1 * time.Second
-	watchWaitMax  = 10 * time.Second
-	// watchWaitPerBalancer is the time that each balancer of the fleet adds to the wait:
-	// one of them begins a watch in each such time, however many they are, and
-	// the others hear of a newer version from it by way of the agents.
+	watchWaitMax = 10 * time.Second
+	// watchWaitPerBalancer is the time that each balancer of the fleet adds to the wait.
+	// In each such interval one of them begins a watch, whatever the size of the fleet,
+	// and agents pass a newer version from it to the others.
 	watchWaitPerBalancer = 500 * time.Millisecond
-	// hintMinWatchAge is the age of a watch from which on a hint ends it: a younger
-	// one is about to tell the same.
+	// hintMinWatchAge is the age from which on a watch is cancelled by a hint. A watch
+	// that began later is about to return the same change. It is also how long a follower
+	// with a source waits after a hint before it reads the store.
 	hintMinWatchAge = 300 * time.Millisecond
 	// pausePerBalancer is the time that each balancer of the fleet adds to the pause
-	// after a watch that brought changes, within pauseLeast and pauseMost: a
-	// storm of changes costs few calls, whatever the size of the fleet.
-	pausePerBalancer  = 50 * time.Millisecond
-	pauseMin = 150 * time.Millisecond
-	pauseMax  = 1200 * time.Millisecond
-	// retryPerBalancer is the time that each balancer of the fleet adds to the pause after a
-	// failed call of one that nobody relies on.
+	// after a watch that returned changes, between pauseMin and pauseMax. So a burst of
+	// changes costs few calls, whatever the size of the fleet.
+	pausePerBalancer = 50 * time.Millisecond
+	pauseMin         = 150 * time.Millisecond
+	pauseMax         = 1200 * time.Millisecond
+	// retryPerBalancer is the time that each balancer of the fleet adds to the pause
+	// after a failed call, if no others share its watch.
 	retryPerBalancer = 50 * time.Millisecond
-	// sharedRetryPause is the pause after the first failed call of one that others rely on.
+	// sharedRetryPause is the pause after the first failed call if others share the watch
+	// of this balancer.
 	sharedRetryPause = 20 * time.Millisecond
-	// confirmWait is how long the first watch waits after a source was given up: its
-	// answer tells others at once that this balancer hears the store.
+	// confirmWait is how long the first watch waits after the source was abandoned. Its
+	// answer shows others at once that this balancer reaches the store.
 	confirmWait = time.Millisecond
 )
 
-// rejectedEntries counts entries that no agent wrote.
+// rejectedEntries counts entries of the store that were ignored because no agent wrote
+// them, and configurations that were ignored because a newer one is known.
 var rejectedEntries = metrics.NewCounter(`saltbend_packet_entries_passed_over_total`)
 
-// allKeys is the prefix of all keys: one watch serves the configuration and
-// the agents.
+// allKeys is the prefix of all keys. One watch covers the configuration and the agents.
 const allKeys = ""
 
-// Follower keeps a balancer's copy of what the store holds.
+// Follower maintains a balancer's copy of the store. It watches the store, or fetches the
+// changes from another balancer that does.
 type Follower struct {
 	Store *platform.Store
 	Log   *slog.Logger
 	// Changed is called with each new state of the copy, from one goroutine.
 	Changed func(*Listing)
-	// Reached is called when the store was lost or answers again.
+	// Reached is called when the store stops answering (false) or answers again (true).
 	Reached func(bool)
-	// Heard is called whenever the store has answered.
+	// Heard is called after each successful call of the store or of the source.
 	Heard func()
-	// Known returns all agents that this balancer knows, whether the store lists
-	// them or not.
+	// Known returns all agents that this balancer knows, including those that the store
+	// does not list.
 	Known func() []steer.Agent
-	// Unlisted returns those that the store does not list.
+	// Unlisted returns the known agents that the store does not list.
 	Unlisted func() []steer.Agent
-	// Asked is called once others have been asked, after the first listing, with the
-	// agents that they know.
+	// Asked is called once, after the first listing, with the agents that other balancers
+	// returned.
 	Asked func([]steer.Agent)
 	// Balancers returns the number of balancers that follow the store.
 	Balancers func() int
-	// Shared reports whether others rely on this process's watches, nil for never.
+	// Shared reports whether others rely on the watches of this process; nil means never.
 	Shared func() bool
-	// AwaitSource tells that Run begins with what another balancer knows: it waits for
-	// Listen, or for ReadStore if there is none to listen to.
+	// AwaitSource makes Run load the first listing from another balancer: it waits for
+	// Listen, or for ReadStore if there is no balancer to listen to.
 	AwaitSource bool
-	// Snapshots tells that the store may hold a snapshot: the whole system has run before.
+	// Snapshots is set if the store may hold a snapshot because the whole system has run
+	// before.
 	Snapshots bool
 
 	listing *Listing
-	// watchFrom is the store's position from which the next watch goes on.
-	watchFrom      store.Position
-	reached bool
-	// settleAt is when this process may note the listing's era as settled.
+	// watchFrom is the position after which the next watch returns changes.
+	watchFrom store.Position
+	reached   bool
+	// settleAt is the earliest time at which this process may record the listing's era as
+	// settled.
 	settleAt time.Time
-	// settledLogged tells that it was settledLogged when others were told last.
+	// settledLogged is whether the era was settled when that was logged last.
 	settledLogged bool
-	// reachedReported tells that the first loss or answer of the store has been reachedReported,
-	// noListingLogged that the seeds were found to know nothing.
+	// reachedReported is set once the first failure or answer of the store has been
+	// reported. noListingLogged is set once it was logged that no seed returned a
+	// listing.
 	reachedReported, noListingLogged bool
-	hints          chan struct{}
-	// hintedVersion is the highest version of the configuration that was hintedVersion at.
+	hints                            chan struct{}
+	// hintedVersion is the highest configuration version that a hint has named.
 	hintedVersion atomic.Uint64
-	// sourceSignal rings when the balancer that is listened to has sourceSignal, or is another.
+	// sourceSignal is signalled when the source announces changes or is replaced.
 	sourceSignal chan struct{}
-	// source is the balancer that is listened to, none while the store is watched.
+	// source is the balancer to fetch changes from, invalid while the store is watched.
 	source atomic.Pointer[netip.AddrPort]
-	// readStore rings when there is none at the start; unconfirmed tells that the
-	// store has not answered since a source was given up.
+	// readStore is signalled if there is no source at the start. unconfirmed is set if
+	// the store has not answered since a source was abandoned.
 	readStore chan struct{}
-	// snapshot is what is known of the one in the store.
+	// snapshot describes the snapshot in the store.
 	snapshot    snapshot
 	unconfirmed atomic.Bool
-	// initialSource is the balancer that the first listing came from, invalid for the store;
-	// heardOfAgents tells that Asked was called.
-	initialSource     netip.AddrPort
+	// initialSource is the balancer that the first listing came from, invalid for the
+	// store. agentsReceived is set before Asked is called.
+	initialSource  netip.AddrPort
 	agentsReceived atomic.Bool
-	// recent are the last changes; log has them with the newest listing, for peers;
-	// peer is a balancer that knows more than this one.
-	recent changes
-	published  atomic.Pointer[changeLog]
-	// deliveredAsOf is the position of the last listing that Changed has taken, 0 for none.
+	// recent holds the most recent changes. published has them with the newest listing,
+	// for other balancers. peer is a balancer with a newer version than this one.
+	recent    changes
+	published atomic.Pointer[changeLog]
+	// deliveredAsOf is the position of the last listing for which Changed has returned, 0
+	// if there is none.
 	deliveredAsOf atomic.Uint64
-	peer     atomic.Pointer[netip.AddrPort]
-	seeds    atomic.Pointer[[]netip.AddrPort]
-	peers    http.Client
+	peer          atomic.Pointer[netip.AddrPort]
+	seeds         atomic.Pointer[[]netip.AddrPort]
+	peers         http.Client
 	// agents is the last answer with all known agents, of agentsAt; agentsMu guards both.
 	agentsMu sync.Mutex
+	// agents is the last answer with all known agents, created at agentsAt; agentsMu
+	// guards both.
 	agents   *document
 	agentsAt time.Time
-	// loggedErrors are the entries of other writers that were told of.
+	// loggedErrors holds the errors of ignored entries that have been logged.
 	loggedErrors logging.Once
 }
 
-// NewFollower returns a Follower; set its callbacks before Run.
+// NewFollower returns a Follower. Its callbacks must be set before Run.
 func NewFollower(s *platform.Store, log *slog.Logger) *Follower {
 	return &Follower{
 		Store: s, Log: log, settledLogged: true,
@@ -140,13 +149,13 @@
 	}
 }
 
-// Hint tells that someone has heard of a newer version of the configuration, 0 for none,
-// or of the agents, and which balancer knows it, if that is known.
+// Hint signals that a newer version of the configuration (0 if not known) or of the
+// agents exists, and which balancer has it, if that is known.
 func (f *Follower) Hint(peer netip.AddrPort, version uint64) {
 	if peer.IsValid() {
 		f.peer.Store(&peer)
 	}
-	f.hintedVersion.Store(max(version, f.hintedVersion.Load())) // from one goroutine
+	f.hintedVersion.Store(max(version, f.hintedVersion.Load())) // Hint is called from one goroutine only
 	signal(f.hints)
 }
 
@@ -176,11 +185,12 @@
 	}
 }
 
-// retryAfter returns the pause after a failed call. Others give up a balancer that has not
-// heard the store for 2 s, and a watch that is cut may have waited for most of them: so
-// one that they rely on tries again at once. While nobody relies on this process the
-// pauses of all balancers together make some 20 calls a second, however many they are: the
-// first that the store answers tells the others.
+// retryAfter returns the pause after a failed call. Other balancers abandon a source that
+// has had no answer of the store for 2 s, and a watch that is cut may have waited for
+// most of that; so a balancer whose watch others share retries at once. While nobody
+// shares its watch, the pauses of all balancers together allow some 20 calls a second,
+// whatever the size of the fleet: the first balancer that the store answers informs the
+// others.
 func (f *Follower) retryAfter(backoff *seed.Backoff, random *rand.Rand) time.Duration {
 	shared, firstFailure := f.isShared(), f.reachedReported && f.reached
 	switch {
@@ -193,8 +203,8 @@
 	return max(backoff.Next(random), longest/2+rand.N(longest/2+1))
 }
 
-// waitToRetry waits until the store is to be tried again, or another balancer is to be
-// listened to. A hint that comes meanwhile is followed to the process that knows more.
+// waitToRetry waits for the pause to end, or until there is a source. On a hint it merges
+// the listing of the peer that the hint named.
 func (f *Follower) waitToRetry(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -208,14 +218,14 @@
 			f.mergeFromPeer(ctx)
 		case <-f.sourceSignal:
 			if _, listens := f.currentSource(); listens {
-				signal(f.sourceSignal) // what is known there may be newer
+				signal(f.sourceSignal) // the source may have newer changes
 				return
 			}
 		}
 	}
 }
 
-// step reads everything, or watches for changes once it has.
+// step loads the first listing, or waits for changes if there is one.
 func (f *Follower) step(ctx context.Context) error {
 	if f.listing == nil {
 		return f.load(ctx)
@@ -238,7 +248,7 @@
 		return err
 	}
 	if !asOf.SameEra(f.knownPosition()) {
-		return f.read(ctx) // the changes are not all that there were since, or are of an era before
+		return f.read(ctx) // some changes since are missing, or these are of an earlier era
 	}
 	f.watchFrom = asOf
 	changes = f.filterSnapshot(changes)
@@ -246,11 +256,11 @@
 		return nil
 	}
 	f.apply(changes, asOf)
-	_ = wait.For(ctx, f.pause()) // the caller's loop sees the end of ctx
+	_ = wait.For(ctx, f.pause()) // Run checks whether ctx has ended
 	return nil
 }
 
-// pause returns how long changes are collected before the next watch.
+// pause returns how long changes accumulate before the next watch.
 func (f *Follower) pause() time.Duration {
 	if f.isShared() {
 		return pauseMin
@@ -260,8 +270,8 @@
 
 func (f *Follower) isShared() bool { return f.Shared != nil && f.Shared() }
 
-// watch waits for changes. A hint that comes later than hintAfter ends it, and so does
-// another balancer that is to be listened to.
+// watch waits for changes. It is cancelled by a hint once it is older than
+// hintMinWatchAge, and when there is a source.
 func (f *Follower) watch(ctx context.Context) (changes []platform.Item, asOf store.Position, hinted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan interruption, 1)
@@ -275,7 +285,7 @@
 	return changes, asOf, err != nil && why == interruptedByHint, err
 }
 
-// interruption says why a watch was ended before its time.
+// interruption is the reason for which a watch was cancelled.
 type interruption uint8
 
 const (
@@ -284,8 +294,8 @@
 	interruptedBySource
 )
 
-// awaitInterruption cancels a watch on a hint, once it is older than hintAfter, or when
-// another balancer is to be listened to; it reports why.
+// awaitInterruption cancels a watch on a hint, once it is older than hintMinWatchAge, or
+// when there is a source. It returns the reason.
 func (f *Follower) awaitInterruption(ctx context.Context, cancel context.CancelFunc) interruption {
 	defer cancel()
 	timer := time.NewTimer(hintMinWatchAge)
@@ -301,15 +311,15 @@
 			return interruptedByHint
 		case <-f.sourceSignal:
 			if _, ok := f.currentSource(); ok {
-				signal(f.sourceSignal) // what is known there may be newer
+				signal(f.sourceSignal) // the source may have newer changes
 				return interruptedBySource
 			}
 		}
 	}
 }
 
-// watchWait returns how long the next watch waits, spread so that balancers do
-// not fall into step.
+// watchWait returns how long the next watch waits, randomized so that the watches of
+// balancers do not synchronize.
 func (f *Follower) watchWait() time.Duration {
 	if f.unconfirmed.Swap(false) {
 		return confirmWait
@@ -329,9 +339,10 @@
 	return f.acceptReading(all, asOf)
 }
 
-// readAfterHint reads everything, and asks the process that knows more where the store
-// does not answer, or offers less than was hinted at: one that came back from a copy has
-// an older configuration until operators write theirs again.
+// readAfterHint reads all keys. If the store does not answer, or returns a configuration
+// older than the hinted one, it fetches the listing of the peer that the hint named. A
+// store restored from an older copy has an older configuration until operators write the
+// current one again.
 func (f *Follower) readAfterHint(ctx context.Context) error {
 	err := f.read(ctx)
 	if err != nil || f.olderThanHinted() {
@@ -340,22 +351,24 @@
 	return err
 }
 
-// olderThanHinted reports whether the configuration is older than one that was hinted at.
+// olderThanHinted reports whether the configuration is older than one that a hint named.
 func (f *Follower) olderThanHinted() bool {
 	return platform.ConfigurationVersion(f.listing.Config) < f.hintedVersion.Load()
 }
 
-// acceptReading takes over a reading of everything, unless it is of an era before what is known.
+// acceptReading replaces the listing by all keys that the store returned, unless they are
+// of an earlier era than the listing.
 func (f *Follower) acceptReading(all []platform.Item, asOf store.Position) error {
 	if before := f.knownPosition(); asOf.Era() < before.Era() {
-		return errors.Wrapf(store.ErrUnavailable, "registry: reading at %s, known %s", asOf, before)
+		return errors.Wrapf(store.ErrUnavailable, "registry: store answered at %s, of an earlier era than the known %s", asOf, before)
 	}
 	f.replaceListing(all, asOf)
 	f.Log.Info("Store read.", "as_of", asOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
 	return nil
 }
 
-// knownPosition returns up to where every change is knownPosition, 0 before the first listing.
+// knownPosition returns the position up to which every change is known, 0 before the
+// first listing.
 func (f *Follower) knownPosition() store.Position {
 	if f.listing == nil {
 		return 0
@@ -363,7 +376,7 @@
 	return f.listing.AsOf
 }
 
-// replaceListing takes over all keys as they were at a position.
+// replaceListing replaces the listing by all keys as of a position.
 func (f *Follower) replaceListing(all []platform.Item, asOf store.Position) {
 	all = f.filterSnapshot(all)
 	listing, unreadable := NewListing(all, asOf)
@@ -381,8 +394,8 @@
 	f.deliver()
 }
 
-// recordDifferences keeps for others what differs between a reading of everything and what was
-// known before it. Without that, all listeners would ask for everything whenever the
+// recordDifferences adds the differences between all keys and the previous listing to the
+// recent changes. Without them, all listeners would request the full listing whenever the
 // store drops its history.
 func (f *Follower) recordDifferences(all []platform.Item, asOf store.Position) {
 	if !asOf.SameEra(f.recent.to) || asOf < f.recent.to {
@@ -392,7 +405,7 @@
 	f.recent.add(f.listing.differences(all, f.recent.to, asOf), asOf, len(all))
 }
 
-// deliver hands on the newest listing.
+// deliver publishes the newest listing to other balancers and passes it to Changed.
 func (f *Follower) deliver() {
 	shared := f.listing.Shared()
 	f.published.Store(&changeLog{shared: &shared, changes: f.recent})
@@ -401,7 +414,7 @@
 	f.deliveredAsOf.Store(uint64(f.listing.AsOf))
 }
 
-// clearHint takes a hint that came before now; it reports whether one did.
+// clearHint discards a pending hint and reports whether there was one.
 func (f *Follower) clearHint() bool {
 	select {
 	case <-f.hints:
@@ -411,16 +424,17 @@
 	}
 }
 
+// report counts the errors of ignored entries, and logs each distinct one once.
 func (f *Follower) report(unreadable []error) {
 	for _, err := range unreadable {
 		rejectedEntries.Inc()
 		if f.loggedErrors.First(err.Error()) {
-			f.Log.Warn("Entry passed over.", "error", err.Error())
+			f.Log.Warn("Store entry ignored.", "error", err.Error())
 		}
 	}
 }
 
-// reportReached logs and reports each loss and return of the store.
+// reportReached logs and reports when calls begin to fail or succeed again.
 func (f *Follower) reportReached(err error) {
 	reached := err == nil
 	if reached {
--- a/internal/packetface/registry/listing.go
+++ b/internal/packetface/registry/listing.go
@@ -15,33 +15,34 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Listing is a balancer's copy of what the store holds.
+// Listing is a balancer's copy of the store's keys.
 type Listing struct {
+	// agents are the valid entries of agents by their keys.
 	agents map[string]steer.Agent
-	// entries are the configuration and the agents as the store has them.
+	// entries are the keys of the configuration, the agents and the settled era, as the
+	// store has them.
 	entries map[string]platform.Item
-	// Config is the text of the newest configuration, ConfigAt the store's position of
-	// it.
+	// Config is the text of the newest configuration, ConfigAt its position in the store.
 	Config   []byte
 	ConfigAt store.Position
-	// AsOf is the store's position up to which every change is known.
+	// AsOf is the position up to which every change is known.
 	AsOf store.Position
-	// evacuations are the operators' requests to empty data centres.
+	// evacuations are the operators' requests to evacuate data centres.
 	evacuations evacuation.Record
-	// newestAgent is the highest position of an agent's entry seen.
+	// newestAgent is the highest position of an agent's entry so far.
 	newestAgent store.Position
-	// settledEra is the era that a balancer has noted as settled last.
+	// settledEra is the era that a balancer recorded last as settled.
 	settledEra uint64
 }
 
-// Shared is what balancers tell each other of their listings.
+// Shared is the form in which balancers send each other their listings, encoded as JSON.
 type Shared struct {
 	AsOf    store.Position
 	Entries []platform.Item
 }
 
-// NewListing returns a Listing of all keys that a reading showed, and the
-// store's position before the first of them was read.
+// NewListing returns a Listing of all keys of the store, and the errors of ignored
+// entries. asOf is the store's position before the first of the keys was read.
 func NewListing(items []platform.Item, asOf store.Position) (*Listing, []error) {
 	l := emptyListing()
 	return l, l.Apply(items, asOf)
@@ -51,9 +52,9 @@
 	return &Listing{agents: make(map[string]steer.Agent), entries: make(map[string]platform.Item)}
 }
 
-// Apply takes over changes in their order, after which every change up to the
-// position is known. Errors tell of entries that no agent wrote: they change nothing of
-// what is known of the agent at the address, but that its entry is to be written anew.
+// Apply applies changes in their order, after which every change up to asOf is known. It
+// returns the errors of ignored entries. An invalid entry under the key of a known agent
+// leaves the agent as it is, but marks it as damaged so that its entry is written again.
 func (l *Listing) Apply(changes []platform.Item, asOf store.Position) (unreadable []error) {
 	l.AsOf = max(l.AsOf, asOf)
 	l.evacuations.Apply(evacuations(changes), asOf)
@@ -63,7 +64,7 @@
 			continue
 		}
 		if change.At < l.entries[change.Key].At {
-			continue // a peer has told of a newer one
+			continue // a newer one came from a peer
 		}
 		switch {
 		case change.Key == settledKey && !change.Removed:
@@ -89,7 +90,7 @@
 	return unreadable
 }
 
-// applyConfig takes over a configuration unless it is older than the one that is known.
+// applyConfig applies a configuration unless the known one is newer.
 func (l *Listing) applyConfig(change platform.Item) (rejected []error) {
 	known := l.entries[platform.ConfigKey]
 	if !replaces(change, known) {
@@ -103,15 +104,16 @@
 	return nil
 }
 
-// ErrOlderConfiguration says that the store offers a configuration that is older than
-// the one that is known: it came back from a copy, and the newer one is to be written
-// again.
-var ErrOlderConfiguration = errors.New("registry: older configuration")
+// ErrOlderConfiguration is returned when the store has a configuration older than the
+// known one. The store was restored from an older copy, and the newer configuration has
+// to be written again.
+var ErrOlderConfiguration = errors.New("registry: configuration older than the known one")
 
-// replaces reports whether a configuration takes the place of another one. Within an
-// era the store orders them. After it came back from a copy it offers what was replaced
-// before, so between eras their own versions decide, and a configuration in force does
-// not go back in any process, also one that starts.
+// replaces reports whether a configuration replaces the known one. Within an era the
+// position decides. After the store was restored from an older copy it has a
+// configuration that had been replaced before; so between eras the version in the
+// configuration decides, and no process goes back to an older configuration, not even one
+// that has just started.
 func replaces(c, known platform.Item) bool {
 	if !c.At.SameEra(known.At) {
 		version, before := platform.ConfigurationVersion(c.Value), platform.ConfigurationVersion(known.Value)
@@ -122,9 +124,10 @@
 	return c.At >= known.At
 }
 
-// differences returns the changes that lead from what was known at a position to a reading of all
-// keys: what is newer there, and what is missing as removed at the position of the
-// reading. What is kept of an earlier era until it is written again is not missing.
+// differences returns the changes that lead from the listing to a later reading of all
+// keys: keys that are newer than the known position, and missing keys as removed at the
+// position of the reading. Keys retained from an earlier era until they are written again
+// do not count as missing.
 func (l *Listing) differences(all []platform.Item, known, asOf store.Position) (out []platform.Item) {
 	there := make(map[string]bool, len(all))
 	for _, item := range all {
@@ -142,37 +145,38 @@
 	return out
 }
 
-// Inherit keeps what the listing before this one knew and a copy of the store lacks,
-// until operators have written it again.
+// Inherit retains from the previous listing what a restored store lacks, until operators
+// have written it again.
 func (l *Listing) Inherit(before *Listing) {
 	if config, ok := before.entries[platform.ConfigKey]; ok {
-		l.applyConfig(config) // an older one is no news
+		l.applyConfig(config) // an older one is ignored without an error
 	}
 	l.evacuations.Inherit(&before.evacuations)
 	l.settle()
 }
 
-// Settled reports whether all that a return of the store from a copy lost has had its
-// time to be written again. It is noted in the store itself, so that a process that
-// starts later need not wait, and one that starts in between does.
+// Settled reports whether the time has passed in which data lost in a restore of the
+// store is written again. A key of the store records that, so a process that starts after
+// that time need not wait, and one that starts before it waits.
 func (l *Listing) Settled() bool { return l.settledEra == l.AsOf.Era() }
 
-// settle drops what was kept for operators to write again, once they have had their time.
+// settle drops what was retained for operators to write again, once the era is settled.
 func (l *Listing) settle() {
 	if l.Settled() {
 		l.evacuations.Settle()
 	}
 }
 
-// settledWrite returns the write that notes the listing's era as settled.
+// settledWrite returns the write that records the listing's era as settled.
 func (l *Listing) settledWrite() platform.Write {
 	return platform.Write{Key: settledKey, Expected: l.entries[settledKey].At, Value: strconv.AppendUint(nil, l.AsOf.Era(), 10)}
 }
 
-// settledKey is the key of the era that was noted as settled last, as a decimal number.
+// settledKey is the key of the era that was recorded last as settled, a decimal number.
 const settledKey = "saltbend/settled-era"
 
-// parseEra reads the value of settledKey, 0 for that of another writer.
+// parseEra decodes the value of settledKey. It returns 0 for a value that no balancer
+// writes.
 func parseEra(text []byte) uint64 {
 	era, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
@@ -181,7 +185,7 @@
 	return era
 }
 
-// evacuations returns the requests to empty data centres.
+// evacuations returns the requests to evacuate data centres.
 func (s *Shared) evacuations() (out []evacuation.Request) {
 	for _, change := range evacuations(s.Entries) {
 		out = append(out, change.Request)
@@ -189,7 +193,7 @@
 	return out
 }
 
-// markDamaged notes that an agent's entry was overwritten by another writer.
+// markDamaged records that another program has overwritten an agent's entry.
 func (l *Listing) markDamaged(key string) {
 	if agent, ok := l.agents[key]; ok {
 		agent.Damaged = true
@@ -197,14 +201,14 @@
 	}
 }
 
-// Age returns how new the list of agents is. An entry above AsOf was read before
-// all that came before it.
+// Age returns how recent the list of agents is. An agent's entry may be newer than AsOf,
+// as AsOf is the position before the first key was read; Newest is limited to AsOf.
 func (l *Listing) Age() steer.ListAge {
 	return steer.ListAge{AsOf: l.AsOf, Newest: min(l.newestAgent, l.AsOf), Relisting: !l.Settled()}
 }
 
-// Shared returns the configuration, the requests to empty data centres and the agents
-// as the store has them.
+// Shared returns the listing in the form in which it is sent to other balancers: the
+// entries as the store has them, and the requests to evacuate data centres.
 func (l *Listing) Shared() Shared {
 	all := slices.Collect(maps.Values(l.entries))
 	for _, request := range l.evacuations.Requests() {
@@ -214,10 +218,10 @@
 	return Shared{AsOf: l.AsOf, Entries: all}
 }
 
-// Evacuations returns the operators' requests to empty data centres.
+// Evacuations returns a copy of the operators' requests to evacuate data centres.
 func (l *Listing) Evacuations() evacuation.Record { return l.evacuations.Clone() }
 
-// evacuations returns the changes that ask to empty a data centre or take that back.
+// evacuations returns those of the changes that request or withdraw an evacuation.
 func evacuations(changes []platform.Item) (out []evacuation.Change) {
 	for _, change := range changes {
 		if name, ok := platform.EvacuatedDataCentre(change.Key); ok {
@@ -228,16 +232,16 @@
 	return out
 }
 
-// Merge takes over what is newer in another's listing. No agent is removed: what
-// the other lacks may be newer than its listing. It reports whether anything
-// was newer.
+// Merge applies what is newer in the listing of another balancer. It removes no agent,
+// because an agent that the other one lacks may have registered after its listing. It
+// reports whether anything was newer.
 func (l *Listing) Merge(other Shared) (changed bool, unreadable []error) {
 	changed = other.AsOf > l.AsOf
 	changed = l.evacuations.Replace(other.evacuations(), other.AsOf) || changed
 	var newer []platform.Item
 	for _, entry := range other.Entries {
 		if _, is := platform.EvacuatedDataCentre(entry.Key); is {
-			continue // the record has it
+			continue // evacuations.Replace has applied it above
 		}
 		if l.lacks(entry) {
 			newer = append(newer, entry)
@@ -246,19 +250,19 @@
 	return changed || len(newer) > 0, l.Apply(newer, other.AsOf)
 }
 
-// lacks reports whether an entry of another's listing is newer than the own one.
+// lacks reports whether an entry of another balancer's listing is newer than the own one.
 func (l *Listing) lacks(entry platform.Item) bool {
 	known := l.entries[entry.Key]
 	if entry.Key == platform.ConfigKey {
 		return entry.At != known.At && replaces(entry, known)
 	}
 	if known.At == 0 {
-		return entry.At > l.AsOf // or it is known to be gone
+		return entry.At > l.AsOf // an older one is known to be removed
 	}
 	return entry.At > known.At
 }
 
-// Agents returns all agents in the order of their addresses.
+// Agents returns all agents, ordered by address.
 func (l *Listing) Agents() []steer.Agent {
 	out := make([]steer.Agent, 0, len(l.agents))
 	for _, a := range l.agents {
--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -16,45 +16,47 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// A balancer that the store turns away learns from another balancer what has
-// changed: agents tell it which one knows more. One that has only just started
-// asks the seeds that its settings name.
+// A balancer whose calls the store refuses fetches the listing of another balancer;
+// agents tell it which one has a newer version. A balancer that has just started asks the
+// seeds that its settings name.
 
 const (
 	listingPath = "/packet/listing"
 	agentsPath  = "/packet/agents"
-	// unlistedPath has one parameter, the position of the asker's listing, and another one
-	// from a listener.
+	// unlistedPath takes the position of the client's listing as a parameter, and a
+	// second parameter if the client loaded its listing from this balancer.
 	unlistedPath = "/packet/agents/unlisted"
-	// peerTimeout bounds a question to another balancer.
+	// peerTimeout bounds a request to another balancer.
 	peerTimeout = time.Second
-	// maxListingBytes bounds its answer: a configuration of 1 MB and 7,000
-	// entries of agents, in JSON.
+	// maxListingBytes bounds the answer to such a request: a configuration of 1 MB and
+	// the entries of 7,000 agents, in JSON.
 	maxListingBytes = 8 << 20
-	// agentsCacheTime is how long the answer with all known agents serves all that ask.
+	// agentsCacheTime is how long the answer with all known agents is reused.
 	agentsCacheTime = 100 * time.Millisecond
-	// seedInterval is how long a balancer that starts waits for the store before it
-	// asks the seeds, and between two such questions; a slow store answers in
-	// some 240 ms.
+	// seedInterval is how long a starting balancer waits for the store before it asks the
+	// seeds, and the time between two such requests. A slow store answers in some 240 ms.
 	seedInterval = 300 * time.Millisecond
-	// seedTimeout bounds a question to the seeds. One that lives answers within some
-	// 10 ms; after a common loss of power some are still dark, and the first packet
-	// to those is repeated after a second only.
+	// seedTimeout bounds a request to the seeds. A running seed answers within some 10
+	// ms. After a simultaneous loss of power some seeds are still down, and the first
+	// packet to those is not retransmitted before a second has passed.
 	seedTimeout = 250 * time.Millisecond
-	// unlistedTimeout bounds the question for agents that are not listed, which others
-	// answer once they know as much of the store; askAgainEvery is the time between tries.
-	unlistedTimeout = 250 * time.Millisecond
-	unlistedRetryInterval   = 25 * time.Millisecond
-	// sourceLoadTimeout bounds the question for everything that a source knows, after which
-	// the store is read: after a common loss of power many ask at once.
+	// unlistedTimeout bounds the request for agents that are not listed. Other balancers
+	// refuse it until they know the store up to the client's position; the client retries
+	// every unlistedRetryInterval.
+	unlistedTimeout       = 250 * time.Millisecond
+	unlistedRetryInterval = 25 * time.Millisecond
+	// sourceLoadTimeout bounds the request for the full listing of a source, after which
+	// the store is read. After a simultaneous loss of power many balancers send this
+	// request at once.
 	sourceLoadTimeout = 400 * time.Millisecond
 )
 
-// SetSeeds names balancers that may know a listing; they may be gone.
+// SetSeeds sets the balancers to ask for a listing. They may be down.
 func (f *Follower) SetSeeds(seeds []netip.AddrPort) { f.seeds.Store(&seeds) }
 
-// Handle answers other processes: with the newest listing, and with the answers of
-// the store to calls of agents that it turns away.
+// Handle registers the HTTP handlers for other processes: for balancers that request the
+// listing, its changes or the known agents, and for agents whose writes or other calls go
+// to the store through this balancer.
 func (f *Follower) Handle(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+listingPath, f.serveListing)
 	mux.HandleFunc("GET "+agentsPath, f.serveAgents)
@@ -64,16 +66,17 @@
 	f.Store.HandleRelay(mux)
 }
 
-// serveListing serves the newest listing.
+// serveListing answers with the newest listing.
 func (f *Follower) serveListing(w http.ResponseWriter, r *http.Request) {
 	if log := f.publishedLog(w); log != nil {
 		log.listing.write(w, r, func() any { return log.shared })
 	}
 }
 
-// serveUnlisted serves the agents that this balancer knows and the store does not list, to
-// one whose listing is of a position that it knows, too. One that has its listing from
-// this balancer is answered once this one has heard of agents itself.
+// serveUnlisted answers with the agents that this balancer knows and the store does not
+// list. It refuses a client whose listing is of a later position than its own. It also
+// refuses a client that loaded its listing from this balancer, until this balancer itself
+// has received the agents of others.
 func (f *Follower) serveUnlisted(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	asOf, err := strconv.ParseUint(query.Get("asOf"), 10, 64)
@@ -82,7 +85,7 @@
 		return
 	}
 	if f.published.Load() == nil {
-		writeUncompressed(w, []steer.Agent{}) // it has only just started, too, and knows none
+		writeUncompressed(w, []steer.Agent{}) // this balancer has just started, too, and knows no agents
 		return
 	}
 	if f.deliveredAsOf.Load() < asOf || query.Has("heard") && !f.agentsReceived.Load() {
@@ -92,7 +95,8 @@
 	writeUncompressed(w, f.Unlisted())
 }
 
-// serveAgents serves all agents that this balancer knows, or has known a moment ago.
+// serveAgents answers with all agents that this balancer knows, or knew up to
+// agentsCacheTime ago.
 func (f *Follower) serveAgents(w http.ResponseWriter, r *http.Request) {
 	if f.publishedLog(w) == nil {
 		return
@@ -106,8 +110,8 @@
 	agents.write(w, r, func() any { return f.Known() })
 }
 
-// publishedLog returns the newest listing with its changes; without one it answers the request
-// and returns nil.
+// publishedLog returns the newest listing with its changes. If there is none, it refuses
+// the request and returns nil.
 func (f *Follower) publishedLog(w http.ResponseWriter) *changeLog {
 	log := f.published.Load()
 	if log == nil {
@@ -116,24 +120,25 @@
 	return log
 }
 
-// fetch asks another balancer and decodes its answer.
+// fetch sends a request to another balancer and decodes the answer.
 func (f *Follower) fetch(ctx context.Context, peer netip.AddrPort, path string, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	return peercall.Get(ctx, &f.peers, peer, path, maxListingBytes, answer)
 }
 
-// reading is the answer of the store to a reading of everything.
+// reading is the result of reading all keys of the store.
 type reading struct {
 	items []platform.Item
 	asOf  store.Position
 	err   error
 }
 
-// load reads the store and, while it does not answer, asks the seeds: a
-// balancer that starts meanwhile can serve by what one of them knows. That may
-// lack what changed since the seed was turned away, as the seed does; agents
-// tell of it.
+// load loads the first listing from the source or a snapshot if there is one, else from
+// the store. While the store does not answer, it asks the seeds, so that a balancer that
+// starts during an outage can serve from a seed's listing. That listing may lack changes
+// that the seed has missed since the store refused it; agents report such changes to
+// both.
 func (f *Follower) load(ctx context.Context) error {
 	if source, ok := f.awaitSource(ctx); ok {
 		f.AwaitSource = false
@@ -142,7 +147,7 @@
 			f.initialSource = source
 			return nil
 		}
-		f.Log.Warn("Source not reached, reading the store.", "source", source.String(), "error", err.Error())
+		f.Log.Warn("Loading the listing from the source balancer failed; reading the store.", "source", source.String(), "error", err.Error())
 	}
 	if f.Snapshots && f.loadFromSnapshot(ctx) {
 		f.awaitSourceBriefly(ctx)
@@ -167,19 +172,19 @@
 			return f.acceptReading(r.items, r.asOf)
 		case <-ticker.C:
 			if f.loadFromSeeds(ctx) {
-				return errors.Wrap(store.ErrUnavailable, "registry: a seed was faster")
+				return errors.Wrap(store.ErrUnavailable, "registry: loaded a seed's listing before the store answered")
 			}
 		}
 	}
 }
 
-// loadFromSeeds takes over the newest listing that a seed knows; it reports whether
-// any knows one.
+// loadFromSeeds loads the newest listing of the seeds. It reports whether any seed
+// returned one.
 func (f *Follower) loadFromSeeds(ctx context.Context) bool {
 	best, from, failures := f.newestSeedListing(ctx)
 	if best.AsOf == 0 {
 		if !f.noListingLogged {
-			f.Log.Warn("No seed knows a listing.", "errors", failures)
+			f.Log.Warn("No seed returned a listing.", "errors", failures)
 		}
 		f.noListingLogged = true
 		return false
@@ -189,15 +194,16 @@
 	_, unreadable := f.listing.Merge(best)
 	f.report(unreadable)
 	f.noteEra(summary{})
-	f.Log.Info("Listing taken from a seed.", "seed", from.String(), "as_of", best.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
+	f.Log.Info("Loaded the listing from a seed.", "seed", from.String(), "as_of", best.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
 	f.deliver()
 	return true
 }
 
-// askAgents asks others for the agents that they know, as some may live though the
-// store does not list them. Without them a balancer that starts after a lapse would take
-// their flows for dead. The source tells what a listing of its own position lacks, and so
-// do the seeds to one that has read the store.
+// askAgents requests the agents that other balancers know and passes them to Asked.
+// Agents may be running although the store does not list them; without this request, a
+// balancer that starts after their leases have ended would treat their flows as dead. It
+// asks the source if the listing came from one; otherwise, or if the source fails, it
+// asks the seeds.
 func (f *Follower) askAgents(ctx context.Context, source netip.AddrPort, asOf store.Position) {
 	path := unlistedPath + "?asOf=" + strconv.FormatUint(uint64(asOf), 10)
 	var known []steer.Agent
@@ -211,14 +217,14 @@
 	if ctx.Err() != nil {
 		return
 	}
-	f.Log.Info("Others asked for agents.", "source", source.String(), "known", len(known), "errors", failures)
+	f.Log.Info("Requested unlisted agents from other balancers.", "source", source.String(), "known", len(known), "errors", failures)
 	f.agentsReceived.Store(true)
 	f.Asked(known)
 }
 
-// unlistedRequest returns how a peer is asked for the agents that are not listed: again while
-// it does not know the position yet and there is time. One of an earlier version tells all
-// that it knows.
+// unlistedRequest returns a function that requests the agents that are not listed from a
+// peer. It retries while the peer does not know the position yet, until its context ends.
+// From a peer of an earlier version it requests all known agents.
 func (f *Follower) unlistedRequest(path string) func(context.Context, netip.AddrPort) peerAnswer[[]steer.Agent] {
 	unlisted, all := singleRequest[[]steer.Agent](f, path), singleRequest[[]steer.Agent](f, agentsPath)
 	return func(ctx context.Context, peer netip.AddrPort) peerAnswer[[]steer.Agent] {
@@ -234,7 +240,7 @@
 	}
 }
 
-// agentsOf returns the agents that some have told, and why others did not.
+// agentsOf returns the agents of all successful answers, and the errors of the others.
 func agentsOf(answers []peerAnswer[[]steer.Agent]) (known []steer.Agent, failures []string) {
 	for _, a := range answers {
 		if a.err != nil {
@@ -245,7 +251,7 @@
 	return known, failures
 }
 
-// peerAnswer is what another balancer answered.
+// peerAnswer is the result of a request to another balancer.
 type peerAnswer[T any] struct {
 	answer T
 	from   netip.AddrPort
@@ -254,7 +260,7 @@
 
 func (a *peerAnswer[T]) failure() string { return a.from.String() + ": " + a.err.Error() }
 
-// askAll asks all peers at once and returns their answers.
+// askAll sends a request to all peers concurrently and returns their answers.
 func askAll[T any](ctx context.Context, peers *[]netip.AddrPort, timeout time.Duration, ask func(context.Context, netip.AddrPort) peerAnswer[T]) []peerAnswer[T] {
 	if peers == nil {
 		return nil
@@ -272,7 +278,7 @@
 	return all
 }
 
-// singleRequest returns how a peer is asked once for what is at a path.
+// singleRequest returns a function that requests a path from a peer once.
 func singleRequest[T any](f *Follower, path string) func(context.Context, netip.AddrPort) peerAnswer[T] {
 	return func(ctx context.Context, peer netip.AddrPort) peerAnswer[T] {
 		a := peerAnswer[T]{from: peer}
@@ -281,8 +287,8 @@
 	}
 }
 
-// newestSeedListing returns the newestSeedListing listing that a seed knows, an empty one if none
-// answers, and why the others did not.
+// newestSeedListing returns the newest listing of the seeds and the seed that sent it, or
+// an empty listing if no seed answers. failures are the errors of the other seeds.
 func (f *Follower) newestSeedListing(ctx context.Context) (best Shared, from netip.AddrPort, failures []string) {
 	for _, a := range askAll(ctx, f.seeds.Load(), seedTimeout, singleRequest[Shared](f, listingPath)) {
 		if a.err != nil {
@@ -296,7 +302,8 @@
 	return best, from, failures
 }
 
-// mergeFromPeer takes over what a peer knows while the store is not reached.
+// mergeFromPeer merges the listing of the peer that the last hint named. It is used while
+// the store does not answer or has older data than the peer.
 func (f *Follower) mergeFromPeer(ctx context.Context) {
 	peer := f.peer.Load()
 	if f.listing == nil || peer == nil {
@@ -304,7 +311,7 @@
 	}
 	var shared Shared
 	if err := f.fetch(ctx, *peer, listingPath, &shared); err != nil {
-		f.Log.Warn("Peer not asked.", "peer", peer.String(), "error", err.Error())
+		f.Log.Warn("Fetching the listing from a peer failed.", "peer", peer.String(), "error", err.Error())
 		return
 	}
 	before := f.summary()
@@ -313,7 +320,7 @@
 	f.noteEra(before)
 	if changed {
 		f.recent = changes{from: f.listing.AsOf, to: f.listing.AsOf}
-		f.Log.Info("Learned from a peer.", "peer", peer.String(), "config_at", f.listing.ConfigAt, "as_of", f.listing.AsOf)
+		f.Log.Info("Merged the listing of a peer.", "peer", peer.String(), "config_at", f.listing.ConfigAt, "as_of", f.listing.AsOf)
 		f.deliver()
 	}
 }
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -16,50 +16,51 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Waits between tries while the store does not answer.
+// Bounds of the pause between retries while the store does not answer.
 const (
 	retryMin = 200 * time.Millisecond
-	retryMax  = 1 * time.Second
+	retryMax = 1 * time.Second
 )
 
-// verifyWindow is the time within which agents look for their entries after the store
-// came back from a copy: 6,100 of them make 3,050 calls a second, half of what the store
-// of a fleet of 59 hosts allows. Those whose entries balancers miss are told and look at
-// once.
+// verifyWindow is the time over which agents spread the reading of their entries after
+// the store was restored from an older copy: 6,100 agents make 3,050 calls a second, half
+// of what the store of a fleet of 59 hosts allows. Agents whose entries balancers miss
+// get a hint and read at once.
 const verifyWindow = 2 * time.Second
 
-// agentReturns counts returns of the store from a copy that an agent has noticed.
+// agentReturns counts restores of the store from an older copy that an agent has
+// detected.
 var agentReturns = metrics.NewCounter(`saltbend_packet_entry_returns_total`)
 
-// Agent keeps the entry of an agent in the store.
+// Agent maintains the entry of an agent in the store.
 type Agent struct {
 	Log *slog.Logger
-	// Clock returns the time since the start of the process.
+	// Clock returns the time since the process started.
 	Clock func() time.Duration
 
 	// LeaseLeast is the shortest lease that the store grants.
 	LeaseLeast time.Duration
-	// Seen is called with the store's position whenever this process has seen a newer
-	// one: it then knows that all entries up to it may be there.
+	// Seen is called with the store's position whenever this process has observed a newer
+	// one. All entries up to that position may then be in the store.
 	Seen func(at store.Position)
 
-	routes      storeRoutes
-	publisher *Publisher
-	entryUpdates     chan *Entry
-	hints     chan struct{}
-	idleSignals     chan struct{}
-	eras      chan uint64
-	failing   bool
-	// entry is the one that is wanted, nil for none; inherited the one that a process
-	// before this one left.
+	routes       storeRoutes
+	publisher    *Publisher
+	entryUpdates chan *Entry
+	hints        chan struct{}
+	idleSignals  chan struct{}
+	eras         chan uint64
+	failing      bool
+	// entry is the wanted entry, nil for none. inherited is the entry that the previous
+	// process left.
 	entry     *Entry
 	inherited Entry
-	// noCallDue tells that no call is due.
+	// noCallDue is set while no call is due.
 	noCallDue atomic.Bool
 }
 
-// NewAgent returns the keeper of the entry at the entry's address; set Seen
-// before Run.
+// NewAgent returns an Agent that maintains the entry at the address of self. Seen must be
+// set before Run.
 func NewAgent(s *platform.Store, log *slog.Logger, clock func() time.Duration, self Entry) *Agent {
 	return &Agent{
 		routes: newStoreRoutes(s), Log: log, Clock: clock, publisher: NewPublisher(agentKey(self.Addr)),
@@ -68,43 +69,44 @@
 	}
 }
 
-// SetSeeds names the control addresses of balancers through which calls are made
-// while the store turns this host away; they may be gone.
+// SetSeeds sets the control addresses of balancers that relay calls while the store
+// refuses those of this host. They may be down.
 func (a *Agent) SetSeeds(seeds []netip.AddrPort) { a.routes.setSeeds(seeds) }
 
-// Want sets the entry that is to be in the store, nil for none.
+// Want sets the entry that should be in the store, nil for none.
 func (a *Agent) Want(entry *Entry) {
 	select {
-	case <-a.entryUpdates: // the latest counts
+	case <-a.entryUpdates: // replaced by the newer one
 	default:
 	}
 	a.entryUpdates <- entry
 	a.noCallDue.Store(false)
 }
 
-// Inherit asks to go on with the entry that a process before this one left at the
-// address; call it before Run.
+// Inherit makes Run reuse the entry that the previous process left at the address. It
+// must be called before Run.
 func (a *Agent) Inherit() { a.publisher.Inherit() }
 
-// Quiet reports whether no call was due when Run last looked.
+// Quiet reports whether no call was due when Run last checked.
 func (a *Agent) Quiet() bool { return a.noCallDue.Load() }
 
-// Hint tells that the entry is gone from the store, as a balancer says.
+// Hint signals that, according to a balancer, the entry is missing in the store.
 func (a *Agent) Hint() { signal(a.hints) }
 
-// Era tells of an era of the store that balancers know. Calls come from one goroutine.
+// Era passes on an era of the store that balancers have observed. It must be called from
+// one goroutine only.
 func (a *Agent) Era(era uint64) {
 	select {
-	case <-a.eras: // the latest counts
+	case <-a.eras: // replaced by the newer one
 	default:
 	}
 	a.eras <- era
 }
 
-// Idle tells that no balancer has called for a while.
+// Idle signals that no balancer has contacted the agent for a while.
 func (a *Agent) Idle() { signal(a.idleSignals) }
 
-// signal leaves word in a channel that holds one.
+// signal sends to a channel of capacity 1 unless a signal is already pending.
 func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -112,7 +114,7 @@
 	}
 }
 
-// Run makes the calls that are due until ctx ends.
+// Run makes the due calls until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	backoff := seed.Backoff{Least: retryMin, Most: retryMax}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -148,8 +150,8 @@
 	}
 }
 
-// updateWanted tells the publisher what is to be in the store. What upstreams have shown before
-// this process stays known.
+// updateWanted passes the wanted entry to the publisher. It keeps the warm-up time that
+// the previous process observed if that was longer.
 func (a *Agent) updateWanted() {
 	if a.entry == nil {
 		a.publisher.Want(nil)
@@ -162,11 +164,12 @@
 	a.publisher.Want(entry.encode())
 }
 
-// useInherited remembers the entry of a process before this one.
+// useInherited stores the entry of the previous process, and applies its warm-up time to
+// the wanted entry.
 func (a *Agent) useInherited(item platform.Item) {
 	entry, err := decodeEntry(item)
 	if err != nil {
-		return // it is written anew
+		return // an invalid entry is overwritten
 	}
 	a.inherited = entry
 	if a.entry != nil {
@@ -174,20 +177,21 @@
 	}
 }
 
-// observeEra tells the publisher of an era, and the log if the store came back from a copy.
+// observeEra passes an era to the publisher. It logs and counts a restore of the store
+// from an older copy that the era reveals.
 func (a *Agent) observeEra(era uint64, within time.Duration) {
 	p := a.publisher
 	before := p.era
 	p.ObserveEra(a.Clock(), era, within)
 	if p.returned && p.era != before {
 		agentReturns.Inc()
-		a.Log.Warn("Store came back older, the entry is read.", "era_before", before, "era", era,
+		a.Log.Warn("Store came back older; the entry will be read again.", "era_before", before, "era", era,
 			"listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "within_ms", within.Milliseconds())
 	}
 }
 
-// call makes one call and tells the publisher its outcome, after the era that the answer
-// named.
+// call makes one call and passes its outcome to the publisher, after the era that the
+// answer named.
 func (a *Agent) call(ctx context.Context, step Step) (err error) {
 	sent := a.Clock()
 	listed, seen := a.publisher.Listed(), a.publisher.asOf
@@ -208,7 +212,7 @@
 		at, err = a.write(ctx, calls, w)
 		a.publisher.Wrote(w.Value, at, err)
 		if errors.Is(err, store.ErrConflict) {
-			err = nil // an answer: the key is to be read
+			err = nil // the store has answered; the publisher reads the key next
 		}
 	case StepEnd:
 		err = calls.End(ctx, a.publisher.lease.ID)
@@ -229,26 +233,26 @@
 	return err
 }
 
-// write writes the entry by way of a balancer, which makes one call for many agents, or
-// itself where none is reached.
+// write sends the entry to a balancer, which combines the writes of many agents into one
+// call. If no balancer is reached, it writes the entry to the store directly.
 func (a *Agent) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
 	at, err = a.routes.writeViaBalancer(ctx, w)
 	if !errors.Is(err, errNotSent) {
 		a.observeEra(at.Era(), 0)
 		if err == nil && at.Era() < a.publisher.era {
-			err = errors.Wrapf(store.ErrOutcomeUnknown, "registry: written at %s, known era %d", at, a.publisher.era)
+			err = errors.Wrapf(store.ErrOutcomeUnknown, "registry: write acknowledged at %s, but the store is already in era %d", at, a.publisher.era)
 		}
 		return at, err
 	}
 	if a.routes.current == 0 && !errors.Is(err, errNoWriter) {
-		a.Log.Info("No balancer writes the entry.", "error", err.Error())
+		a.Log.Info("No balancer accepted the entry; writing it without one.", "error", err.Error())
 	}
 	at, err = calls.Apply(ctx, w)
 	a.observeAnswerEra()
 	return at, err
 }
 
-// read reads the entry.
+// read reads the entry from the store.
 func (a *Agent) read(ctx context.Context, calls *platform.Store) error {
 	item, asOf, err := calls.Get(ctx, a.publisher.key)
 	a.observeAnswerEra()
@@ -258,15 +262,15 @@
 		a.useInherited(item)
 	}
 	if errors.Is(err, store.ErrNotFound) {
-		return nil // an answer
+		return nil // the store has answered
 	}
 	return err
 }
 
-// observeAnswerEra notes the era that an answer of the store has named.
+// observeAnswerEra observes the era that the latest answer of the store named.
 func (a *Agent) observeAnswerEra() { a.observeEra(a.routes.direct.Era(), 0) }
 
-// logOutcome logs each change of the entry, and each loss and return of the store.
+// logOutcome logs changes of the entry, and when calls begin to fail or succeed again.
 func (a *Agent) logOutcome(step Step, listed bool, err error) {
 	p := a.publisher
 	if err != nil {
@@ -281,6 +285,6 @@
 		a.Log.Info("Store answers again.", "step", step.String())
 	}
 	if step != StepRenew || listed != p.Listed() {
-		a.Log.Info("Entry kept.", "step", step.String(), "listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "by_way_of_seed", a.routes.current)
+		a.Log.Info("Store call for the entry succeeded.", "step", step.String(), "listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "by_way_of_seed", a.routes.current)
 	}
 }
--- a/internal/packetface/registry/publisher.go
+++ b/internal/packetface/registry/publisher.go
@@ -10,24 +10,25 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Times of an agent's entry.
+// Lease and check intervals of an agent's entry.
 const (
-	// leaseTTL is the lease of an entry. It is long, so that an outage does not
-	// end it: balancers see by themselves that an agent is gone.
+	// leaseTTL is the lease time of an entry. It is long, so that the entry survives an
+	// outage of the store: balancers detect by themselves that an agent is gone.
 	leaseTTL = 30 * time.Second
-	// renewDivisor is the part of a lease after which it is renewed.
+	// renewDivisor divides the lease time into the interval after which the lease is
+	// renewed.
 	renewDivisor = 3
-	// recheckInterval bounds how often the entry is looked for on a hint that it
-	// is gone.
+	// recheckInterval is the minimum time between two readings of the entry because of
+	// hints that it is missing.
 	recheckInterval = 500 * time.Millisecond
-	// idleReadInterval is the same for an agent that no balancer calls.
+	// idleReadInterval is the same for an agent that no balancer contacts.
 	idleReadInterval = 20 * time.Second
 )
 
 // Step is a call of the store that is due.
 type Step uint8
 
-// Steps.
+// Values of Step.
 const (
 	StepNone Step = iota
 	StepGrant
@@ -39,60 +40,64 @@
 
 var stepNames = [...]string{"none", "grant", "read", "write", "renew", "end"}
 
-// String returns the step's name in logs.
+// String returns the name of the step as it appears in logs.
 func (s Step) String() string { return stepNames[s] }
 
-// Publisher decides which call keeps an agent's entry as it is wanted. Times
-// are counted by the steady clock.
+// Publisher decides which call of the store is due so that it holds the wanted entry.
+// Times are those of a monotonic clock.
 type Publisher struct {
 	key string
-	// wanted is the text that is to be in the store, nil for none.
+	// wanted is the text that should be in the store, nil for none.
 	wanted []byte
-	// written is the text that is known to be there, nil for none.
+	// written is the text that is in the store as far as is known, nil for none; at is
+	// its position.
 	written []byte
 	at      store.Position
 	lease   platform.Lease
 	renewed time.Duration
-	// renewSoon asks for a renewal before its time.
+	// renewSoon requests a renewal of the lease before it is due.
 	renewSoon bool
-	// uncertain tells that a write may have been done or undone: read first.
-	uncertain  bool
-	checked time.Duration
-	// inherit asks for what a process before this one has left, withdrawn tells that
-	// no entry is to be there whoever wrote it.
+	// uncertain is set if the entry in the store may differ from written, so that it has
+	// to be read before the next write. checked is the time of the last hint that caused
+	// a reading.
+	uncertain bool
+	checked   time.Duration
+	// inherit is set until the entry that the previous process may have left has been
+	// read. withdrawn is set if there should be no entry, whoever wrote it.
 	inherit, withdrawn bool
-	// asOf is the store's position that this process itself has last seen.
+	// asOf is the highest position of the store that this process itself has observed.
 	asOf store.Position
-	// era is the highest that was heard of. returned tells that the store came back from
-	// a copy since the entry was last read, verifyAt when it is read at the latest.
+	// era is the highest observed era. returned is set if the store was restored from an
+	// older copy since the entry was last read; verifyAt is the latest time for the next
+	// reading.
 	era      uint64
 	returned bool
 	verifyAt time.Duration
 }
 
-// NewPublisher returns the Publisher of a process without memory.
+// NewPublisher returns a Publisher that knows nothing of the entry yet.
 func NewPublisher(key string) *Publisher { return &Publisher{key: key} }
 
-// Inherit asks to look first for the entry that a process before this one left at the
-// address, and to go on under its lease. A restart then costs a reading and a renewal,
-// where an entry of its own cost four calls (grant, write, read, write) and a change
-// that every balancer has to hear of.
+// Inherit makes the Publisher read the entry that the previous process left at the
+// address first, and reuse its lease. A restart then costs one reading and one renewal; a
+// new entry would cost four calls (grant, write, read, write) and a change that every
+// balancer receives.
 func (p *Publisher) Inherit() { p.inherit = true }
 
-// Want sets the text that is to be in the store, nil for none. Before its first call
-// an entry that is there stays: the upstream may live.
+// Want sets the text that should be in the store, nil for none. Before the first call of
+// Want an existing entry is left as it is, because the upstream may be running.
 func (p *Publisher) Want(text []byte) { p.wanted, p.withdrawn = text, text == nil }
 
-// Hint tells that the entry may be gone.
+// Hint reports that the entry may be missing in the store.
 func (p *Publisher) Hint(now time.Duration) {
 	if p.checked == 0 || now-p.checked >= recheckInterval {
 		p.uncertain, p.checked = true, now
 	}
 }
 
-// Idle tells that no balancer has called for a while: the entry may be gone. A
-// renewal is the cheapest call that tells whether the lease lives; the entry
-// itself is looked for more rarely.
+// Idle reports that no balancer has contacted the agent for a while, so the entry may be
+// missing. A renewal is the cheapest call that shows whether the lease still exists; the
+// entry itself is read less often.
 func (p *Publisher) Idle(now time.Duration) {
 	if now-p.checked >= idleReadInterval {
 		p.Hint(now)
@@ -101,10 +106,11 @@
 	p.renewSoon = true
 }
 
-// ObserveEra notes an era of the store. In a later one the store came back from a copy, and
-// nothing that was written or granted is certain: the entry is read within a time, and
-// before any other call. The number of a lease may be another's now, and ending or
-// renewing it would end that one's entry, or keep one that is gone.
+// ObserveEra records an era of the store. A later era means that the store was restored
+// from an older copy, so earlier writes and leases may be lost: the entry is read within
+// the given time, and before any other call. The ID of the lease may have been granted
+// again to another agent, and ending or renewing that lease would remove the other
+// agent's entry or keep it after that agent is gone.
 func (p *Publisher) ObserveEra(now time.Duration, era uint64, within time.Duration) {
 	if era <= p.era {
 		return
@@ -127,6 +133,7 @@
 	return step
 }
 
+// next returns the call that is due if the store was not restored.
 func (p *Publisher) next(now time.Duration) Step {
 	switch {
 	case p.inherit:
@@ -147,7 +154,7 @@
 	return p.nextRenewal(now)
 }
 
-// nextRenewal returns StepRenew when the lease is to be renewed.
+// nextRenewal returns StepRenew if the renewal of the lease is due.
 func (p *Publisher) nextRenewal(now time.Duration) Step {
 	if p.renewSoon || now-p.renewed >= p.lease.TTL/renewDivisor {
 		return StepRenew
@@ -155,7 +162,7 @@
 	return StepNone
 }
 
-// nextUndecided keeps an inherited entry until the upstream tells what is wanted.
+// nextUndecided renews the lease of an inherited entry until Want is called.
 func (p *Publisher) nextUndecided(now time.Duration) Step {
 	if p.lease.ID == 0 {
 		return StepNone
@@ -163,6 +170,7 @@
 	return p.nextRenewal(now)
 }
 
+// nextWithdrawn ends the lease, and with it the entry.
 func (p *Publisher) nextWithdrawn() Step {
 	if p.lease.ID != 0 {
 		return StepEnd
@@ -170,7 +178,7 @@
 	return StepNone
 }
 
-// Due returns the time until a call is due, if nothing else happens.
+// Due returns the time until a call becomes due if nothing else happens.
 func (p *Publisher) Due(now time.Duration) time.Duration {
 	due := leaseTTL
 	if p.lease.ID != 0 {
@@ -187,12 +195,12 @@
 	return platform.Write{Key: p.key, Expected: p.at, Value: p.wanted, Lease: p.lease.ID}
 }
 
-// Granted takes the answer to StepGrant, whose call was sent at the time.
+// Granted records the lease that StepGrant obtained with a call made at the time sent.
 func (p *Publisher) Granted(lease platform.Lease, sent time.Duration) {
 	p.lease, p.renewed = lease, sent
 }
 
-// Renewed takes the answer to StepRenew.
+// Renewed records the outcome of StepRenew.
 func (p *Publisher) Renewed(err error, sent time.Duration) {
 	p.renewSoon = false
 	switch {
@@ -203,20 +211,20 @@
 	}
 }
 
-// Ended takes the answer to StepEnd. A write under the lease whose outcome is
-// unknown can't be done any more after it.
+// Ended records the outcome of StepEnd. Once the lease has ended, an earlier write under
+// it whose outcome is unknown can no longer take effect.
 func (p *Publisher) Ended(err error) {
 	if err == nil || errors.Is(err, platform.ErrLeaseEnded) {
 		p.leaseLost()
 	}
 }
 
-// leaseLost notes that the lease has ended, and the entry with it.
+// leaseLost records that the lease has ended, which also removes the entry.
 func (p *Publisher) leaseLost() {
 	p.lease, p.uncertain = platform.Lease{}, true
 }
 
-// Wrote takes the answer to StepWrite.
+// Wrote records the outcome of StepWrite.
 func (p *Publisher) Wrote(text []byte, at store.Position, err error) {
 	switch {
 	case err == nil:
@@ -228,8 +236,8 @@
 	}
 }
 
-// Read takes the answer to StepRead, and the store's position at the time, 0 where it
-// is not known.
+// Read records the outcome of StepRead. asOf is the store's position at that time, 0 if
+// it is not known.
 func (p *Publisher) Read(item platform.Item, asOf store.Position, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
@@ -249,7 +257,7 @@
 	p.inherit, p.returned = false, false
 }
 
-// adoptLease goes on under the lease of an inherited entry. How much of it is left is
+// adoptLease continues with the lease of the entry that was read. Its remaining time is
 // not known, so it is renewed at once.
 func (p *Publisher) adoptLease(lease uint64) {
 	if lease != 0 {
@@ -257,9 +265,10 @@
 	}
 }
 
-// verify goes on under the lease that the entry has in a copy of the store, as its number
-// was not given out again. Without an entry, or under one of another writer, the own
-// lease proves nothing: it is left to end by itself.
+// verify continues with the lease that the entry has in the restored store: that lease
+// was granted before the copy was made, so its ID has not been granted again. Without an
+// entry, or with an entry of another writer under another lease, the ID of the own lease
+// may belong to another agent; that lease is abandoned and expires by itself.
 func (p *Publisher) verify(item platform.Item) {
 	own := item.Lease == p.lease.ID
 	if _, err := decodeEntry(item); err != nil && !own {
--- a/internal/packetface/registry/restore.go
+++ b/internal/packetface/registry/restore.go
@@ -11,30 +11,33 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// A follower through returns of the store from a copy: what the log tells of them, and
-// the note that all that was lost has had its time to be written again.
+// How a Follower handles a store that was restored from an older copy: it logs what was
+// lost, and records in the store when the time for writing that again has passed.
 
 const (
-	// rewriteTime is the time that operators have to write again what the store lost when
-	// it came back from a copy. They notice it by the era of its answers and take some
-	// seconds; what is kept for them in vain costs choices, no flow.
+	// rewriteTime is how long operators have to write again what the store lost when it
+	// was restored from an older copy. They detect the restore by the era of the store's
+	// answers and take some seconds. Data retained for them unnecessarily restricts the
+	// choice of agents, but ends no flow.
 	rewriteTime = 8 * time.Second
-	// settleSpread is added at random, so that one balancer notes it and the others hear
-	// of that; settleAgain is the time between two tries of one.
-	settleSpread = 2 * time.Second
-	settleRetryInterval  = 1 * time.Second
+	// settleSpread is the maximum random delay that is added, so that one balancer
+	// records the era as settled and the others receive that as a change.
+	// settleRetryInterval is the time between two tries of one balancer.
+	settleSpread        = 2 * time.Second
+	settleRetryInterval = 1 * time.Second
 )
 
-// storeReturns counts how often the store came back from a copy, in another era.
+// storeReturns counts restores of the store from an older copy, each of which begins
+// another era.
 var storeReturns = metrics.NewCounter(`saltbend_packet_store_returns_total`)
 
-// summary is what the log tells of a listing.
+// summary is what the log shows of a listing.
 type summary struct {
 	asOf, configAt      store.Position
 	agents, evacuations int
 }
 
-// summary returns that of the listing, the zero value for none.
+// summary returns the summary of the current listing, the zero value if there is none.
 func (f *Follower) summary() summary {
 	if f.listing == nil {
 		return summary{}
@@ -42,7 +45,8 @@
 	return summary{f.listing.AsOf, f.listing.ConfigAt, len(f.listing.agents), len(f.listing.evacuations.Requests())}
 }
 
-// noteEra notes that the listing is of another era than the one before.
+// noteEra logs and counts a restore if the new listing is of another era than the
+// previous one, and schedules the time at which the era may be recorded as settled.
 func (f *Follower) noteEra(before summary) {
 	now := f.summary()
 	if before.asOf != 0 && before.asOf.SameEra(now.asOf) {
@@ -57,9 +61,9 @@
 		"config_before", before.configAt, "config_at", now.configAt, "evacuations_before", before.evacuations, "evacuations", now.evacuations)
 }
 
-// settle notes in the store that its era is settled, once operators and agents have had
-// their time to write again what it lost; a balancer that listens leaves that to those
-// that watch. All take it over as they do any other change.
+// settle records in the store that its era is settled, once operators and agents have had
+// the time to write again what was lost. Only balancers that watch the store do so;
+// listeners leave it to them. All balancers receive the record like any other change.
 func (f *Follower) settle(ctx context.Context) {
 	if _, listens := f.currentSource(); listens || f.listing == nil || f.listing.Settled() || time.Now().Before(f.settleAt) {
 		return
@@ -68,16 +72,16 @@
 	at, err := f.Store.Apply(ctx, f.listing.settledWrite())
 	switch {
 	case err == nil:
-		f.Log.Info("Era noted as settled.", "at", at, "as_of", f.listing.AsOf)
-	case !errors.Is(err, store.ErrConflict): // or another balancer was faster
-		f.Log.Warn("Era not noted as settled.", "as_of", f.listing.AsOf, "error", err.Error())
+		f.Log.Info("Era recorded as settled.", "at", at, "as_of", f.listing.AsOf)
+	case !errors.Is(err, store.ErrConflict): // on a conflict another balancer has written it
+		f.Log.Warn("Recording the era as settled failed.", "as_of", f.listing.AsOf, "error", err.Error())
 	}
 }
 
-// settledText tells in the log whether the store's era is settled.
+// settledText holds the log messages by whether the store's era is settled.
 var settledText = map[bool]string{true: "Era is settled.", false: "Era is not settled yet."}
 
-// logSettled logs whether the era is settled when that has changed.
+// logSettled logs whether the era is settled, when that has changed.
 func (f *Follower) logSettled() {
 	settled := f.listing.Settled()
 	if settled == f.settledLogged {
--- a/internal/packetface/registry/routes.go
+++ b/internal/packetface/registry/routes.go
@@ -17,48 +17,53 @@
 )
 
 const (
-	// writerConnect is how long a balancer is waited for that is to write an entry, and
-	// writerTimeout its answer, which may wait 200 ms for other entries and 240 ms for a
-	// slow store. One that is frozen takes the call and does not answer, and an entry that
-	// was lost is to be back within 2 s.
+	// writerConnect bounds the connection to a balancer that is to write an entry,
+	// writerTimeout the whole request. A balancer may wait 200 ms for further entries and
+	// 240 ms for a slow store. A frozen balancer accepts the request and does not answer,
+	// and a lost entry must be listed again within 2 s.
 	writerConnect = 250 * time.Millisecond
 	writerTimeout = 600 * time.Millisecond
 	// maxWrittenBytes bounds the answer.
 	maxWrittenBytes = 1 << 10
 )
 
-// errNotSent says that no balancer got the write, errNoWriter that none is known.
+// errNotSent means that no balancer has received the write, errNoWriter that none is
+// known.
 var (
-	errNotSent  = errors.New("registry: not sent")
+	errNotSent  = errors.New("registry: write not sent to a balancer")
 	errNoWriter = errors.Wrap(errNotSent, "no balancer is known")
 )
 
-// relayTime is how long an agent whom the store turned away makes its calls by
-// way of a balancer before it tries the store itself again.
+// relayTime is how long an agent whose calls the store refuses sends them through a
+// balancer before it calls the store directly again.
 const relayTime = 5 * time.Second
 
-// storeRoutes are the storeRoutes to the store: straight, or by way of a balancer that the
-// settings name as a seed. It is used from one goroutine, but for setSeeds.
+// storeRoutes are the routes by which an agent calls the store: directly, or relayed by a
+// balancer that the settings name as a seed. It is used from one goroutine, except for
+// setSeeds.
 type storeRoutes struct {
-	direct *platform.Store
+	direct  *platform.Store
 	relays  atomic.Pointer[[]*platform.Store]
-	writers  atomic.Pointer[[]netip.AddrPort]
-	// peers calls the writers; past tells that the next write is made without them, as
-	// the last one did not answer or was turned away by the store.
-	peers http.Client
-	skipWriters  bool
-	// current is the way in use, 0 for the straight one; until is when it is left.
-	current    int
-	until time.Duration
+	writers atomic.Pointer[[]netip.AddrPort]
+	// peers is the HTTP client for requests to balancers that write entries. skipWriters
+	// makes the next write bypass them, because the last one did not answer or the store
+	// refused its call.
+	peers       http.Client
+	skipWriters bool
+	// current is the route in use: 0 is the direct one, others are relays. until is the
+	// time at which a relay is left for the direct route.
+	current int
+	until   time.Duration
 }
 
-// newStoreRoutes returns the straight way alone. Connections to balancers are not kept: an agent
-// writes rarely, and thousands do.
+// newStoreRoutes returns storeRoutes without relays. It does not keep connections to
+// balancers open, because an agent writes rarely and there are thousands of agents.
 func newStoreRoutes(s *platform.Store) storeRoutes {
 	return storeRoutes{direct: s, peers: http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// setSeeds names the control addresses of balancers.
+// setSeeds sets the control addresses of the balancers that relay calls and write
+// entries.
 func (w *storeRoutes) setSeeds(seeds []netip.AddrPort) {
 	detours := make([]*platform.Store, len(seeds))
 	for i, seed := range seeds {
@@ -75,7 +80,7 @@
 	return nil
 }
 
-// store returns the way to use now.
+// store returns the client for the route to use now.
 func (w *storeRoutes) store(now time.Duration) *platform.Store {
 	detours := w.seeds()
 	if w.current > len(detours) || now >= w.until {
@@ -87,13 +92,14 @@
 	return detours[w.current-1]
 }
 
-// useNext goes on to the next way.
+// useNext switches to the next route after a failed call.
 func (w *storeRoutes) useNext(now time.Duration) {
 	w.current = (w.current + 1) % (len(w.seeds()) + 1)
 	w.until = now + relayTime
 }
 
-// writeViaBalancer lets one of the balancers write an entry. errNotSent says that none got it.
+// writeViaBalancer asks a random one of the balancers to write an entry. errNotSent means
+// that no balancer has received the write.
 func (w *storeRoutes) writeViaBalancer(ctx context.Context, write platform.Write) (store.Position, error) {
 	writers := w.writers.Load()
 	if writers == nil || len(*writers) == 0 || w.skipWriters {
--- a/internal/packetface/registry/snapshot.go
+++ b/internal/packetface/registry/snapshot.go
@@ -19,56 +19,58 @@
 
 // A snapshot of the listing in the store, for balancers that start.
 //
-// The load it is made for: a common loss of power, after which all balancers start within
-// half a second and know no other that is up. If each read all entries, the store's link
-// would carry balancers times agents: 304 readings of 678 agents are 87 MB, 0.7 s at 1
-// Gbit/s, in which no flow is placed. A snapshot is a twentieth of that, in one call; the
-// changes since come with a second one.
+// After a simultaneous loss of power all balancers start within half a second, and none
+// of them finds another one that is up. If each of them read all entries, the traffic on
+// the store's link would grow with balancers times agents: 304 readings of 678 agents are
+// 87 MB, 0.7 s at 1 Gbit/s, during which no flow is placed. A snapshot has a twentieth of
+// that size and takes one call; a second call returns the changes since.
 //
-// A balancer that others rely on writes it once a while when something has changed. It
-// is kept only where a reading takes more than one call.
+// A balancer whose watch others share writes the snapshot at intervals if something has
+// changed. There is a snapshot only if reading all keys takes more than one call.
 
 const (
 	// snapshotKey is the key of the snapshot.
 	snapshotKey = "saltbend/listing"
-	// snapshotMinEntries is the number of entries from which on there is one: the store tells
-	// some 500 in one call.
+	// snapshotMinEntries is the number of entries from which on a snapshot is written:
+	// the store returns some 500 in one call.
 	snapshotMinEntries = 500
-	// snapshotInterval is the time between two snapshots, spread by snapshotSpread so that
-	// one balancer writes it and the others hear of that. A store that keeps the history
-	// of 20 s can then tell what has changed since.
-	snapshotInterval  = 8 * time.Second
-	snapshotSpread = 4 * time.Second
-	// maxSnapshotBytes bounds its compressed and its plain text: 20,000 agents.
+	// snapshotInterval is the minimum time between two snapshots. A random delay up to
+	// snapshotSpread is added, so that one balancer writes the snapshot and the others
+	// receive that as a change. A store that retains 20 s of history can then return the
+	// changes since.
+	snapshotInterval = 8 * time.Second
+	snapshotSpread   = 4 * time.Second
+	// maxSnapshotBytes bounds the compressed snapshot and maxListingText its uncompressed
+	// entries, which allows for 20,000 agents.
 	maxSnapshotBytes = 900 << 10
 	maxListingText   = 16 << 20
 )
 
-// errSnapshot says that what stands under the key is no snapshot.
+// errSnapshot is returned if the value of the key is not a valid snapshot.
 var errSnapshot = errors.New("registry: unreadable snapshot")
 
 var (
-	snapshotsWritten = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="written"}`)
-	snapshotsUsed    = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="used"}`)
+	snapshotsWritten  = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="written"}`)
+	snapshotsUsed     = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="used"}`)
 	snapshotsUnusable = metrics.NewCounter(`saltbend_packet_snapshots_total{outcome="useless"}`)
 )
 
-// snapshot is what a balancer knows of the one in the store.
+// snapshot describes the snapshot in the store.
 type snapshot struct {
-	// at is the position of the key's last change, 0 for none, covers the one up to which
-	// it holds every change.
+	// at is the position of the key's last change, 0 if there is none. covers is the
+	// position up to which the snapshot contains every change.
 	at, covers store.Position
-	// newest is the position of the last change of anything else.
+	// newest is the position of the last change of any other key.
 	newest store.Position
-	// due is when it may be written.
+	// due is the earliest time for the next snapshot.
 	due time.Time
 }
 
-// stale reports whether something has changed that the snapshot lacks.
+// stale reports whether there are changes that the snapshot lacks.
 func (s *snapshot) stale() bool { return s.newest > s.covers }
 
-// encodeSnapshot returns the text of a listing: the revision up to which it holds every
-// change, and the compressed entries.
+// encodeSnapshot returns the value of a snapshot: the revision up to which it contains
+// every change, and the compressed entries.
 func encodeSnapshot(s Shared) ([]byte, error) {
 	entries, err := compress(s.Entries)
 	if err != nil {
@@ -77,8 +79,9 @@
 	return append(binary.BigEndian.AppendUint64(nil, s.AsOf.Revision()), entries...), nil
 }
 
-// decodeSnapshot reads the text that an answer of the store brought. Its revisions hold in
-// the era of that answer, as the text is part of the history that it tells of.
+// decodeSnapshot decodes the value of a snapshot. Its revisions belong to the era of the
+// answer that returned it, because the value is part of the history that the store has in
+// that era.
 func decodeSnapshot(item platform.Item) (s Shared, err error) {
 	if len(item.Value) < 8 {
 		return Shared{}, errSnapshot
@@ -93,7 +96,7 @@
 	era := item.At.Era()
 	s.AsOf = store.At(era, binary.BigEndian.Uint64(item.Value))
 	if s.AsOf >= item.At {
-		return Shared{}, errors.Wrapf(errSnapshot, "as of %s, written at %s", s.AsOf, item.At)
+		return Shared{}, errors.Wrapf(errSnapshot, "it claims to be as of %s but was written at %s", s.AsOf, item.At)
 	}
 	for i := range s.Entries {
 		s.Entries[i].At = store.At(era, s.Entries[i].At.Revision())
@@ -101,7 +104,7 @@
 	return s, nil
 }
 
-// readSnapshot reads everything by way of the snapshot: that, and the changes since.
+// readSnapshot returns a listing built from the snapshot and the changes since.
 func (f *Follower) readSnapshot(ctx context.Context) (*Listing, []error, error) {
 	item, now, err := f.Store.Get(ctx, snapshotKey)
 	if err != nil {
@@ -113,25 +116,25 @@
 	}
 	from := shared.AsOf
 	if item.At.Revision() == from.Revision()+1 {
-		from = item.At // nothing came between: the store need not have that change any more
+		from = item.At // no change in between, so the store need not have the history since
 	}
 	listing, unreadable := NewListing(shared.Entries, from)
 	if now == from {
-		return listing, unreadable, nil // nothing has changed since
+		return listing, unreadable, nil // no change since
 	}
 	changes, asOf, err := f.Store.Watch(ctx, allKeys, from, confirmWait)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !asOf.SameEra(from) {
-		return nil, nil, errors.Wrapf(store.ErrUnavailable, "registry: changes at %s, snapshot at %s", asOf, from)
+		return nil, nil, errors.Wrapf(store.ErrUnavailable, "registry: changes at %s are of another era than the snapshot at %s", asOf, from)
 	}
 	unreadable = append(unreadable, listing.Apply(f.filterSnapshot(changes), asOf)...)
 	return listing, unreadable, nil
 }
 
-// loadFromSnapshot takes over the snapshot and the changes since; it reports whether
-// there is one that can be used.
+// loadFromSnapshot loads the listing from the snapshot and the changes since. It reports
+// whether there is a usable snapshot.
 func (f *Follower) loadFromSnapshot(ctx context.Context) bool {
 	listing, unreadable, err := f.readSnapshot(ctx)
 	if errors.Is(err, store.ErrNotFound) {
@@ -153,8 +156,8 @@
 	return true
 }
 
-// filterSnapshot returns changes without those of the snapshot, and notes what they tell of
-// it. Nobody else needs them.
+// filterSnapshot returns the changes without those of the snapshot's key, which only
+// starting balancers need, and updates what is known of the snapshot.
 func (f *Follower) filterSnapshot(changes []platform.Item) []platform.Item {
 	others := changes[:0:0]
 	for _, c := range changes {
@@ -168,7 +171,7 @@
 	return others
 }
 
-// update takes over a change of the snapshot.
+// update records a change of the snapshot's key.
 func (s *snapshot) update(c platform.Item) {
 	s.at, s.covers = c.At, 0
 	if !c.Removed && len(c.Value) >= 8 {
@@ -177,8 +180,8 @@
 	s.due = time.Now().Add(snapshotInterval + rand.N(snapshotSpread))
 }
 
-// writeSnapshot writes the snapshot when it is due; a balancer that listens, or that
-// nobody relies on, leaves that to others.
+// writeSnapshot writes the snapshot if it is due. A listener, or a balancer whose watch
+// nobody shares, leaves that to others.
 func (f *Follower) writeSnapshot(ctx context.Context) {
 	s := &f.snapshot
 	if _, listens := f.currentSource(); listens || f.listing == nil || !s.stale() || time.Now().Before(s.due) || !f.isShared() {
@@ -198,13 +201,13 @@
 	case err == nil:
 		snapshotsWritten.Inc()
 		f.Log.Info("Snapshot written.", "at", at, "as_of", f.listing.AsOf, "entries", len(f.listing.entries), "bytes", len(text))
-	case !errors.Is(err, store.ErrConflict): // or another balancer was faster
+	case !errors.Is(err, store.ErrConflict): // on a conflict another balancer has written it
 		f.Log.Warn("Snapshot not written.", "as_of", f.listing.AsOf, "error", err.Error())
 	}
 }
 
-// wantsSnapshot reports whether the listing is large, and all of it of one era: what is
-// kept from an earlier one is not in the store.
+// wantsSnapshot reports whether the listing is large and all its entries are of the
+// current era. Entries retained from an earlier era are not in the store.
 func (l *Listing) wantsSnapshot() bool {
 	if len(l.entries) < snapshotMinEntries || !l.Settled() {
 		return false
--- a/internal/packetface/registry/writes.go
+++ b/internal/packetface/registry/writes.go
@@ -16,49 +16,49 @@
 )
 
 const (
-	// entryPath is where a balancer takes the writes of agents.
+	// entryPath is the path at which a balancer accepts the writes of agents.
 	entryPath = "/packet/entry"
-	// maxWriteBytes bounds the body of one.
+	// maxWriteBytes bounds the body of such a request.
 	maxWriteBytes = 4 * maxEntryBytes
 )
 
-// batchedWrites counts writes that a balancer has made for agents, batchCalls the calls
-// of the store for them.
+// batchedWrites counts entries that this balancer has written for agents, batchCalls the
+// calls of the store that it made for them.
 var (
 	batchedWrites = metrics.NewCounter(`saltbend_packet_entry_writes_for_others_total`)
 	batchCalls    = metrics.NewCounter(`saltbend_packet_entry_batches_total`)
 )
 
-// outcome says what has become of a write.
+// outcome is the result of a write, as an agent receives it.
 type outcome string
 
-// Outcomes of writes.
+// Values of outcome.
 const (
 	outcomeDone     outcome = "done"
 	outcomeConflict outcome = "conflict"
-	// outcomeLeaseEnded and outcomeNone: nothing was writeAnswer.
-	outcomeLeaseEnded outcome = "lease-ended"
-	outcomeUnavailable       outcome = "unavailable"
-	outcomeUnknown    outcome = "unknown"
+	// With outcomeLeaseEnded and outcomeUnavailable nothing was written.
+	outcomeLeaseEnded  outcome = "lease-ended"
+	outcomeUnavailable outcome = "unavailable"
+	outcomeUnknown     outcome = "unknown"
 )
 
-// writeAnswer is the answer to a write.
+// writeAnswer is the answer to a write, encoded as JSON.
 type writeAnswer struct {
 	Outcome outcome
-	// At is the position of the write, if it was done.
+	// At is the position of the write if the outcome is outcomeDone.
 	At store.Position
 }
 
-// outcomes are the errors that stand for outcomes.
+// outcomes maps each outcome to its error.
 var outcomes = map[outcome]error{
-	outcomeDone:       nil,
-	outcomeConflict:   store.ErrConflict,
-	outcomeLeaseEnded: platform.ErrLeaseEnded,
-	outcomeUnavailable:       store.ErrUnavailable,
+	outcomeDone:        nil,
+	outcomeConflict:    store.ErrConflict,
+	outcomeLeaseEnded:  platform.ErrLeaseEnded,
+	outcomeUnavailable: store.ErrUnavailable,
 }
 
-// err returns the error that an outcome stands for; one that is not known says that
-// anything may have become of the write.
+// err returns the error of the outcome. An outcome that this version does not know means
+// that the write may or may not have been done.
 func (w writeAnswer) err() error {
 	err, known := outcomes[w.Outcome]
 	if !known {
@@ -67,7 +67,7 @@
 	return err
 }
 
-// outcomeOf returns the outcome that an error of the store tells.
+// outcomeOf returns the outcome for an error of the store.
 func outcomeOf(err error) outcome {
 	for outcome, is := range outcomes {
 		if is != nil && errors.Is(err, is) {
@@ -80,10 +80,10 @@
 	return outcomeUnknown
 }
 
-// writer makes writes of agents, many in one call.
+// writer writes the entries of agents, many in one call.
 type writer struct {
-	store *platform.Store
-	log   *slog.Logger
+	store   *platform.Store
+	log     *slog.Logger
 	started time.Time
 	// mu guards batch.
 	mu    sync.Mutex
@@ -94,7 +94,7 @@
 	return &writer{store: s, log: log, started: time.Now()}
 }
 
-// serve takes the write of an agent and answers once its outcome is known.
+// serve queues the write of an agent and answers when its outcome is known.
 func (w *writer) serve(out http.ResponseWriter, r *http.Request) {
 	var write platform.Write
 	if err := json.NewDecoder(http.MaxBytesReader(out, r.Body, maxWriteBytes)).Decode(&write); err != nil || !isEntryWrite(write) {
@@ -107,20 +107,20 @@
 	w.schedule()
 	w.mu.Unlock()
 	select {
-	case <-r.Context().Done(): // the agent has gone, or has given up: it reads what became of it
+	case <-r.Context().Done(): // the agent is gone or timed out; in the second case it reads the entry
 	case a := <-answer:
 		out.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(out).Encode(a) // an error means that the other has gone
+		_ = json.NewEncoder(out).Encode(a) // an error means that the agent has disconnected
 	}
 }
 
-// isEntryWrite reports whether an agent writes so.
+// isEntryWrite reports whether the write is one that an agent makes for its entry.
 func isEntryWrite(w platform.Write) bool {
 	_, err := decodeEntry(platform.Item{Key: w.Key, Value: w.Value, Lease: w.Lease})
 	return err == nil && !w.Delete
 }
 
-// schedule makes the next call when it is due. The caller holds mu.
+// schedule sets a timer for the next call. The caller holds mu.
 func (w *writer) schedule() {
 	wait, ok := w.batch.due(time.Since(w.started))
 	if !ok {
@@ -129,17 +129,17 @@
 	time.AfterFunc(wait, w.writeDue)
 }
 
-// writeDue makes the next call unless one is under way.
+// writeDue makes the next call if it is due and none is running.
 func (w *writer) writeDue() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := time.Since(w.started) + 1 // 0 stands for never
+	now := time.Since(w.started) + 1 // 0 means that there was no call yet
 	if wait, ok := w.batch.due(now); ok && wait == 0 {
 		go w.write(w.batch.take(now))
 	}
 }
 
-// write makes the writes and tells the outcomes.
+// write makes the writes and sends each outcome to the request that waits for it.
 func (w *writer) write(all []pending[chan<- writeAnswer]) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
@@ -154,17 +154,19 @@
 	w.schedule()
 }
 
-// batchTimeout bounds all calls for a batch; a slow store answers one in some 240 ms.
+// batchTimeout bounds all calls for one batch. A slow store answers a call in some 240
+// ms.
 const batchTimeout = 3 * time.Second
 
-// applied is what has become of some writes.
+// applied is the common outcome of some writes.
 type applied struct {
 	members []pending[chan<- writeAnswer]
 	writeAnswer
 }
 
-// apply makes the writes in one call. Where the store refuses that for the sake of one of
-// them, halves of them are tried, so that one stale write among 16 costs eight calls.
+// apply makes the writes in one call. If the store refuses the call because of one of the
+// writes, apply splits them in halves and tries each, so that one stale write among 16
+// costs eight further calls.
 func (w *writer) apply(ctx context.Context, all []pending[chan<- writeAnswer]) []applied {
 	writes := make([]platform.Write, len(all))
 	for i, p := range all {
