--- a/internal/packetface/registry/batch_test.go
+++ b/internal/packetface/registry/batch_test.go
@@ -35,7 +35,7 @@
 	return calls, longest
 }
 
-func TestAnEntryThatComesAloneIsWrittenAtOnce(t *testing.T) {
+func TestSingleWriteIsSentImmediately(t *testing.T) {
 	g := NewWithT(t)
 	calls, longest := writes(map[time.Duration]int{time.Second: 1, 2 * time.Second: 1, 3 * time.Second: 1})
 	g.Expect(calls).To(Equal(3))
@@ -44,7 +44,7 @@
 
 // A first start: 226 agents of 678 write through one of three seeds within the 3 s
 // between their upstreams' heartbeats; then twice as many.
-func TestManyEntriesThatComeTogetherCostFewCalls(t *testing.T) {
+func TestWritesOfFirstStartAreBatched(t *testing.T) {
 	for _, agents := range []int{226, 452} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
 			g := NewWithT(t)
@@ -60,7 +60,7 @@
 }
 
 // A third of a fleet's entries are taken away and come back at once.
-func TestEntriesThatAreTakenAwayTogetherAreBackInTime(t *testing.T) {
+func TestLostEntriesAreRewrittenWithinTwoSeconds(t *testing.T) {
 	for _, agents := range []int{240, 480} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
 			g := NewWithT(t)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestTwoWritesOfOneKeyAreMadeOneAfterTheOther(t *testing.T) {
+func TestWritesOfSameKeyAreSentInSeparateCalls(t *testing.T) {
 	g := NewWithT(t)
 	var b batch[int]
 	b.add(pending[int]{platform.Write{Key: "a"}, 1})
--- a/internal/packetface/registry/changes_test.go
+++ b/internal/packetface/registry/changes_test.go
@@ -48,7 +48,7 @@
 	return watcher, listener, listener.News
 }
 
-func TestAListenerTakesChangesFromItsSource(t *testing.T) {
+func TestListenerAppliesChangesFromSource(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	watcher, listener, tell := pair(t, fake)
@@ -60,11 +60,11 @@
 			return listener.sees(agents, config)()
 		}
 	}
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := publish(t, fake, "10.0.0.1:1")
 	fake.Put(platform.ConfigKey, []byte("2"))
 	g.Eventually(told(1, "2"), patience).Should(BeTrue())
 	readings := fake.Readings()
-	keeper.Want(nil)
+	agent.Want(nil)
 	g.Eventually(told(0, "2"), patience).Should(BeTrue())
 	fake.Compact()
 	fake.Put(platform.ConfigKey, []byte("3"))
@@ -75,13 +75,13 @@
 
 // Changes that its source no longer keeps come as a whole listing, which also takes
 // away what is gone.
-func TestAListenerThatIsFarBehindTakesAll(t *testing.T) {
+func TestListenerFarBehindReceivesFullListing(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	watcher, listener, tell := pair(t, fake)
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := publish(t, fake, "10.0.0.1:1")
 	g.Eventually(func() bool { tell(); return listener.sees(1, "")() }, patience).Should(BeTrue())
-	keeper.Want(nil)
+	agent.Want(nil)
 	g.Eventually(watcher.sees(0, ""), patience).Should(BeTrue())
 	const more = 1100 // than are kept
 	for n := range more {
@@ -93,7 +93,7 @@
 }
 
 // A source that does not answer keeps no news away: the store is read.
-func TestAListenerWhoseSourceIsGoneReadsTheStore(t *testing.T) {
+func TestListenerReadsStoreWhenSourceIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	_, listener, _ := pair(t, fake)
@@ -103,7 +103,7 @@
 }
 
 // One that is told to watch again goes on from what it has.
-func TestAListenerWatchesAgain(t *testing.T) {
+func TestListenerWatchesStoreWhenSourceIsUnset(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	_, listener, _ := pair(t, fake)
@@ -113,7 +113,7 @@
 }
 
 // On a hint of something newer, which its source does not tell of, it asks the store.
-func TestAListenerWithAHintAsksTheStore(t *testing.T) {
+func TestListenerReadsStoreAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	_, listener, _ := pair(t, fake)
@@ -121,7 +121,7 @@
 	g.Eventually(func() bool { listener.Hint(netip.AddrPort{}, 0); return listener.sees(0, "2")() }, patience).Should(BeTrue())
 }
 
-func TestAQuestionForChangesIsChecked(t *testing.T) {
+func TestChangesRequestIsValidated(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	watcher := follow(t, fake, 1)
--- a/internal/packetface/registry/evacuations_test.go
+++ b/internal/packetface/registry/evacuations_test.go
@@ -21,7 +21,7 @@
 	return item
 }
 
-func TestAListingHoldsEvacuations(t *testing.T) {
+func TestListingRecordsEvacuations(t *testing.T) {
 	g := NewWithT(t)
 	l, unreadable := registry.NewListing([]platform.Item{evacuate("a", 5)}, 7)
 	g.Expect(unreadable).To(BeEmpty())
@@ -33,7 +33,7 @@
 }
 
 // What a request's value says does not matter, nor that no host is there.
-func TestAnEmptyValueEvacuates(t *testing.T) {
+func TestEvacuationKeyWithEmptyValueEvacuates(t *testing.T) {
 	g := NewWithT(t)
 	item := evacuate("nowhere", 5)
 	item.Value = nil
@@ -43,7 +43,7 @@
 }
 
 // A balancer that the store turns away learns from another one.
-func TestEvacuationsAreLearnedFromAPeer(t *testing.T) {
+func TestMergeReplacesEvacuationsByNewerOnes(t *testing.T) {
 	g := NewWithT(t)
 	knows, _ := registry.NewListing([]platform.Item{evacuate("b", 8)}, 12)
 	lacks, _ := registry.NewListing([]platform.Item{evacuate("a", 5)}, 7)
@@ -59,7 +59,7 @@
 }
 
 // A watch that begins at an older revision than a peer's word tells what is over.
-func TestAReplayedWatchBringsNoEvacuationBack(t *testing.T) {
+func TestReplayedChangeDoesNotRestoreWithdrawnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	l, _ := registry.NewListing(nil, 3)
 	over, _ := registry.NewListing(nil, 20)
--- a/internal/packetface/registry/follow_test.go
+++ b/internal/packetface/registry/follow_test.go
@@ -127,14 +127,14 @@
 }
 
 // publish keeps an agent's entry.
-func publish(t *testing.T, fake *packetplatform.Store, addr string) (keeper *registry.Agent, entry *registry.Entry) {
-	keeper, entry = prepareAgent(t, fake, addr)
-	keeper.Want(entry)
-	return keeper, entry
+func publish(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
+	agent, entry = prepareAgent(t, fake, addr)
+	agent.Want(entry)
+	return agent, entry
 }
 
 // inheriting is prepareAgent for a process that follows another one.
-func inheriting(t *testing.T, fake *packetplatform.Store, addr string) (keeper *registry.Agent, entry *registry.Entry) {
+func inheriting(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
 	return runAgent(t, fake, addr, (*registry.Agent).Inherit)
 }
 
@@ -147,42 +147,42 @@
 	return l.Agents()
 }
 
-// prepareAgent runs an agent's keeper that wants no entry yet.
-func prepareAgent(t *testing.T, fake *packetplatform.Store, addr string) (keeper *registry.Agent, entry *registry.Entry) {
+// prepareAgent runs an agent's agent that wants no entry yet.
+func prepareAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
 	return runAgent(t, fake, addr, func(*registry.Agent) {})
 }
 
-func runAgent(t *testing.T, fake *packetplatform.Store, addr string, prepare func(*registry.Agent)) (keeper *registry.Agent, entry *registry.Entry) {
+func runAgent(t *testing.T, fake *packetplatform.Store, addr string, prepare func(*registry.Agent)) (agent *registry.Agent, entry *registry.Entry) {
 	started := time.Now()
 	entry = &registry.Entry{Addr: netip.MustParseAddrPort(addr), Service: "s", DataCentre: "a", Slots: 3}
-	keeper = registry.NewAgent(client(fake), quiet, func() time.Duration { return time.Since(started) + 1 }, *entry)
-	keeper.Seen = func(store.Position) {}
-	prepare(keeper)
+	agent = registry.NewAgent(client(fake), quiet, func() time.Duration { return time.Since(started) + 1 }, *entry)
+	agent.Seen = func(store.Position) {}
+	prepare(agent)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go keeper.Run(ctx)
-	return keeper, entry
+	go agent.Run(ctx)
+	return agent, entry
 }
 
-func TestFollowerSeesAgentsAndConfiguration(t *testing.T) {
+func TestFollowerListsAgentsAndConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
 	fake.Put("saltbend/agents/garbage", []byte("{"))
 	fake.Put("servers/other", nil)
 	f := follow(t, fake, 20)
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := publish(t, fake, "10.0.0.1:1")
 	g.Eventually(f.sees(1, "1"), patience).Should(BeTrue())
 	fake.Put(platform.ConfigKey, []byte("2"))
 	g.Eventually(f.sees(1, "2"), patience).Should(BeTrue())
-	keeper.Want(nil)
+	agent.Want(nil)
 	g.Eventually(f.sees(0, "2"), patience).Should(BeTrue())
 }
 
-func TestFollowerAfterAnOutage(t *testing.T) {
+func TestFollowerCatchesUpAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := publish(t, fake, "10.0.0.1:1")
 	f := follow(t, fake, 20)
 	g.Eventually(f.sees(1, ""), patience).Should(BeTrue())
 	fake.Fail(http.StatusServiceUnavailable)
@@ -191,12 +191,12 @@
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Fail(0)
 	g.Eventually(f.sees(0, "2"), patience).Should(BeTrue())
-	keeper.Hint() // a balancer that misses the entry tells the agent
+	agent.Hint() // a balancer that misses the entry tells the agent
 	g.Eventually(f.sees(1, "2"), patience).Should(BeTrue())
 	g.Expect(f.reachedNow()).To(BeTrue())
 }
 
-func TestFollowerAfterTheHistoryIsGone(t *testing.T) {
+func TestFollowerReadsAllKeysAfterCompaction(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	f := follow(t, fake, 1)
@@ -209,7 +209,7 @@
 
 // A hint ends a watch that waits, so that a deaf one does no harm, and hints in
 // a row do not keep it from being read.
-func TestFollowerTakesHints(t *testing.T) {
+func TestHintsMakeFollowerReadStore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	f := follow(t, fake, 20) // watches wait for 10 s
@@ -221,7 +221,7 @@
 	}, patience).Should(BeTrue())
 }
 
-func TestAgentIsListedAgainAfterALostAnswer(t *testing.T) {
+func TestAgentIsListedAfterLostAnswer(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.LoseAnswers(1)
@@ -232,7 +232,7 @@
 }
 
 // A balancer that the store turns away learns from one that it serves.
-func TestFollowerLearnsFromAPeer(t *testing.T) {
+func TestFollowerMergesListingOfPeerWhenStoreRefuses(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
@@ -257,7 +257,7 @@
 // Of two balancers, one saw the entry of an agent that has left since, the other
 // has only read the store afterwards: what the first tells is no news to the
 // second.
-func TestAFollowerThatStartsAfterARemovalIsNotBehind(t *testing.T) {
+func TestFollowerStartedAfterRemovalIsUpToDate(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	early := follow(t, fake, 20)
@@ -274,7 +274,7 @@
 
 // A balancer that starts while the store does not serve it begins with the newest
 // listing that a seed knows, and goes on from there when the store is back.
-func TestAFollowerBeginsWithASeedsListing(t *testing.T) {
+func TestFollowerStartsFromSeedWhenStoreFails(t *testing.T) {
 	for name, status := range map[string]int{"refused": http.StatusServiceUnavailable, "silent": packetplatform.Silent} {
 		t.Run(name, func(t *testing.T) { beginWithASeed(t, status) })
 	}
@@ -310,7 +310,7 @@
 
 // An agent that the store turns away from its start is listed by way of a
 // balancer, and goes back to the straight way later.
-func TestAnAgentThatIsTurnedAwayIsListedThroughASeed(t *testing.T) {
+func TestAgentIsListedThroughSeedWhenStoreRefuses(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	served := follow(t, fake, 20)
@@ -319,25 +319,25 @@
 	t.Cleanup(seed.Close)
 	refusing := newStore(t)
 	refusing.Fail(http.StatusTooManyRequests)
-	keeper, entry := prepareAgent(t, refusing, "10.0.0.1:1")
-	keeper.SetSeeds([]netip.AddrPort{
+	agent, entry := prepareAgent(t, refusing, "10.0.0.1:1")
+	agent.SetSeeds([]netip.AddrPort{
 		netip.MustParseAddrPort("127.0.0.1:1"), // gone
 		netip.MustParseAddrPort(seed.Listener.Addr().String()),
 	})
-	keeper.Want(entry)
+	agent.Want(entry)
 	g.Eventually(served.sees(1, ""), patience).Should(BeTrue())
 	fake.Lapse()
 	g.Eventually(func() bool {
-		keeper.Hint()
+		agent.Hint()
 		return len(fake.Keys("saltbend/agents/")) == 1
 	}, patience).Should(BeTrue())
-	keeper.Want(nil)
+	agent.Want(nil)
 	g.Eventually(served.sees(0, ""), patience).Should(BeTrue())
 }
 
 // A balancer that starts learns from its seeds of agents whose entries have
 // lapsed; seeds that are gone do not keep it waiting.
-func TestAFollowerAsksSeedsForAgents(t *testing.T) {
+func TestFollowerRequestsUnlistedAgentsFromSeeds(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	early := prepare(t, fake, 20)
--- a/internal/packetface/registry/foreign_test.go
+++ b/internal/packetface/registry/foreign_test.go
@@ -37,7 +37,7 @@
 
 // An entry that another writer wrote over changes nothing of what is known of the agent,
 // but that it is to write it anew.
-func TestAForeignEntryDisplacesNoAgent(t *testing.T) {
+func TestForeignEntryMarksAgentDamagedAndKeepsIt(t *testing.T) {
 	for _, text := range foreignEntries {
 		t.Run(text, func(t *testing.T) {
 			g := NewWithT(t)
@@ -60,7 +60,7 @@
 }
 
 // One that is right but for the lease is nobody's: it would never go.
-func TestAnEntryWithoutALeaseIsPassedOver(t *testing.T) {
+func TestEntryWithoutLeaseIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	l, unreadable := registry.NewListing([]platform.Item{item(entryText, 4, 0)}, 4)
 	g.Expect(unreadable).To(HaveLen(1))
@@ -68,7 +68,7 @@
 }
 
 // The agents reach others with the lease that shows whose they are.
-func TestAPeersEntriesKeepTheirLease(t *testing.T) {
+func TestMergedEntriesKeepTheirLease(t *testing.T) {
 	g := NewWithT(t)
 	knows, _ := registry.NewListing([]platform.Item{item(entryText, 4, 7)}, 4)
 	l, _ := registry.NewListing(nil, 1)
@@ -79,7 +79,7 @@
 
 // A whole round with the store: other writers' keys stop neither pages nor watches, and
 // the agent, once it is told, has its entry back.
-func TestAnOverwrittenEntryIsWrittenAnew(t *testing.T) {
+func TestOverwrittenEntryIsWrittenAgainAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put("saltbend/agents/garbage", []byte("{"))
@@ -97,13 +97,13 @@
 		return agents
 	}
 	f.start(t)
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := publish(t, fake, "10.0.0.1:1")
 	g.Eventually(seen, patience).Should(HaveLen(1))
 	for _, text := range foreignEntries {
 		fake.Put(entryKey, []byte(text))
 		g.Eventually(func() bool { a := seen(); return len(a) == 1 && a[0].Damaged }, patience).Should(BeTrue())
 		g.Eventually(func() bool {
-			keeper.Hint()
+			agent.Hint()
 			a := seen()
 			return len(a) == 1 && !a[0].Damaged
 		}, patience, 50*time.Millisecond).Should(BeTrue())
--- a/internal/packetface/registry/inherit_test.go
+++ b/internal/packetface/registry/inherit_test.go
@@ -12,7 +12,7 @@
 
 // What an upstream has shown of its warm-up outlives the agent's process: it is wanted
 // after a common loss of power, when nobody else remembers it.
-func TestAWarmUpOutlivesTheProcess(t *testing.T) {
+func TestInheritedWarmupIsKeptInNewEntry(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	f := prepare(t, fake, 1)
--- a/internal/packetface/registry/publisher_restore_test.go
+++ b/internal/packetface/registry/publisher_restore_test.go
@@ -33,7 +33,7 @@
 
 // The number of a lease that was granted after the copy may be another agent's now: it is
 // neither renewed nor ended, and the entry is written anew under another one.
-func TestALeaseThatIsAnothersNowIsLeftAlone(t *testing.T) {
+func TestLeaseMissingFromCopyIsAbandonedAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	p := keeping(g)
 	p.ObserveEra(time.Second, 2, time.Second)
@@ -49,7 +49,7 @@
 }
 
 // An agent that leaves does not end the lease of another one.
-func TestAnAgentThatLeavesAfterAReturnReadsFirst(t *testing.T) {
+func TestWithdrawalAfterRestoreReadsEntryFirst(t *testing.T) {
 	g := NewWithT(t)
 	p := keeping(g)
 	p.ObserveEra(0, 2, time.Hour)
@@ -60,7 +60,7 @@
 }
 
 // An entry that the copy has was written before it, and so was its lease granted.
-func TestAnEntryInTheCopyKeepsItsLease(t *testing.T) {
+func TestEntryInCopyKeepsItsLease(t *testing.T) {
 	g := NewWithT(t)
 	p := keeping(g)
 	p.ObserveEra(0, 2, 0)
@@ -72,7 +72,7 @@
 }
 
 // The copy has the entry under the lease of before, and with what it said then.
-func TestAnOlderEntryInTheCopyIsWrittenOver(t *testing.T) {
+func TestOlderEntryInCopyIsOverwritten(t *testing.T) {
 	g := NewWithT(t)
 	p := keeping(g)
 	p.ObserveEra(0, 2, 0)
@@ -84,7 +84,7 @@
 }
 
 // What was withdrawn after the copy is withdrawn again.
-func TestAnEntryThatWasWithdrawnIsWithdrawnAgain(t *testing.T) {
+func TestWithdrawnEntryInCopyIsWithdrawnAgain(t *testing.T) {
 	g := NewWithT(t)
 	p := keeping(g)
 	p.Want(nil)
@@ -100,7 +100,7 @@
 }
 
 // An entry of another writer at the key brings no lease of its own.
-func TestTheLeaseOfAnotherWritersEntryIsNotTakenOver(t *testing.T) {
+func TestLeaseOfForeignEntryIsNotAdopted(t *testing.T) {
 	g := NewWithT(t)
 	p := keeping(g)
 	p.ObserveEra(0, 2, 0)
@@ -112,7 +112,7 @@
 
 // A reading that fails proves nothing, and one of an earlier era does not make the next
 // return pass unnoticed.
-func TestOnlyAReadingEndsTheDoubt(t *testing.T) {
+func TestEntryIsReadUntilReadingSucceedsAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	p := keeping(g)
 	p.ObserveEra(0, 2, 0)
--- a/internal/packetface/registry/publisher_test.go
+++ b/internal/packetface/registry/publisher_test.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-func TestPublisherKeepsItsEntry(t *testing.T) {
+func TestPublisherRenewsUpdatesAndWithdrawsEntry(t *testing.T) {
 	g := NewWithT(t)
 	p := written(g)
 	g.Expect(p.Due(0)).To(Equal(leaseTTL / renewDivisor))
@@ -56,7 +56,7 @@
 }
 
 // After whatever may have changed the entry, it is read before it is written.
-func TestPublisherReadsWhenItIsNotSure(t *testing.T) {
+func TestPublisherReadsBeforeWritingWhenUncertain(t *testing.T) {
 	cases := map[string]func(*Publisher){
 		"another wrote":        func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrConflict, "apply")) },
 		"the answer was lost":  func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrOutcomeUnknown, "apply")) },
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestPublisherTakesOverAnEarlierEntry(t *testing.T) {
+func TestPublisherOverwritesConflictingEntry(t *testing.T) {
 	g := NewWithT(t)
 	p := written(g)
 	p.Wrote(entryText, 0, store.ErrConflict)
@@ -87,7 +87,7 @@
 	g.Expect(p.Write().Expected).To(BeEquivalentTo(9))
 }
 
-func TestPublisherBeginsAnewWhenItsLeaseHasEnded(t *testing.T) {
+func TestPublisherObtainsNewLeaseWhenLeaseHasEnded(t *testing.T) {
 	g := NewWithT(t)
 	p := written(g)
 	p.Renewed(errors.Wrap(platform.ErrLeaseEnded, "renew"), 0)
@@ -98,7 +98,7 @@
 	g.Expect(p.Write().Lease).To(BeEquivalentTo(8))
 }
 
-func TestPublisherKeepsAnEntryThroughAnOutage(t *testing.T) {
+func TestPublisherRetriesRenewalDuringOutage(t *testing.T) {
 	g := NewWithT(t)
 	p := written(g)
 	p.Renewed(store.ErrUnavailable, time.Minute)
@@ -108,7 +108,7 @@
 }
 
 // An agent that no balancer calls asks cheaply, and reads only now and then.
-func TestPublisherThatIsIdleRenews(t *testing.T) {
+func TestIdlePublisherRenewsLeaseAndReadsRarely(t *testing.T) {
 	g := NewWithT(t)
 	p := written(g)
 	p.Idle(2 * time.Second)
@@ -135,7 +135,7 @@
 
 // After a common loss of power all agents come back at once: each goes on with its
 // entry, and no balancer has to hear of a change.
-func TestPublisherGoesOnWithTheEntryOfTheProcessBefore(t *testing.T) {
+func TestPublisherReusesInheritedEntry(t *testing.T) {
 	g := NewWithT(t)
 	p := inherited(g, entryText)
 	g.Expect(p.asOf).To(BeEquivalentTo(30))
@@ -152,7 +152,7 @@
 
 // An agent that leaves ends the entry at its address, whoever wrote it: else it stays
 // in all lists until its lease lapses.
-func TestPublisherEndsTheEntryOfTheProcessBefore(t *testing.T) {
+func TestPublisherEndsInheritedLeaseWhenWithdrawn(t *testing.T) {
 	g := NewWithT(t)
 	p := inherited(g, entryText)
 	p.Renewed(nil, 0)
@@ -162,7 +162,7 @@
 	g.Expect(p.Next(0)).To(Equal(StepNone))
 }
 
-func TestPublisherWhoseInheritedLeaseHasEndedBeginsAnew(t *testing.T) {
+func TestPublisherReplacesEndedInheritedLease(t *testing.T) {
 	g := NewWithT(t)
 	p := inherited(g, entryText)
 	p.Renewed(errors.Wrap(platform.ErrLeaseEnded, "renew"), 0)
@@ -175,7 +175,7 @@
 	g.Expect(p.Write()).To(Equal(platform.Write{Key: "k", Expected: store.Create, Value: entryText, Lease: 8}))
 }
 
-func TestPublisherThatInheritsNothingRegisters(t *testing.T) {
+func TestPublisherRegistersWhenNothingIsInherited(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPublisher("k")
 	p.Inherit()
--- a/internal/packetface/registry/restore_test.go
+++ b/internal/packetface/registry/restore_test.go
@@ -24,7 +24,7 @@
 // revision 52 of before ("Store reached." revision=52) and took all that their source
 // told for older than that: versions 24, 27 and 31 had the revisions 49, 50 and 51.
 // Version 35 got revision 53, and all three adopted it within 80 ms, from version 21.
-func TestAListenerTakesChangesOfAStoreThatCameBackOlder(t *testing.T) {
+func TestListenerAppliesChangesAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	watcher, listener, tell := pair(t, fake)
@@ -52,7 +52,7 @@
 
 // A watch goes on where the store has that revision again, without telling what lies
 // between: the era of its answer tells.
-func TestAFollowerReadsAnewWhenItsRevisionIsGivenOutTwice(t *testing.T) {
+func TestFollowerReadsAllKeysWhenRevisionIsReused(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
@@ -68,7 +68,7 @@
 
 // The copy has an older configuration until operators write theirs again. It is not
 // taken over, nor offered to others, and neither is one that they write again on the way.
-func TestAConfigurationDoesNotGoBackToThatOfTheCopy(t *testing.T) {
+func TestOlderConfigurationInCopyIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
@@ -86,7 +86,7 @@
 
 // A balancer that starts while the copy has an older configuration hears from agents of
 // the one in force and takes it from the balancer that told them.
-func TestAFollowerThatStartsInBetweenTakesTheConfigurationOfAPeer(t *testing.T) {
+func TestFollowerStartedAfterRestoreTakesConfigurationOfPeer(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
@@ -108,7 +108,7 @@
 
 // Two returns, the second before anybody has noticed the first, with the history dropped
 // in between.
-func TestAFollowerThroughTwoReturnsInARow(t *testing.T) {
+func TestFollowerCatchesUpAfterTwoRestores(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
@@ -130,7 +130,7 @@
 
 // A peer of the era before tells of agents and configurations as it knew them; what a
 // later era has disproved does not come back.
-func TestAPeerOfAnEarlierEraTakesNothingBack(t *testing.T) {
+func TestMergeIgnoresListingOfEarlierEra(t *testing.T) {
 	g := NewWithT(t)
 	agent := item(entryText, store.At(1, 40), 7)
 	before, _ := registry.NewListing([]platform.Item{{Key: platform.ConfigKey, Value: config(2), At: store.At(1, 50)}, agent}, store.At(1, 52))
@@ -149,29 +149,29 @@
 
 // Agents whose entries the copy lacks are listed again, and one whose lease has the
 // number of another agent's does not keep that one's entry.
-func TestAgentsAreListedAgainAfterAReturn(t *testing.T) {
+func TestAgentsAreListedAgainAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	f := follow(t, fake, 1)
 	g.Eventually(f.reachedNow, patience).Should(BeTrue())
 	old := fake.Copy()
-	keepers := map[string]*registry.Agent{}
+	agentsByAddr := map[string]*registry.Agent{}
 	for _, addr := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
-		keepers[addr], _ = publish(t, fake, addr)
-		g.Eventually(f.sees(len(keepers), ""), patience).Should(BeTrue())
+		agentsByAddr[addr], _ = publish(t, fake, addr)
+		g.Eventually(f.sees(len(agentsByAddr), ""), patience).Should(BeTrue())
 	}
 	fake.Return(old)
-	for _, k := range keepers {
+	for _, k := range agentsByAddr {
 		k.Era(1) // balancers tell
 	}
 	g.Eventually(f.sees(3, ""), patience).Should(BeTrue())
-	keepers["10.0.0.1:1"].Want(nil)
+	agentsByAddr["10.0.0.1:1"].Want(nil)
 	g.Eventually(f.sees(2, ""), patience).Should(BeTrue())
 	g.Expect(fake.Keys("saltbend/agents/")).To(Equal([]string{"saltbend/agents/10.0.0.2:1", "saltbend/agents/10.0.0.3:1"}))
 }
 
 // A balancer that the store turns away hears of the return from one that it serves.
-func TestABalancerThatIsTurnedAwayLearnsOfAReturn(t *testing.T) {
+func TestFollowerDetectsRestoreFromPeerWhenStoreRefuses(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
@@ -203,7 +203,7 @@
 
 // A listener that has heard of the return elsewhere takes nothing from a source that has
 // not, nor from the store's own answers of the era before.
-func TestWhatComesLateFromTheEraBeforeIsPassedOver(t *testing.T) {
+func TestLateAnswersOfEarlierEraAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
@@ -227,21 +227,21 @@
 }
 
 // The answer to an agent's write is lost, and the store returns from a copy without it.
-func TestAnEntryIsBackAfterALostAnswerAndAReturn(t *testing.T) {
+func TestEntryIsWrittenAgainAfterLostAnswerAndRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	old := fake.Copy()
 	fake.LoseAnswers(1)
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := publish(t, fake, "10.0.0.1:1")
 	g.Eventually(func() []string { return fake.Keys("saltbend/") }, patience).ShouldNot(BeEmpty())
 	fake.Return(old)
-	keeper.Era(1)
+	agent.Era(1)
 	g.Eventually(func() []string { return fake.Keys("saltbend/") }, patience).ShouldNot(BeEmpty())
 }
 
 // A return is noted as settled in the store, once; what another writer puts there is not
 // believed.
-func TestAnEraIsNotedAsSettled(t *testing.T) {
+func TestEraIsRecordedAsSettledAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put("saltbend/settled-era", []byte("7"))
@@ -259,7 +259,7 @@
 
 // After a return a balancer keeps the evacuation that the copy lacks. A second reading,
 // after a hint, must not tell those that listen that it was taken back.
-func TestAReadingAfterAReturnTakesNothingBack(t *testing.T) {
+func TestReadingAfterRestoreReportsNoRemovals(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
--- a/internal/packetface/registry/retry_test.go
+++ b/internal/packetface/registry/retry_test.go
@@ -33,7 +33,7 @@
 // A watch that is cut may have waited for most of the 2 s for which what was last heard
 // counts as new. If the next call came 200 ms later or more, those that rely on it would
 // all read the store themselves.
-func TestACallThatOthersRelyOnIsMadeAgainAtOnce(t *testing.T) {
+func TestSharedWatchIsRetriedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	pauses := failing(304, true)
 	g.Expect(pauses[0]).To(BeNumerically("<=", 50*time.Millisecond))
@@ -43,7 +43,7 @@
 
 // While the store is away each balancer is alone: all together make some 20 to 40 calls a
 // second, whatever their number.
-func TestBalancersAloneRetryTheMoreRarelyTheMoreTheyAre(t *testing.T) {
+func TestUnsharedRetryPauseGrowsWithFleetSize(t *testing.T) {
 	g := NewWithT(t)
 	for _, balancers := range []int{304, 608} {
 		for _, pause := range failing(balancers, false) {
--- a/internal/packetface/registry/snapshot_test.go
+++ b/internal/packetface/registry/snapshot_test.go
@@ -70,7 +70,7 @@
 	return fake
 }
 
-func TestABalancerStartsWithTheSnapshotAndWhatHasChangedSince(t *testing.T) {
+func TestFollowerStartsFromSnapshotAndLaterChanges(t *testing.T) {
 	g := NewWithT(t)
 	fake := withSnapshot(t)
 	g.Expect(len(fake.Value(snapshotKey))).To(BeNumerically("<", 20*manyAgents), "bytes, where its entries have 150 each")
@@ -85,7 +85,7 @@
 }
 
 // Nothing changes any more, and the store has dropped its history: the snapshot holds on.
-func TestASnapshotOfACalmStoreNeedsNoHistory(t *testing.T) {
+func TestSnapshotOfUnchangedStoreNeedsNoHistory(t *testing.T) {
 	g := NewWithT(t)
 	ctx, stop := context.WithCancel(t.Context())
 	fake := snapshotOf(ctx, t)
@@ -98,7 +98,7 @@
 	g.Expect(f.listAge().AsOf).To(BeNumerically(">", f.listAge().Newest), "up to the snapshot itself")
 }
 
-func TestABalancerReadsTheStoreWhereTheSnapshotIsOfNoUse(t *testing.T) {
+func TestFollowerReadsStoreWhenSnapshotIsUnusable(t *testing.T) {
 	for name, spoil := range map[string]func(fake *packetplatform.Store){
 		"history is gone": func(fake *packetplatform.Store) {
 			fake.Put(platform.ConfigKey, config(2))
@@ -123,7 +123,7 @@
 
 // The store comes back from a copy. The snapshot that the copy holds tells of its own past;
 // one that was written after it is lost with the rest.
-func TestASnapshotOfACopyIsUsed(t *testing.T) {
+func TestSnapshotInRestoredCopyIsUsed(t *testing.T) {
 	g := NewWithT(t)
 	fake := withSnapshot(t)
 	copied := fake.Copy()
@@ -136,7 +136,7 @@
 }
 
 // A fleet whose entries come in one call has no use for a snapshot.
-func TestASmallFleetHasNoSnapshot(t *testing.T) {
+func TestNoSnapshotIsWrittenForSmallFleet(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	register(t, fake, 60)
@@ -150,7 +150,7 @@
 }
 
 // Those that listen do not hear of snapshots, which only a balancer that starts needs.
-func TestListenersDoNotGetSnapshots(t *testing.T) {
+func TestChangesForListenersOmitSnapshot(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
--- a/internal/packetface/registry/start_test.go
+++ b/internal/packetface/registry/start_test.go
@@ -22,7 +22,7 @@
 	return f
 }
 
-func TestAFollowerBeginsWithItsSource(t *testing.T) {
+func TestFollowerStartsFromSource(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
@@ -42,7 +42,7 @@
 	g.Expect(fake.Calls() - calls).To(BeNumerically("<=", watches))
 }
 
-func TestAFollowerWithoutASourceReadsTheStore(t *testing.T) {
+func TestFollowerWithoutSourceReadsStore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
@@ -53,7 +53,7 @@
 	g.Eventually(f.sees(0, "1"), patience).Should(BeTrue())
 }
 
-func TestAFollowerWhoseFirstSourceIsGoneReadsTheStore(t *testing.T) {
+func TestFollowerReadsStoreWhenFirstSourceIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
@@ -64,7 +64,7 @@
 
 // The store drops its history: the balancer that watches reads everything, and those that
 // listen to it get the few changes since, also that a key is gone.
-func TestListenersTakeFewChangesAfterTheHistoryIsGone(t *testing.T) {
+func TestListenersReceiveDifferencesAfterCompaction(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
@@ -92,7 +92,7 @@
 
 // A balancer that has read the store asks the seeds for what it lacks; one that knows
 // less of the store than it can't tell, and one of an earlier version tells all.
-func TestAFollowerAsksThoseThatKnowAsMuch(t *testing.T) {
+func TestFollowerTakesUnlistedAgentsOfUpToDateSeed(t *testing.T) {
 	g := NewWithT(t)
 	behind, fake := newStore(t), newStore(t)
 	lagging := prepare(t, behind, 20)
--- a/internal/packetface/registry/writes_test.go
+++ b/internal/packetface/registry/writes_test.go
@@ -39,7 +39,7 @@
 	return func(a *registry.Agent) { a.SetSeeds(seeds) }
 }
 
-func TestAgentsThatStartTogetherShareCalls(t *testing.T) {
+func TestWritesOfStartingAgentsShareCalls(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	balancer := follow(t, fake, 1)
@@ -48,8 +48,8 @@
 	const agents = 60
 	writes := fake.CallsOf("/kv-txn")
 	for n := range agents {
-		keeper, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
-		keeper.Want(entry)
+		agent, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
+		agent.Want(entry)
 	}
 	g.Eventually(balancer.sees(agents, ""), patience).Should(BeTrue())
 	g.Expect(fake.CallsOf("/kv-lease")).To(Equal(agents))
@@ -58,7 +58,7 @@
 }
 
 // One of many that write together has an entry there that it does not know of.
-func TestAStaleWriteKeepsNoOtherAway(t *testing.T) {
+func TestStaleWriteDoesNotBlockOthersInBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	balancer := follow(t, fake, 1)
@@ -66,15 +66,15 @@
 	seed := serve(t, balancer)
 	fake.Put("saltbend/agents/10.0.0.7:1", []byte("left by another writer"))
 	for n := range 20 {
-		keeper, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
-		keeper.Want(entry)
+		agent, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
+		agent.Want(entry)
 	}
 	g.Eventually(balancer.sees(20, ""), patience).Should(BeTrue())
 }
 
 // Balancers that are gone, that the store turns away, or that know no such call keep no
 // entry away.
-func TestAnEntryIsWrittenWithoutTheBalancers(t *testing.T) {
+func TestEntryIsWrittenDirectlyWhenBalancersFail(t *testing.T) {
 	gone := netip.MustParseAddrPort("127.0.0.1:1")
 	for name, seed := range map[string]func(t *testing.T) netip.AddrPort{
 		"gone": func(*testing.T) netip.AddrPort { return gone },
@@ -91,30 +91,30 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			fake := newStore(t)
-			keeper, entry := runAgent(t, fake, "10.0.0.1:1", throughSeeds(seed(t)))
-			keeper.Want(entry)
+			agent, entry := runAgent(t, fake, "10.0.0.1:1", throughSeeds(seed(t)))
+			agent.Want(entry)
 			g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, 2*time.Second).Should(HaveLen(1), "as soon as entries are to be back")
 		})
 	}
 }
 
 // The answer to a call for many is lost: each finds out what became of its own write.
-func TestEntriesAreThereAfterALostAnswerToManyWrites(t *testing.T) {
+func TestEntriesAreListedAfterLostAnswerToBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	balancer := follow(t, fake, 1)
 	g.Eventually(balancer.reachedNow, patience).Should(BeTrue())
 	seed := serve(t, balancer)
 	for n := range 5 {
-		keeper, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
+		agent, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
 		fake.LoseAnswers(1)
-		keeper.Want(entry)
+		agent.Want(entry)
 	}
 	g.Eventually(balancer.sees(5, ""), patience).Should(BeTrue())
 }
 
 // A balancer writes entries for agents and nothing else.
-func TestABalancerWritesNothingButEntries(t *testing.T) {
+func TestBalancerRejectsWritesOtherThanEntries(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	f := follow(t, fake, 1)
