--- a/internal/packetface/registry/batch_test.go
+++ b/internal/packetface/registry/batch_test.go
@@ -10,9 +10,9 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// writes plays a time of arrivals in steps of a millisecond, with a store that answers
+// simulateWrites plays a time of arrivals in steps of a millisecond, with a store that answers
 // after 4 ms, and returns how many calls are made and the longest that one waited.
-func writes(arrivals map[time.Duration]int) (calls int, longest time.Duration) {
+func simulateWrites(arrivals map[time.Duration]int) (calls int, longest time.Duration) {
 	const answer = 4 * time.Millisecond
 	var b batch[time.Duration]
 	var until time.Duration
@@ -37,7 +37,7 @@
 
 func TestSingleWriteIsSentImmediately(t *testing.T) {
 	g := NewWithT(t)
-	calls, longest := writes(map[time.Duration]int{time.Second: 1, 2 * time.Second: 1, 3 * time.Second: 1})
+	calls, longest := simulateWrites(map[time.Duration]int{time.Second: 1, 2 * time.Second: 1, 3 * time.Second: 1})
 	g.Expect(calls).To(Equal(3))
 	g.Expect(longest).To(BeZero())
 }
@@ -52,7 +52,7 @@
 			for n := range agents {
 				arrivals[(1000+time.Duration(n*3000/agents))*time.Millisecond]++
 			}
-			calls, longest := writes(arrivals)
+			calls, longest := simulateWrites(arrivals)
 			g.Expect(calls).To(BeNumerically("<=", 3000/200+1+agents/platform.MaxWrites))
 			g.Expect(longest).To(BeNumerically("<=", 2*batchInterval))
 		})
@@ -64,7 +64,7 @@
 	for _, agents := range []int{240, 480} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
 			g := NewWithT(t)
-			calls, longest := writes(map[time.Duration]int{time.Second: agents / 3})
+			calls, longest := simulateWrites(map[time.Duration]int{time.Second: agents / 3})
 			g.Expect(calls).To(BeNumerically("<=", agents/3/platform.MaxWrites+1))
 			g.Expect(longest).To(BeNumerically("<", 2*time.Second))
 		})
--- a/internal/packetface/registry/changes_test.go
+++ b/internal/packetface/registry/changes_test.go
@@ -18,9 +18,9 @@
 
 // Tests of balancers that learn from the watch of another one.
 
-// serve lets others reach a follower.
-func serve(t *testing.T, f *follower) netip.AddrPort {
-	server := httptest.NewServer(answers(f.Follower))
+// startServer lets others reach a follower.
+func startServer(t *testing.T, f *follower) netip.AddrPort {
+	server := httptest.NewServer(handlerOf(f.Follower))
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
@@ -36,39 +36,39 @@
 	return answer.Items
 }
 
-// pair returns a follower that watches the store and one that listens to it, and
+// startPair returns a follower that watches the store and one that listens to it, and
 // what tells the second of news, as datagrams between them do.
-func pair(t *testing.T, fake *packetplatform.Store) (watcher, listener *follower, tell func()) {
+func startPair(t *testing.T, fake *packetplatform.Store) (watcher, listener *follower, notify func()) {
 	g := NewWithT(t)
-	watcher = follow(t, fake, 1)
-	g.Eventually(watcher.reachedNow, patience).Should(BeTrue())
-	listener = follow(t, fake, 20)
-	g.Eventually(listener.reachedNow, patience).Should(BeTrue())
-	listener.Listen(serve(t, watcher))
+	watcher = startFollower(t, fake, 1)
+	g.Eventually(watcher.reachedNow, waitTimeout).Should(BeTrue())
+	listener = startFollower(t, fake, 20)
+	g.Eventually(listener.reachedNow, waitTimeout).Should(BeTrue())
+	listener.Listen(startServer(t, watcher))
 	return watcher, listener, listener.News
 }
 
 func TestListenerAppliesChangesFromSource(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	watcher, listener, tell := pair(t, fake)
-	told := func(agents int, config string) func() bool {
+	watcher, listener, tell := startPair(t, fake)
+	bothHave := func(agents int, config string) func() bool {
 		return func() bool {
-			if watcher.sees(agents, config)() {
+			if watcher.hasListing(agents, config)() {
 				tell()
 			}
-			return listener.sees(agents, config)()
+			return listener.hasListing(agents, config)()
 		}
 	}
-	agent, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(told(1, "2"), patience).Should(BeTrue())
+	g.Eventually(bothHave(1, "2"), waitTimeout).Should(BeTrue())
 	readings := fake.Readings()
 	agent.Want(nil)
-	g.Eventually(told(0, "2"), patience).Should(BeTrue())
+	g.Eventually(bothHave(0, "2"), waitTimeout).Should(BeTrue())
 	fake.Compact()
 	fake.Put(platform.ConfigKey, []byte("3"))
-	g.Eventually(told(0, "3"), patience).Should(BeTrue())
+	g.Eventually(bothHave(0, "3"), waitTimeout).Should(BeTrue())
 	g.Expect(listener.listAge().AsOf).To(Equal(watcher.listAge().AsOf))
 	g.Expect(fake.Readings()-readings).To(BeNumerically("<=", 1), "of the watcher, after the loss of history")
 }
@@ -78,57 +78,57 @@
 func TestListenerFarBehindReceivesFullListing(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	watcher, listener, tell := pair(t, fake)
-	agent, _ := publish(t, fake, "10.0.0.1:1")
-	g.Eventually(func() bool { tell(); return listener.sees(1, "")() }, patience).Should(BeTrue())
+	watcher, listener, tell := startPair(t, fake)
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(func() bool { tell(); return listener.hasListing(1, "")() }, waitTimeout).Should(BeTrue())
 	agent.Want(nil)
-	g.Eventually(watcher.sees(0, ""), patience).Should(BeTrue())
+	g.Eventually(watcher.hasListing(0, ""), waitTimeout).Should(BeTrue())
 	const more = 1100 // than are kept
 	for n := range more {
 		fake.Put("servers/x", []byte(strconv.Itoa(n)))
 	}
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(watcher.sees(0, "2"), patience).Should(BeTrue())
-	g.Eventually(func() bool { tell(); return listener.sees(0, "2")() }, patience).Should(BeTrue())
+	g.Eventually(watcher.hasListing(0, "2"), waitTimeout).Should(BeTrue())
+	g.Eventually(func() bool { tell(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
 // A source that does not answer keeps no news away: the store is read.
 func TestListenerReadsStoreWhenSourceIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	_, listener, _ := pair(t, fake)
+	_, listener, _ := startPair(t, fake)
 	listener.Listen(netip.MustParseAddrPort("127.0.0.1:1"))
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(func() bool { listener.News(); return listener.sees(0, "2")() }, patience).Should(BeTrue())
+	g.Eventually(func() bool { listener.News(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
 // One that is told to watch again goes on from what it has.
 func TestListenerWatchesStoreWhenSourceIsUnset(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	_, listener, _ := pair(t, fake)
+	_, listener, _ := startPair(t, fake)
 	listener.Listen(netip.AddrPort{})
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(listener.sees(0, "2"), patience).Should(BeTrue())
+	g.Eventually(listener.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
 
 // On a hint of something newer, which its source does not tell of, it asks the store.
 func TestListenerReadsStoreAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	_, listener, _ := pair(t, fake)
+	_, listener, _ := startPair(t, fake)
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(func() bool { listener.Hint(netip.AddrPort{}, 0); return listener.sees(0, "2")() }, patience).Should(BeTrue())
+	g.Eventually(func() bool { listener.Hint(netip.AddrPort{}, 0); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
 func TestChangesRequestIsValidated(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	watcher := follow(t, fake, 1)
-	g.Eventually(watcher.reachedNow, patience).Should(BeTrue())
+	watcher := startFollower(t, fake, 1)
+	g.Eventually(watcher.reachedNow, waitTimeout).Should(BeTrue())
 	for query, want := range map[string]int{"?after=x": http.StatusBadRequest, "": http.StatusBadRequest, "?after=18446744073709551615": http.StatusOK} {
 		w := httptest.NewRecorder()
-		answers(watcher.Follower).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/packet/changes"+query, nil))
+		handlerOf(watcher.Follower).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/packet/changes"+query, nil))
 		g.Expect(w.Code).To(Equal(want), query)
 	}
 }
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -131,10 +131,9 @@
 	peer          atomic.Pointer[netip.AddrPort]
 	seeds         atomic.Pointer[[]netip.AddrPort]
 	peers         http.Client
-	// agents is the last answer with all known agents, of agentsAt; agentsMu guards both.
-	agentsMu sync.Mutex
 	// agents is the last answer with all known agents, created at agentsAt; agentsMu
 	// guards both.
+	agentsMu sync.Mutex
 	agents   *document
 	agentsAt time.Time
 	// loggedErrors holds the errors of ignored entries that have been logged.
--- a/internal/packetface/registry/follow_test.go
+++ b/internal/packetface/registry/follow_test.go
@@ -20,9 +20,9 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // follower keeps what a Follower reports.
 type follower struct {
@@ -47,7 +47,7 @@
 	return f.agents, f.config
 }
 
-func (f *follower) sees(agents int, config string) func() bool {
+func (f *follower) hasListing(agents int, config string) func() bool {
 	return func() bool {
 		a, c := f.view()
 		return a == agents && c == config
@@ -72,8 +72,8 @@
 	return len(f.reached) > 0 && f.reached[len(f.reached)-1]
 }
 
-func follow(t *testing.T, fake *packetplatform.Store, balancers int) *follower {
-	f := prepare(t, fake, balancers)
+func startFollower(t *testing.T, fake *packetplatform.Store, balancers int) *follower {
+	f := newFollower(t, fake, balancers)
 	f.start(t)
 	return f
 }
@@ -85,9 +85,9 @@
 	go f.Run(ctx)
 }
 
-// prepare returns a follower that does not run yet.
-func prepare(t *testing.T, fake *packetplatform.Store, balancers int) *follower {
-	f := &follower{Follower: registry.NewFollower(client(fake), quiet)}
+// newFollower returns a follower that does not run yet.
+func newFollower(t *testing.T, fake *packetplatform.Store, balancers int) *follower {
+	f := &follower{Follower: registry.NewFollower(client(fake), discardLog)}
 	f.Changed = func(l *registry.Listing) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -109,8 +109,8 @@
 	return f
 }
 
-// answers returns how a follower answers other processes.
-func answers(f *registry.Follower) http.Handler {
+// handlerOf returns how a follower handlerOf other processes.
+func handlerOf(f *registry.Follower) http.Handler {
 	mux := http.NewServeMux()
 	f.Handle(mux)
 	return mux
@@ -126,20 +126,20 @@
 	return fake
 }
 
-// publish keeps an agent's entry.
-func publish(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
-	agent, entry = prepareAgent(t, fake, addr)
+// startPublishingAgent keeps an agent's entry.
+func startPublishingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
+	agent, entry = startAgent(t, fake, addr)
 	agent.Want(entry)
 	return agent, entry
 }
 
-// inheriting is prepareAgent for a process that follows another one.
-func inheriting(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
-	return runAgent(t, fake, addr, (*registry.Agent).Inherit)
+// startInheritingAgent is prepareAgent for a process that follows another one.
+func startInheritingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
+	return startConfiguredAgent(t, fake, addr, (*registry.Agent).Inherit)
 }
 
-// listed returns the agents that the store has.
-func listed(t *testing.T, fake *packetplatform.Store) []steer.Agent {
+// storedAgents returns the agents that the store has.
+func storedAgents(t *testing.T, fake *packetplatform.Store) []steer.Agent {
 	g := NewWithT(t)
 	items, revision, err := client(fake).Range(t.Context(), "")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -147,15 +147,15 @@
 	return l.Agents()
 }
 
-// prepareAgent runs an agent's agent that wants no entry yet.
-func prepareAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
-	return runAgent(t, fake, addr, func(*registry.Agent) {})
+// startAgent runs an agent's agent that wants no entry yet.
+func startAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
+	return startConfiguredAgent(t, fake, addr, func(*registry.Agent) {})
 }
 
-func runAgent(t *testing.T, fake *packetplatform.Store, addr string, prepare func(*registry.Agent)) (agent *registry.Agent, entry *registry.Entry) {
+func startConfiguredAgent(t *testing.T, fake *packetplatform.Store, addr string, prepare func(*registry.Agent)) (agent *registry.Agent, entry *registry.Entry) {
 	started := time.Now()
 	entry = &registry.Entry{Addr: netip.MustParseAddrPort(addr), Service: "s", DataCentre: "a", Slots: 3}
-	agent = registry.NewAgent(client(fake), quiet, func() time.Duration { return time.Since(started) + 1 }, *entry)
+	agent = registry.NewAgent(client(fake), discardLog, func() time.Duration { return time.Since(started) + 1 }, *entry)
 	agent.Seen = func(store.Position) {}
 	prepare(agent)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -170,41 +170,41 @@
 	fake.Put(platform.ConfigKey, []byte("1"))
 	fake.Put("saltbend/agents/garbage", []byte("{"))
 	fake.Put("servers/other", nil)
-	f := follow(t, fake, 20)
-	agent, _ := publish(t, fake, "10.0.0.1:1")
-	g.Eventually(f.sees(1, "1"), patience).Should(BeTrue())
+	f := startFollower(t, fake, 20)
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(f.hasListing(1, "1"), waitTimeout).Should(BeTrue())
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(f.sees(1, "2"), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(1, "2"), waitTimeout).Should(BeTrue())
 	agent.Want(nil)
-	g.Eventually(f.sees(0, "2"), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
 
 func TestFollowerCatchesUpAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	agent, _ := publish(t, fake, "10.0.0.1:1")
-	f := follow(t, fake, 20)
-	g.Eventually(f.sees(1, ""), patience).Should(BeTrue())
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	f := startFollower(t, fake, 20)
+	g.Eventually(f.hasListing(1, ""), waitTimeout).Should(BeTrue())
 	fake.Fail(http.StatusServiceUnavailable)
-	g.Eventually(f.reachedNow, patience).Should(BeFalse())
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeFalse())
 	fake.Lapse() // the leases run out while nobody reaches the store
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Fail(0)
-	g.Eventually(f.sees(0, "2"), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 	agent.Hint() // a balancer that misses the entry tells the agent
-	g.Eventually(f.sees(1, "2"), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(1, "2"), waitTimeout).Should(BeTrue())
 	g.Expect(f.reachedNow()).To(BeTrue())
 }
 
 func TestFollowerReadsAllKeysAfterCompaction(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	f := follow(t, fake, 1)
-	g.Eventually(f.reachedNow, patience).Should(BeTrue())
+	f := startFollower(t, fake, 1)
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
 	fake.Compact()
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Compact()
-	g.Eventually(f.sees(0, "2"), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
 
 // A hint ends a watch that waits, so that a deaf one does no harm, and hints in
@@ -212,23 +212,23 @@
 func TestHintsMakeFollowerReadStore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	f := follow(t, fake, 20) // watches wait for 10 s
-	g.Eventually(f.reachedNow, patience).Should(BeTrue())
+	f := startFollower(t, fake, 20) // watches wait for 10 s
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
 	before := fake.Readings()
 	g.Eventually(func() bool {
 		f.Hint(netip.AddrPort{}, 0)
 		return fake.Readings() >= before+2
-	}, patience).Should(BeTrue())
+	}, waitTimeout).Should(BeTrue())
 }
 
 func TestAgentIsListedAfterLostAnswer(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.LoseAnswers(1)
-	publish(t, fake, "10.0.0.1:1")
-	g.Eventually(func() []string { return fake.Keys("saltbend/") }, patience).Should(Equal([]string{"saltbend/agents/10.0.0.1:1"}))
-	f := follow(t, fake, 1)
-	g.Eventually(f.sees(1, ""), patience).Should(BeTrue())
+	startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(func() []string { return fake.Keys("saltbend/") }, waitTimeout).Should(Equal([]string{"saltbend/agents/10.0.0.1:1"}))
+	f := startFollower(t, fake, 1)
+	g.Eventually(f.hasListing(1, ""), waitTimeout).Should(BeTrue())
 }
 
 // A balancer that the store turns away learns from one that it serves.
@@ -236,22 +236,22 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
-	served := follow(t, fake, 20)
-	peer := httptest.NewServer(answers(served.Follower))
+	served := startFollower(t, fake, 20)
+	peer := httptest.NewServer(handlerOf(served.Follower))
 	t.Cleanup(peer.Close)
 
 	cut := newStore(t) // the same store as another host sees it
 	cut.Put(platform.ConfigKey, []byte("1"))
-	refused := follow(t, cut, 20)
-	g.Eventually(refused.sees(0, "1"), patience).Should(BeTrue())
+	refused := startFollower(t, cut, 20)
+	g.Eventually(refused.hasListing(0, "1"), waitTimeout).Should(BeTrue())
 	cut.Fail(http.StatusServiceUnavailable)
 	fake.Put(platform.ConfigKey, []byte("2"))
-	publish(t, fake, "10.0.0.1:1")
-	g.Eventually(served.sees(1, "2"), patience).Should(BeTrue())
+	startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(served.hasListing(1, "2"), waitTimeout).Should(BeTrue())
 	g.Eventually(func() bool {
 		refused.Hint(netip.MustParseAddrPort(peer.Listener.Addr().String()), 0)
-		return refused.sees(1, "2")()
-	}, patience).Should(BeTrue())
+		return refused.hasListing(1, "2")()
+	}, waitTimeout).Should(BeTrue())
 }
 
 // Of two balancers, one saw the entry of an agent that has left since, the other
@@ -260,14 +260,14 @@
 func TestFollowerStartedAfterRemovalIsUpToDate(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	early := follow(t, fake, 20)
-	publish(t, fake, "10.0.0.1:1")
-	leaving, _ := publish(t, fake, "10.0.0.2:1")
-	g.Eventually(early.sees(2, ""), patience).Should(BeTrue())
+	early := startFollower(t, fake, 20)
+	startPublishingAgent(t, fake, "10.0.0.1:1")
+	leaving, _ := startPublishingAgent(t, fake, "10.0.0.2:1")
+	g.Eventually(early.hasListing(2, ""), waitTimeout).Should(BeTrue())
 	leaving.Want(nil)
-	g.Eventually(early.sees(1, ""), patience).Should(BeTrue())
-	late := follow(t, fake, 20)
-	g.Eventually(late.sees(1, ""), patience).Should(BeTrue())
+	g.Eventually(early.hasListing(1, ""), waitTimeout).Should(BeTrue())
+	late := startFollower(t, fake, 20)
+	g.Eventually(late.hasListing(1, ""), waitTimeout).Should(BeTrue())
 	g.Expect(late.listAge().AsOf).To(BeNumerically(">=", early.listAge().Newest))
 	g.Expect(late.listAge().Newest).To(BeNumerically("<=", late.listAge().AsOf))
 }
@@ -276,36 +276,36 @@
 // listing that a seed knows, and goes on from there when the store is back.
 func TestFollowerStartsFromSeedWhenStoreFails(t *testing.T) {
 	for name, status := range map[string]int{"refused": http.StatusServiceUnavailable, "silent": packetplatform.Silent} {
-		t.Run(name, func(t *testing.T) { beginWithASeed(t, status) })
+		t.Run(name, func(t *testing.T) { testStartFromSeed(t, status) })
 	}
 }
 
-func beginWithASeed(t *testing.T, status int) {
+func testStartFromSeed(t *testing.T, status int) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
-	served := follow(t, fake, 20)
-	publish(t, fake, "10.0.0.1:1")
-	g.Eventually(served.sees(1, "1"), patience).Should(BeTrue())
-	seed := httptest.NewServer(answers(served.Follower))
+	served := startFollower(t, fake, 20)
+	startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(served.hasListing(1, "1"), waitTimeout).Should(BeTrue())
+	seed := httptest.NewServer(handlerOf(served.Follower))
 	t.Cleanup(seed.Close)
-	empty := httptest.NewServer(answers(registry.NewFollower(client(fake), quiet)))
+	empty := httptest.NewServer(handlerOf(registry.NewFollower(client(fake), discardLog)))
 	t.Cleanup(empty.Close)
 
 	fake.Fail(status)
-	late := prepare(t, fake, 20)
+	late := newFollower(t, fake, 20)
 	late.SetSeeds([]netip.AddrPort{
 		netip.MustParseAddrPort(empty.Listener.Addr().String()),
 		netip.MustParseAddrPort(seed.Listener.Addr().String()),
 		netip.MustParseAddrPort("127.0.0.1:1"), // gone
 	})
 	late.start(t)
-	g.Eventually(late.sees(1, "1"), patience).Should(BeTrue())
+	g.Eventually(late.hasListing(1, "1"), waitTimeout).Should(BeTrue())
 	g.Expect(late.reachedNow()).To(BeFalse())
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Fail(0)
-	g.Eventually(late.sees(1, "2"), patience).Should(BeTrue())
-	g.Eventually(late.reachedNow, patience).Should(BeTrue())
+	g.Eventually(late.hasListing(1, "2"), waitTimeout).Should(BeTrue())
+	g.Eventually(late.reachedNow, waitTimeout).Should(BeTrue())
 }
 
 // An agent that the store turns away from its start is listed by way of a
@@ -313,26 +313,26 @@
 func TestAgentIsListedThroughSeedWhenStoreRefuses(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	served := follow(t, fake, 20)
-	g.Eventually(served.reachedNow, patience).Should(BeTrue())
-	seed := httptest.NewServer(answers(served.Follower))
+	served := startFollower(t, fake, 20)
+	g.Eventually(served.reachedNow, waitTimeout).Should(BeTrue())
+	seed := httptest.NewServer(handlerOf(served.Follower))
 	t.Cleanup(seed.Close)
 	refusing := newStore(t)
 	refusing.Fail(http.StatusTooManyRequests)
-	agent, entry := prepareAgent(t, refusing, "10.0.0.1:1")
+	agent, entry := startAgent(t, refusing, "10.0.0.1:1")
 	agent.SetSeeds([]netip.AddrPort{
 		netip.MustParseAddrPort("127.0.0.1:1"), // gone
 		netip.MustParseAddrPort(seed.Listener.Addr().String()),
 	})
 	agent.Want(entry)
-	g.Eventually(served.sees(1, ""), patience).Should(BeTrue())
+	g.Eventually(served.hasListing(1, ""), waitTimeout).Should(BeTrue())
 	fake.Lapse()
 	g.Eventually(func() bool {
 		agent.Hint()
 		return len(fake.Keys("saltbend/agents/")) == 1
-	}, patience).Should(BeTrue())
+	}, waitTimeout).Should(BeTrue())
 	agent.Want(nil)
-	g.Eventually(served.sees(0, ""), patience).Should(BeTrue())
+	g.Eventually(served.hasListing(0, ""), waitTimeout).Should(BeTrue())
 }
 
 // A balancer that starts learns from its seeds of agents whose entries have
@@ -340,15 +340,15 @@
 func TestFollowerRequestsUnlistedAgentsFromSeeds(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	early := prepare(t, fake, 20)
+	early := newFollower(t, fake, 20)
 	early.known = []steer.Agent{{Addr: netip.MustParseAddrPort("10.0.0.1:1"), Service: 1 << 63, DataCentre: "a", Slots: 3}}
 	early.start(t)
-	g.Eventually(early.reachedNow, patience).Should(BeTrue())
-	g.Eventually(early.asked, patience).Should(Receive(BeEmpty()))
-	seed := httptest.NewServer(answers(early.Follower))
+	g.Eventually(early.reachedNow, waitTimeout).Should(BeTrue())
+	g.Eventually(early.asked, waitTimeout).Should(Receive(BeEmpty()))
+	seed := httptest.NewServer(handlerOf(early.Follower))
 	t.Cleanup(seed.Close)
-	late := prepare(t, fake, 20)
+	late := newFollower(t, fake, 20)
 	late.SetSeeds([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort(seed.Listener.Addr().String())})
 	late.start(t)
-	g.Eventually(late.asked, patience).Should(Receive(Equal(early.known)))
+	g.Eventually(late.asked, waitTimeout).Should(Receive(Equal(early.known)))
 }
--- a/internal/packetface/registry/foreign_test.go
+++ b/internal/packetface/registry/foreign_test.go
@@ -83,7 +83,7 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put("saltbend/agents/garbage", []byte("{"))
-	f := prepare(t, fake, 1)
+	f := newFollower(t, fake, 1)
 	var mu sync.Mutex
 	var agents []steer.Agent
 	f.Changed = func(l *registry.Listing) {
@@ -97,16 +97,16 @@
 		return agents
 	}
 	f.start(t)
-	agent, _ := publish(t, fake, "10.0.0.1:1")
-	g.Eventually(seen, patience).Should(HaveLen(1))
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(seen, waitTimeout).Should(HaveLen(1))
 	for _, text := range foreignEntries {
 		fake.Put(entryKey, []byte(text))
-		g.Eventually(func() bool { a := seen(); return len(a) == 1 && a[0].Damaged }, patience).Should(BeTrue())
+		g.Eventually(func() bool { a := seen(); return len(a) == 1 && a[0].Damaged }, waitTimeout).Should(BeTrue())
 		g.Eventually(func() bool {
 			agent.Hint()
 			a := seen()
 			return len(a) == 1 && !a[0].Damaged
-		}, patience, 50*time.Millisecond).Should(BeTrue())
+		}, waitTimeout, 50*time.Millisecond).Should(BeTrue())
 	}
 }
 
--- a/internal/packetface/registry/inherit_test.go
+++ b/internal/packetface/registry/inherit_test.go
@@ -15,7 +15,7 @@
 func TestInheritedWarmupIsKeptInNewEntry(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	f := prepare(t, fake, 1)
+	f := newFollower(t, fake, 1)
 	warmups := make(chan time.Duration, 100)
 	f.Changed = func(l *registry.Listing) {
 		for _, a := range l.Agents() {
@@ -23,14 +23,14 @@
 		}
 	}
 	f.start(t)
-	first, entry := prepareAgent(t, fake, "10.0.0.1:1")
+	first, entry := startAgent(t, fake, "10.0.0.1:1")
 	entry.WarmupMS = 2000
 	first.Want(entry)
-	g.Eventually(warmups, patience).Should(Receive(Equal(2 * time.Second)))
+	g.Eventually(warmups, waitTimeout).Should(Receive(Equal(2 * time.Second)))
 
-	second, later := inheriting(t, fake, "10.0.0.1:1")
+	second, later := startInheritingAgent(t, fake, "10.0.0.1:1")
 	later.Slots = 9 // a change, so that the entry is written anew
 	second.Want(later)
-	g.Eventually(func() []steer.Agent { return listed(t, fake) }, patience).Should(ConsistOf(And(
+	g.Eventually(func() []steer.Agent { return storedAgents(t, fake) }, waitTimeout).Should(ConsistOf(And(
 		HaveField("Slots", 9), HaveField("Warmup", 2*time.Second))))
 }
--- a/internal/packetface/registry/publisher_restore_test.go
+++ b/internal/packetface/registry/publisher_restore_test.go
@@ -12,15 +12,15 @@
 
 // Tests of an agent's entry through returns of the store from a copy.
 
-// own is an entry as an agent writes it.
-func own(at store.Position, lease uint64) platform.Item {
+// agentEntry is an entry as an agent writes it.
+func agentEntry(at store.Position, lease uint64) platform.Item {
 	text := `{"addr":"10.0.0.1:1","service":"s","dc":"a","slots":3}`
 	return platform.Item{Key: agentPrefix + "10.0.0.1:1", Value: []byte(text), At: at, Lease: lease}
 }
 
-// keeping returns a publisher whose entry was written in era 1, under lease 7.
-func keeping(g *WithT) *Publisher {
-	entry := own(0, 0)
+// newPublishedInEra1 returns a publisher whose entry was written in era 1, under lease 7.
+func newPublishedInEra1(g *WithT) *Publisher {
+	entry := agentEntry(0, 0)
 	p := NewPublisher(entry.Key)
 	p.Want(entry.Value)
 	p.ObserveEra(0, 1, 0)
@@ -35,7 +35,7 @@
 // neither renewed nor ended, and the entry is written anew under another one.
 func TestLeaseMissingFromCopyIsAbandonedAfterRestore(t *testing.T) {
 	g := NewWithT(t)
-	p := keeping(g)
+	p := newPublishedInEra1(g)
 	p.ObserveEra(time.Second, 2, time.Second)
 	g.Expect(p.Next(time.Second)).To(Equal(StepNone), "it has its time")
 	g.Expect(p.Due(time.Second)).To(Equal(time.Second))
@@ -51,7 +51,7 @@
 // An agent that leaves does not end the lease of another one.
 func TestWithdrawalAfterRestoreReadsEntryFirst(t *testing.T) {
 	g := NewWithT(t)
-	p := keeping(g)
+	p := newPublishedInEra1(g)
 	p.ObserveEra(0, 2, time.Hour)
 	p.Want(nil)
 	g.Expect(p.Next(0)).To(Equal(StepRead))
@@ -62,10 +62,10 @@
 // An entry that the copy has was written before it, and so was its lease granted.
 func TestEntryInCopyKeepsItsLease(t *testing.T) {
 	g := NewWithT(t)
-	p := keeping(g)
+	p := newPublishedInEra1(g)
 	p.ObserveEra(0, 2, 0)
 	g.Expect(p.Next(0)).To(Equal(StepRead))
-	p.Read(own(store.At(2, 48), 7), store.At(2, 48), nil)
+	p.Read(agentEntry(store.At(2, 48), 7), store.At(2, 48), nil)
 	g.Expect(p.Next(0)).To(Equal(StepRenew), "nobody knows how much of it is left")
 	p.Renewed(nil, 0)
 	g.Expect(p.Next(0)).To(Equal(StepNone))
@@ -74,26 +74,26 @@
 // The copy has the entry under the lease of before, and with what it said then.
 func TestOlderEntryInCopyIsOverwritten(t *testing.T) {
 	g := NewWithT(t)
-	p := keeping(g)
+	p := newPublishedInEra1(g)
 	p.ObserveEra(0, 2, 0)
-	older := own(store.At(2, 30), 3)
+	older := agentEntry(store.At(2, 30), 3)
 	older.Value = []byte(`{"addr":"10.0.0.1:1","service":"s","dc":"a","slots":2}`)
 	p.Read(older, store.At(2, 48), nil)
 	g.Expect(p.Next(0)).To(Equal(StepWrite))
-	g.Expect(p.Write()).To(Equal(platform.Write{Key: older.Key, Expected: store.At(2, 30), Value: own(0, 0).Value, Lease: 3}))
+	g.Expect(p.Write()).To(Equal(platform.Write{Key: older.Key, Expected: store.At(2, 30), Value: agentEntry(0, 0).Value, Lease: 3}))
 }
 
 // What was withdrawn after the copy is withdrawn again.
 func TestWithdrawnEntryInCopyIsWithdrawnAgain(t *testing.T) {
 	g := NewWithT(t)
-	p := keeping(g)
+	p := newPublishedInEra1(g)
 	p.Want(nil)
 	g.Expect(p.Next(0)).To(Equal(StepEnd))
 	p.Ended(nil)
 	g.Expect(p.Next(0)).To(Equal(StepNone))
 	p.ObserveEra(0, 2, time.Hour)
 	g.Expect(p.Next(0)).To(Equal(StepRead))
-	p.Read(own(store.At(2, 40), 7), store.At(2, 48), nil)
+	p.Read(agentEntry(store.At(2, 40), 7), store.At(2, 48), nil)
 	g.Expect(p.Next(0)).To(Equal(StepEnd))
 	p.Ended(nil)
 	g.Expect(p.Next(0)).To(Equal(StepNone))
@@ -102,9 +102,9 @@
 // An entry of another writer at the key brings no lease of its own.
 func TestLeaseOfForeignEntryIsNotAdopted(t *testing.T) {
 	g := NewWithT(t)
-	p := keeping(g)
+	p := newPublishedInEra1(g)
 	p.ObserveEra(0, 2, 0)
-	foreign := own(store.At(2, 40), 9)
+	foreign := agentEntry(store.At(2, 40), 9)
 	foreign.Value = []byte("{}")
 	p.Read(foreign, store.At(2, 48), nil)
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
@@ -114,11 +114,11 @@
 // return pass unnoticed.
 func TestEntryIsReadUntilReadingSucceedsAfterRestore(t *testing.T) {
 	g := NewWithT(t)
-	p := keeping(g)
+	p := newPublishedInEra1(g)
 	p.ObserveEra(0, 2, 0)
 	p.Read(platform.Item{}, 0, store.ErrUnavailable)
 	g.Expect(p.Next(0)).To(Equal(StepRead))
-	p.Read(own(store.At(2, 48), 7), store.At(2, 48), nil)
+	p.Read(agentEntry(store.At(2, 48), 7), store.At(2, 48), nil)
 	p.ObserveEra(0, 1, 0)
 	p.ObserveEra(0, 2, 0)
 	g.Expect(p.Next(0)).To(Equal(StepRenew))
--- a/internal/packetface/registry/publisher_test.go
+++ b/internal/packetface/registry/publisher_test.go
@@ -13,8 +13,8 @@
 
 var entryText = []byte("entry")
 
-// written returns a publisher whose entry is in the store.
-func written(g *WithT) *Publisher {
+// newPublished returns a publisher whose entry is in the store.
+func newPublished(g *WithT) *Publisher {
 	p := NewPublisher("k")
 	p.Want(entryText)
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
@@ -29,7 +29,7 @@
 
 func TestPublisherRenewsUpdatesAndWithdrawsEntry(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	g.Expect(p.Due(0)).To(Equal(leaseTTL / renewDivisor))
 	g.Expect(p.Next(leaseTTL / renewDivisor)).To(Equal(StepRenew))
 	p.Renewed(nil, leaseTTL/renewDivisor)
@@ -62,11 +62,11 @@
 		"the answer was lost":  func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrOutcomeUnknown, "apply")) },
 		"a hint that it lacks": func(p *Publisher) { p.Hint(time.Second) },
 	}
-	for name, happens := range cases {
+	for name, event := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			p := written(g)
-			happens(p)
+			p := newPublished(g)
+			event(p)
 			g.Expect(p.Listed()).To(BeFalse())
 			g.Expect(p.Next(0)).To(Equal(StepRead))
 			p.Read(platform.Item{}, 0, store.ErrUnavailable)
@@ -80,7 +80,7 @@
 
 func TestPublisherOverwritesConflictingEntry(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Wrote(entryText, 0, store.ErrConflict)
 	p.Read(platform.Item{Key: "k", Value: []byte("old"), At: 9}, 9, nil)
 	g.Expect(p.Next(0)).To(Equal(StepWrite))
@@ -89,7 +89,7 @@
 
 func TestPublisherObtainsNewLeaseWhenLeaseHasEnded(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Renewed(errors.Wrap(platform.ErrLeaseEnded, "renew"), 0)
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
 	p.Granted(platform.Lease{ID: 8, TTL: leaseTTL}, 0)
@@ -100,7 +100,7 @@
 
 func TestPublisherRetriesRenewalDuringOutage(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Renewed(store.ErrUnavailable, time.Minute)
 	g.Expect(p.Next(time.Minute)).To(Equal(StepRenew))
 	p.Renewed(nil, time.Minute)
@@ -110,7 +110,7 @@
 // An agent that no balancer calls asks cheaply, and reads only now and then.
 func TestIdlePublisherRenewsLeaseAndReadsRarely(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Idle(2 * time.Second)
 	g.Expect(p.Next(2 * time.Second)).To(Equal(StepRenew))
 	p.Renewed(nil, 2*time.Second)
@@ -122,8 +122,8 @@
 	g.Expect(p.Next(idleReadInterval)).To(Equal(StepGrant))
 }
 
-// inherited returns a publisher of a process that found the entry of the one before.
-func inherited(g *WithT, left []byte) *Publisher {
+// newInherited returns a publisher of a process that found the entry of the one before.
+func newInherited(g *WithT, left []byte) *Publisher {
 	p := NewPublisher("k")
 	p.Inherit()
 	g.Expect(p.Next(0)).To(Equal(StepRead))
@@ -137,7 +137,7 @@
 // entry, and no balancer has to hear of a change.
 func TestPublisherReusesInheritedEntry(t *testing.T) {
 	g := NewWithT(t)
-	p := inherited(g, entryText)
+	p := newInherited(g, entryText)
 	g.Expect(p.asOf).To(BeEquivalentTo(30))
 	g.Expect(p.Next(0)).To(Equal(StepRenew)) // how much of the lease is left is not known
 	p.Renewed(nil, 0)
@@ -154,7 +154,7 @@
 // in all lists until its lease lapses.
 func TestPublisherEndsInheritedLeaseWhenWithdrawn(t *testing.T) {
 	g := NewWithT(t)
-	p := inherited(g, entryText)
+	p := newInherited(g, entryText)
 	p.Renewed(nil, 0)
 	p.Want(nil)
 	g.Expect(p.Next(0)).To(Equal(StepEnd))
@@ -164,7 +164,7 @@
 
 func TestPublisherReplacesEndedInheritedLease(t *testing.T) {
 	g := NewWithT(t)
-	p := inherited(g, entryText)
+	p := newInherited(g, entryText)
 	p.Renewed(errors.Wrap(platform.ErrLeaseEnded, "renew"), 0)
 	g.Expect(p.Next(0)).To(Equal(StepNone)) // nothing is known of the upstream yet
 	p.Want(entryText)
--- a/internal/packetface/registry/restore_test.go
+++ b/internal/packetface/registry/restore_test.go
@@ -27,27 +27,27 @@
 func TestListenerAppliesChangesAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	watcher, listener, tell := pair(t, fake)
-	told := func(config string) func() bool {
+	watcher, listener, tell := startPair(t, fake)
+	bothHave := func(config string) func() bool {
 		return func() bool {
-			if watcher.sees(0, config)() {
+			if watcher.hasListing(0, config)() {
 				tell()
 			}
-			return listener.sees(0, config)()
+			return listener.hasListing(0, config)()
 		}
 	}
 	fake.Put(platform.ConfigKey, config(21))
-	g.Eventually(told(string(config(21))), patience).Should(BeTrue())
+	g.Eventually(bothHave(string(config(21))), waitTimeout).Should(BeTrue())
 	old := fake.Copy()
 	for range 4 { // what is lost
 		fake.Put("op/other", nil)
 	}
-	g.Eventually(func() store.Position { return watcher.listAge().AsOf }, patience).Should(Equal(store.At(0, fake.Revision())))
-	g.Eventually(told(string(config(21))), patience).Should(BeTrue())
-	g.Eventually(func() store.Position { tell(); return listener.listAge().AsOf }, patience).Should(Equal(store.At(0, fake.Revision())))
+	g.Eventually(func() store.Position { return watcher.listAge().AsOf }, waitTimeout).Should(Equal(store.At(0, fake.Revision())))
+	g.Eventually(bothHave(string(config(21))), waitTimeout).Should(BeTrue())
+	g.Eventually(func() store.Position { tell(); return listener.listAge().AsOf }, waitTimeout).Should(Equal(store.At(0, fake.Revision())))
 	fake.Return(old)
 	fake.Put(platform.ConfigKey, config(24))
-	g.Eventually(told(string(config(24))), patience).Should(BeTrue())
+	g.Eventually(bothHave(string(config(24))), waitTimeout).Should(BeTrue())
 }
 
 // A watch goes on where the store has that revision again, without telling what lies
@@ -56,14 +56,14 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
-	f := follow(t, fake, 1)
-	g.Eventually(f.sees(0, string(config(1))), patience).Should(BeTrue())
+	f := startFollower(t, fake, 1)
+	g.Eventually(f.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
 	old := fake.Copy()
 	fake.Put(platform.ConfigKey, config(2))
-	g.Eventually(f.sees(0, string(config(2))), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, string(config(2))), waitTimeout).Should(BeTrue())
 	fake.Return(old)
 	fake.Put(platform.ConfigKey, config(3))
-	g.Eventually(f.sees(0, string(config(3))), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, string(config(3))), waitTimeout).Should(BeTrue())
 }
 
 // The copy has an older configuration until operators write theirs again. It is not
@@ -73,15 +73,15 @@
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
 	old := fake.Copy()
-	f := follow(t, fake, 1)
+	f := startFollower(t, fake, 1)
 	fake.Put(platform.ConfigKey, config(3))
-	g.Eventually(f.sees(0, string(config(3))), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, string(config(3))), waitTimeout).Should(BeTrue())
 	fake.Return(old)
 	fake.Put(platform.ConfigKey, config(2))
-	publish(t, fake, "10.0.0.1:1") // a later change
-	g.Eventually(f.sees(1, string(config(3))), patience).Should(BeTrue())
+	startPublishingAgent(t, fake, "10.0.0.1:1") // a later change
+	g.Eventually(f.hasListing(1, string(config(3))), waitTimeout).Should(BeTrue())
 	fake.Put(platform.ConfigKey, config(4))
-	g.Eventually(f.sees(1, string(config(4))), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(1, string(config(4))), waitTimeout).Should(BeTrue())
 }
 
 // A balancer that starts while the copy has an older configuration hears from agents of
@@ -91,18 +91,18 @@
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
 	old := fake.Copy()
-	early := follow(t, fake, 20)
+	early := startFollower(t, fake, 20)
 	fake.Put(platform.ConfigKey, config(2))
-	g.Eventually(early.sees(0, string(config(2))), patience).Should(BeTrue())
+	g.Eventually(early.hasListing(0, string(config(2))), waitTimeout).Should(BeTrue())
 	fake.Return(old)
-	g.Eventually(func() uint64 { return early.listAge().AsOf.Era() }, patience).Should(BeEquivalentTo(1))
-	late := follow(t, fake, 20)
-	g.Eventually(late.sees(0, string(config(1))), patience).Should(BeTrue())
-	peer := serve(t, early)
+	g.Eventually(func() uint64 { return early.listAge().AsOf.Era() }, waitTimeout).Should(BeEquivalentTo(1))
+	late := startFollower(t, fake, 20)
+	g.Eventually(late.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
+	peer := startServer(t, early)
 	g.Eventually(func() bool {
 		late.Hint(peer, 2)
-		return late.sees(0, string(config(2)))()
-	}, patience).Should(BeTrue())
+		return late.hasListing(0, string(config(2)))()
+	}, waitTimeout).Should(BeTrue())
 	g.Consistently(func() string { _, config := late.view(); return config }, "1s").Should(Equal(string(config(2))))
 }
 
@@ -112,19 +112,19 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
-	watcher, listener, tell := pair(t, fake)
+	watcher, listener, tell := startPair(t, fake)
 	older := fake.Copy()
 	fake.Put(platform.ConfigKey, config(2))
 	old := fake.Copy()
 	fake.Put("op/other", nil)
-	g.Eventually(watcher.sees(0, string(config(2))), patience).Should(BeTrue())
+	g.Eventually(watcher.hasListing(0, string(config(2))), waitTimeout).Should(BeTrue())
 	fake.Return(old)
 	fake.Compact()
 	fake.Return(older)
 	fake.Put(platform.ConfigKey, config(3))
 	for _, f := range []*follower{watcher, listener} {
-		g.Eventually(func() bool { tell(); return f.sees(0, string(config(3)))() }, patience).Should(BeTrue())
-		g.Eventually(func() uint64 { tell(); return f.listAge().AsOf.Era() }, patience).Should(BeEquivalentTo(2))
+		g.Eventually(func() bool { tell(); return f.hasListing(0, string(config(3)))() }, waitTimeout).Should(BeTrue())
+		g.Eventually(func() uint64 { tell(); return f.listAge().AsOf.Era() }, waitTimeout).Should(BeEquivalentTo(2))
 	}
 }
 
@@ -152,21 +152,21 @@
 func TestAgentsAreListedAgainAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	f := follow(t, fake, 1)
-	g.Eventually(f.reachedNow, patience).Should(BeTrue())
+	f := startFollower(t, fake, 1)
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
 	old := fake.Copy()
 	agentsByAddr := map[string]*registry.Agent{}
 	for _, addr := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
-		agentsByAddr[addr], _ = publish(t, fake, addr)
-		g.Eventually(f.sees(len(agentsByAddr), ""), patience).Should(BeTrue())
+		agentsByAddr[addr], _ = startPublishingAgent(t, fake, addr)
+		g.Eventually(f.hasListing(len(agentsByAddr), ""), waitTimeout).Should(BeTrue())
 	}
 	fake.Return(old)
 	for _, k := range agentsByAddr {
 		k.Era(1) // balancers tell
 	}
-	g.Eventually(f.sees(3, ""), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(3, ""), waitTimeout).Should(BeTrue())
 	agentsByAddr["10.0.0.1:1"].Want(nil)
-	g.Eventually(f.sees(2, ""), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(2, ""), waitTimeout).Should(BeTrue())
 	g.Expect(fake.Keys("saltbend/agents/")).To(Equal([]string{"saltbend/agents/10.0.0.2:1", "saltbend/agents/10.0.0.3:1"}))
 }
 
@@ -175,29 +175,29 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
-	served := follow(t, fake, 20)
-	g.Eventually(served.sees(0, string(config(1))), patience).Should(BeTrue())
-	peer := serve(t, served)
+	served := startFollower(t, fake, 20)
+	g.Eventually(served.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
+	peer := startServer(t, served)
 	cut := newStore(t) // the same store as another host sees it, with a longer past
 	cut.Put(platform.ConfigKey, config(1))
 	for range 5 {
 		cut.Put("op/other", nil)
 	}
-	refused := follow(t, cut, 20)
-	g.Eventually(refused.sees(0, string(config(1))), patience).Should(BeTrue())
+	refused := startFollower(t, cut, 20)
+	g.Eventually(refused.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
 	cut.Fail(http.StatusServiceUnavailable)
 	fake.Return(fake.Copy())
 	fake.Put(platform.ConfigKey, config(2))
-	publish(t, fake, "10.0.0.1:1")
-	g.Eventually(served.sees(1, string(config(2))), patience).Should(BeTrue())
+	startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(served.hasListing(1, string(config(2))), waitTimeout).Should(BeTrue())
 	g.Eventually(func() bool {
 		refused.Hint(peer, 2)
-		return refused.sees(1, string(config(2)))()
-	}, patience).Should(BeTrue())
+		return refused.hasListing(1, string(config(2)))()
+	}, waitTimeout).Should(BeTrue())
 	g.Expect(refused.listAge().AsOf.Era()).To(BeEquivalentTo(1))
 	readings := cut.Readings()
 	cut.Fail(0) // it answers, and still as before the return
-	g.Eventually(cut.Readings, patience).Should(BeNumerically(">", readings))
+	g.Eventually(cut.Readings, waitTimeout).Should(BeNumerically(">", readings))
 	g.Consistently(func() uint64 { return refused.listAge().AsOf.Era() }, "300ms").Should(BeEquivalentTo(1))
 }
 
@@ -207,22 +207,22 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
-	late := follow(t, fake, 20)
-	g.Eventually(late.sees(0, string(config(1))), patience).Should(BeTrue())
-	source := serve(t, late)
+	late := startFollower(t, fake, 20)
+	g.Eventually(late.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
+	source := startServer(t, late)
 	fake.Return(fake.Copy())
 	ahead := newStore(t) // the same store after its return, as another host sees it
 	ahead.Return(ahead.Copy())
 	ahead.Return(ahead.Copy())
 	ahead.Put(platform.ConfigKey, config(2))
-	f := follow(t, ahead, 20)
-	g.Eventually(f.sees(0, string(config(2))), patience).Should(BeTrue())
+	f := startFollower(t, ahead, 20)
+	g.Eventually(f.hasListing(0, string(config(2))), waitTimeout).Should(BeTrue())
 	f.Listen(source)
 	g.Consistently(func() uint64 { f.News(); return f.listAge().AsOf.Era() }, "300ms").Should(BeEquivalentTo(2))
 	f.Store.SetAddress(netip.MustParseAddrPort(fake.Address())) // answers of era 1
 	f.Hint(netip.AddrPort{}, 0)
-	g.Eventually(f.reachedNow, patience).Should(BeFalse())
-	g.Expect(f.sees(0, string(config(2)))()).To(BeTrue())
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeFalse())
+	g.Expect(f.hasListing(0, string(config(2)))()).To(BeTrue())
 	g.Expect(f.listAge().AsOf.Era()).To(BeEquivalentTo(2))
 }
 
@@ -232,11 +232,11 @@
 	fake := newStore(t)
 	old := fake.Copy()
 	fake.LoseAnswers(1)
-	agent, _ := publish(t, fake, "10.0.0.1:1")
-	g.Eventually(func() []string { return fake.Keys("saltbend/") }, patience).ShouldNot(BeEmpty())
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(func() []string { return fake.Keys("saltbend/") }, waitTimeout).ShouldNot(BeEmpty())
 	fake.Return(old)
 	agent.Era(1)
-	g.Eventually(func() []string { return fake.Keys("saltbend/") }, patience).ShouldNot(BeEmpty())
+	g.Eventually(func() []string { return fake.Keys("saltbend/") }, waitTimeout).ShouldNot(BeEmpty())
 }
 
 // A return is noted as settled in the store, once; what another writer puts there is not
@@ -245,16 +245,16 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put("saltbend/settled-era", []byte("7"))
-	f := follow(t, fake, 1)
-	g.Eventually(f.reachedNow, patience).Should(BeTrue())
+	f := startFollower(t, fake, 1)
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
 	fake.Return(fake.Copy())
-	g.Eventually(func() uint64 { return f.listAge().AsOf.Era() }, patience).Should(BeEquivalentTo(1))
+	g.Eventually(func() uint64 { return f.listAge().AsOf.Era() }, waitTimeout).Should(BeEquivalentTo(1))
 	g.Expect(f.listAge().Relisting).To(BeTrue())
-	g.Eventually(func() string { return string(fake.Value("saltbend/settled-era")) }, patience).Should(Equal("1"))
-	g.Eventually(func() bool { return f.listAge().Relisting }, patience).Should(BeFalse())
-	young := follow(t, fake, 1)
-	g.Eventually(func() uint64 { return young.listAge().AsOf.Era() }, patience).Should(BeEquivalentTo(1))
-	g.Expect(young.listAge().Relisting).To(BeFalse())
+	g.Eventually(func() string { return string(fake.Value("saltbend/settled-era")) }, waitTimeout).Should(Equal("1"))
+	g.Eventually(func() bool { return f.listAge().Relisting }, waitTimeout).Should(BeFalse())
+	started := startFollower(t, fake, 1)
+	g.Eventually(func() uint64 { return started.listAge().AsOf.Era() }, waitTimeout).Should(BeEquivalentTo(1))
+	g.Expect(started.listAge().Relisting).To(BeFalse())
 }
 
 // After a return a balancer keeps the evacuation that the copy lacks. A second reading,
@@ -263,20 +263,20 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
-	f := leading(t, fake)
-	g.Eventually(f.sees(0, string(config(1))), patience).Should(BeTrue())
+	f := startSharedFollower(t, fake)
+	g.Eventually(f.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
 	copied := fake.Copy()
 	fake.Put(platform.EvacuationKey("a"), nil)
-	g.Eventually(f.evacuated, patience).Should(BeTrue())
+	g.Eventually(f.evacuated, waitTimeout).Should(BeTrue())
 	fake.Return(copied)
 	fake.Put(platform.ConfigKey, config(2))
-	g.Eventually(f.sees(0, string(config(2))), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, string(config(2))), waitTimeout).Should(BeTrue())
 	before := f.listAge().AsOf
 	fake.Put(platform.ConfigKey, config(3))
 	readings := fake.Readings()
-	g.Eventually(func() int { f.Hint(netip.AddrPort{}, 0); return fake.Readings() }, patience).Should(BeNumerically(">", readings))
-	g.Eventually(f.sees(0, string(config(3))), patience).Should(BeTrue())
-	for _, item := range changesSince(t, serve(t, f), before) {
+	g.Eventually(func() int { f.Hint(netip.AddrPort{}, 0); return fake.Readings() }, waitTimeout).Should(BeNumerically(">", readings))
+	g.Eventually(f.hasListing(0, string(config(3))), waitTimeout).Should(BeTrue())
+	for _, item := range changesSince(t, startServer(t, f), before) {
 		g.Expect(item.Removed).To(BeFalse(), item.Key)
 	}
 	g.Expect(f.evacuated()).To(BeTrue())
--- a/internal/packetface/registry/retry_test.go
+++ b/internal/packetface/registry/retry_test.go
@@ -13,9 +13,9 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// failing returns a follower of a fleet whose store has just failed, and the pauses before
+// retryPauses returns a follower of a fleet whose store has just failed, and the pauses before
 // its next calls, which fail, too.
-func failing(balancers int, shared bool) (pauses []time.Duration) {
+func retryPauses(balancers int, shared bool) (pauses []time.Duration) {
 	f := NewFollower(nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f.Shared = func() bool { return shared }
 	f.Balancers = func() int { return balancers }
@@ -35,7 +35,7 @@
 // all read the store themselves.
 func TestSharedWatchIsRetriedImmediately(t *testing.T) {
 	g := NewWithT(t)
-	pauses := failing(304, true)
+	pauses := retryPauses(304, true)
 	g.Expect(pauses[0]).To(BeNumerically("<=", 50*time.Millisecond))
 	g.Expect(pauses[1:]).To(HaveEach(BeNumerically(">=", retryMin/2)))
 	g.Expect(pauses[1:]).To(HaveEach(BeNumerically("<=", retryMax)))
@@ -46,9 +46,9 @@
 func TestUnsharedRetryPauseGrowsWithFleetSize(t *testing.T) {
 	g := NewWithT(t)
 	for _, balancers := range []int{304, 608} {
-		for _, pause := range failing(balancers, false) {
+		for _, pause := range retryPauses(balancers, false) {
 			g.Expect(float64(balancers) / pause.Seconds()).To(BeNumerically("<=", 41))
 		}
 	}
-	g.Expect(failing(4, false)).To(HaveEach(BeNumerically("<=", retryMax)), "a small fleet")
+	g.Expect(retryPauses(4, false)).To(HaveEach(BeNumerically("<=", retryMax)), "a small fleet")
 }
--- a/internal/packetface/registry/snapshot_test.go
+++ b/internal/packetface/registry/snapshot_test.go
@@ -19,8 +19,8 @@
 	manyAgents  = 600
 )
 
-// register writes the entries of many agents under one lease.
-func register(t *testing.T, fake *packetplatform.Store, agents int) (lease uint64) {
+// writeAgentEntries writes the entries of many agents under one lease.
+func writeAgentEntries(t *testing.T, fake *packetplatform.Store, agents int) (lease uint64) {
 	g := NewWithT(t)
 	c := client(fake)
 	granted, err := c.Grant(t.Context(), time.Minute)
@@ -39,46 +39,48 @@
 	return granted.ID
 }
 
-// leading returns a balancer that others rely on.
-func leading(t *testing.T, fake *packetplatform.Store) *follower {
-	f := prepare(t, fake, 20)
+// startSharedFollower returns a balancer that others rely on.
+func startSharedFollower(t *testing.T, fake *packetplatform.Store) *follower {
+	f := newFollower(t, fake, 20)
 	f.Shared = func() bool { return true }
 	f.start(t)
 	return f
 }
 
-// starting returns a balancer that starts in a fleet that has run before.
-func starting(t *testing.T, fake *packetplatform.Store) *follower {
-	f := prepare(t, fake, 20)
+// startWithSnapshots returns a balancer that starts in a fleet that has run before.
+func startWithSnapshots(t *testing.T, fake *packetplatform.Store) *follower {
+	f := newFollower(t, fake, 20)
 	f.Snapshots = true
 	f.start(t)
 	return f
 }
 
-// withSnapshot returns a store with many agents, a configuration and a snapshot of both.
-func withSnapshot(t *testing.T) *packetplatform.Store { return snapshotOf(t.Context(), t) }
+// newStoreWithSnapshot returns a store with many agents, a configuration and a snapshot of both.
+func newStoreWithSnapshot(t *testing.T) *packetplatform.Store {
+	return newStoreWithSnapshotUntil(t.Context(), t)
+}
 
-// snapshotOf is the same; the balancer that has written it runs until ctx ends.
-func snapshotOf(ctx context.Context, t *testing.T) *packetplatform.Store {
+// newStoreWithSnapshotUntil is the same; the balancer that has written it runs until ctx ends.
+func newStoreWithSnapshotUntil(ctx context.Context, t *testing.T) *packetplatform.Store {
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
-	register(t, fake, manyAgents)
-	leader := prepare(t, fake, 20)
+	writeAgentEntries(t, fake, manyAgents)
+	leader := newFollower(t, fake, 20)
 	leader.Shared = func() bool { return true }
 	go leader.Run(ctx)
-	NewWithT(t).Eventually(func() []byte { return fake.Value(snapshotKey) }, patience).ShouldNot(BeEmpty())
+	NewWithT(t).Eventually(func() []byte { return fake.Value(snapshotKey) }, waitTimeout).ShouldNot(BeEmpty())
 	return fake
 }
 
 func TestFollowerStartsFromSnapshotAndLaterChanges(t *testing.T) {
 	g := NewWithT(t)
-	fake := withSnapshot(t)
+	fake := newStoreWithSnapshot(t)
 	g.Expect(len(fake.Value(snapshotKey))).To(BeNumerically("<", 20*manyAgents), "bytes, where its entries have 150 each")
 	fake.Put(platform.ConfigKey, config(2))
 	fake.Remove("saltbend/agents/10.0.0.7:1")
 	readings, watches := fake.Readings(), fake.CallsOf("/kv-watch")
-	f := starting(t, fake)
-	g.Eventually(f.sees(manyAgents-1, string(config(2))), patience).Should(BeTrue())
+	f := startWithSnapshots(t, fake)
+	g.Eventually(f.hasListing(manyAgents-1, string(config(2))), waitTimeout).Should(BeTrue())
 	g.Expect(fake.Readings()).To(Equal(readings))
 	g.Expect(fake.CallsOf("/kv-key")).To(Equal(1))
 	g.Expect(fake.CallsOf("/kv-watch")-watches).To(BeNumerically("<=", 4), "some of the balancer that watches")
@@ -88,18 +90,18 @@
 func TestSnapshotOfUnchangedStoreNeedsNoHistory(t *testing.T) {
 	g := NewWithT(t)
 	ctx, stop := context.WithCancel(t.Context())
-	fake := snapshotOf(ctx, t)
+	fake := newStoreWithSnapshotUntil(ctx, t)
 	stop() // its history is gone below, and it would read everything
 	fake.Compact()
 	readings := fake.Readings()
-	f := starting(t, fake)
-	g.Eventually(f.sees(manyAgents, string(config(1))), patience).Should(BeTrue())
+	f := startWithSnapshots(t, fake)
+	g.Eventually(f.hasListing(manyAgents, string(config(1))), waitTimeout).Should(BeTrue())
 	g.Expect(fake.Readings()).To(Equal(readings))
 	g.Expect(f.listAge().AsOf).To(BeNumerically(">", f.listAge().Newest), "up to the snapshot itself")
 }
 
 func TestFollowerReadsStoreWhenSnapshotIsUnusable(t *testing.T) {
-	for name, spoil := range map[string]func(fake *packetplatform.Store){
+	for name, invalidate := range map[string]func(fake *packetplatform.Store){
 		"history is gone": func(fake *packetplatform.Store) {
 			fake.Put(platform.ConfigKey, config(2))
 			fake.Compact()
@@ -111,11 +113,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			fake := withSnapshot(t)
-			spoil(fake)
+			fake := newStoreWithSnapshot(t)
+			invalidate(fake)
 			readings := fake.Readings()
-			f := starting(t, fake)
-			g.Eventually(func() int { agents, _ := f.view(); return agents }, patience).Should(Equal(manyAgents))
+			f := startWithSnapshots(t, fake)
+			g.Eventually(func() int { agents, _ := f.view(); return agents }, waitTimeout).Should(Equal(manyAgents))
 			g.Expect(fake.Readings()).To(BeNumerically(">", readings))
 		})
 	}
@@ -125,13 +127,13 @@
 // one that was written after it is lost with the rest.
 func TestSnapshotInRestoredCopyIsUsed(t *testing.T) {
 	g := NewWithT(t)
-	fake := withSnapshot(t)
+	fake := newStoreWithSnapshot(t)
 	copied := fake.Copy()
 	fake.Remove("saltbend/agents/10.0.0.7:1")
 	fake.Return(copied)
 	fake.Put(platform.ConfigKey, config(3))
-	f := starting(t, fake)
-	g.Eventually(f.sees(manyAgents, string(config(3))), patience).Should(BeTrue())
+	f := startWithSnapshots(t, fake)
+	g.Eventually(f.hasListing(manyAgents, string(config(3))), waitTimeout).Should(BeTrue())
 	g.Expect(f.listAge().AsOf.Era()).To(BeEquivalentTo(1))
 }
 
@@ -139,14 +141,14 @@
 func TestNoSnapshotIsWrittenForSmallFleet(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	register(t, fake, 60)
-	f := leading(t, fake)
-	g.Eventually(f.sees(60, ""), patience).Should(BeTrue())
+	writeAgentEntries(t, fake, 60)
+	f := startSharedFollower(t, fake)
+	g.Eventually(f.hasListing(60, ""), waitTimeout).Should(BeTrue())
 	fake.Put(platform.ConfigKey, config(1))
-	g.Eventually(f.sees(60, string(config(1))), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(60, string(config(1))), waitTimeout).Should(BeTrue())
 	g.Expect(fake.Value(snapshotKey)).To(BeEmpty())
-	late := starting(t, fake)
-	g.Eventually(late.sees(60, string(config(1))), patience).Should(BeTrue())
+	late := startWithSnapshots(t, fake)
+	g.Eventually(late.hasListing(60, string(config(1))), waitTimeout).Should(BeTrue())
 }
 
 // Those that listen do not hear of snapshots, which only a balancer that starts needs.
@@ -154,14 +156,14 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
-	watcher := leading(t, fake)
-	g.Eventually(watcher.sees(0, string(config(1))), patience).Should(BeTrue())
+	watcher := startSharedFollower(t, fake)
+	g.Eventually(watcher.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
 	before := watcher.listAge().AsOf
-	register(t, fake, manyAgents)
-	g.Eventually(func() []byte { return fake.Value(snapshotKey) }, patience).ShouldNot(BeEmpty())
+	writeAgentEntries(t, fake, manyAgents)
+	g.Eventually(func() []byte { return fake.Value(snapshotKey) }, waitTimeout).ShouldNot(BeEmpty())
 	fake.Put(platform.ConfigKey, config(2))
-	g.Eventually(watcher.sees(manyAgents, string(config(2))), patience).Should(BeTrue())
-	for _, item := range changesSince(t, serve(t, watcher), before) {
+	g.Eventually(watcher.hasListing(manyAgents, string(config(2))), waitTimeout).Should(BeTrue())
+	for _, item := range changesSince(t, startServer(t, watcher), before) {
 		g.Expect(item.Key).NotTo(Equal(snapshotKey))
 	}
 }
--- a/internal/packetface/registry/start_test.go
+++ b/internal/packetface/registry/start_test.go
@@ -14,9 +14,9 @@
 
 // Tests of balancers that start with what another one knows.
 
-// waiting returns a follower that waits for a source.
-func waiting(t *testing.T, fake *packetplatform.Store) *follower {
-	f := prepare(t, fake, 20)
+// startAwaitingSource returns a follower that waits for a source.
+func startAwaitingSource(t *testing.T, fake *packetplatform.Store) *follower {
+	f := newFollower(t, fake, 20)
 	f.AwaitSource = true
 	f.start(t)
 	return f
@@ -26,18 +26,18 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
-	publish(t, fake, "10.0.0.1:1")
-	source := prepare(t, fake, 20)
+	startPublishingAgent(t, fake, "10.0.0.1:1")
+	source := newFollower(t, fake, 20)
 	source.known = []steer.Agent{{Addr: netip.MustParseAddrPort("10.0.0.9:1"), Service: 1, DataCentre: "a", Slots: 3}}
 	source.start(t)
-	g.Eventually(source.sees(1, "1"), patience).Should(BeTrue())
+	g.Eventually(source.hasListing(1, "1"), waitTimeout).Should(BeTrue())
 	calls := fake.Calls()
-	f := waiting(t, fake)
-	f.Listen(serve(t, source))
-	g.Eventually(f.sees(1, "1"), patience).Should(BeTrue())
-	g.Eventually(f.asked, patience).Should(Receive(Equal(source.known)), "agents that the store does not list")
+	f := startAwaitingSource(t, fake)
+	f.Listen(startServer(t, source))
+	g.Eventually(f.hasListing(1, "1"), waitTimeout).Should(BeTrue())
+	g.Eventually(f.asked, waitTimeout).Should(Receive(Equal(source.known)), "agents that the store does not list")
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(func() bool { f.News(); return f.sees(1, "2")() }, patience).Should(BeTrue())
+	g.Eventually(func() bool { f.News(); return f.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
 	watches := 2 // of the source: the one that told of the change, and the next
 	g.Expect(fake.Calls() - calls).To(BeNumerically("<=", watches))
 }
@@ -46,20 +46,20 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
-	f := waiting(t, fake)
-	g.Consistently(f.sees(0, "1"), 100*time.Millisecond).Should(BeFalse())
+	f := startAwaitingSource(t, fake)
+	g.Consistently(f.hasListing(0, "1"), 100*time.Millisecond).Should(BeFalse())
 	g.Expect(fake.Readings()).To(BeZero())
 	f.ReadStore()
-	g.Eventually(f.sees(0, "1"), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, "1"), waitTimeout).Should(BeTrue())
 }
 
 func TestFollowerReadsStoreWhenFirstSourceIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
-	f := waiting(t, fake)
+	f := startAwaitingSource(t, fake)
 	f.Listen(netip.MustParseAddrPort("127.0.0.1:1"))
-	g.Eventually(f.sees(0, "1"), patience).Should(BeTrue())
+	g.Eventually(f.hasListing(0, "1"), waitTimeout).Should(BeTrue())
 }
 
 // The store drops its history: the balancer that watches reads everything, and those that
@@ -68,26 +68,26 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
-	leaving, _ := publish(t, fake, "10.0.0.1:1")
-	publish(t, fake, "10.0.0.2:1")
-	watcher := follow(t, fake, 1)
-	g.Eventually(watcher.sees(2, "1"), patience).Should(BeTrue())
-	source := serve(t, watcher)
-	listener := waiting(t, fake)
+	leaving, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	startPublishingAgent(t, fake, "10.0.0.2:1")
+	watcher := startFollower(t, fake, 1)
+	g.Eventually(watcher.hasListing(2, "1"), waitTimeout).Should(BeTrue())
+	source := startServer(t, watcher)
+	listener := startAwaitingSource(t, fake)
 	listener.Listen(source)
-	g.Eventually(listener.sees(2, "1"), patience).Should(BeTrue())
+	g.Eventually(listener.hasListing(2, "1"), waitTimeout).Should(BeTrue())
 	before := listener.listAge().AsOf
 
 	fake.Fail(packetplatform.Silent)
-	g.Eventually(watcher.reachedNow, patience).Should(BeFalse())
+	g.Eventually(watcher.reachedNow, waitTimeout).Should(BeFalse())
 	leaving.Want(nil)
 	fake.Fail(0)
-	g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, patience).Should(HaveLen(1))
+	g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, waitTimeout).Should(HaveLen(1))
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Compact()
-	g.Eventually(watcher.sees(1, "2"), patience).Should(BeTrue())
+	g.Eventually(watcher.hasListing(1, "2"), waitTimeout).Should(BeTrue())
 	g.Expect(changesSince(t, source, before)).To(HaveLen(2), "the configuration, and the agent that is gone")
-	g.Eventually(func() bool { listener.News(); return listener.sees(1, "2")() }, patience).Should(BeTrue())
+	g.Eventually(func() bool { listener.News(); return listener.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
 }
 
 // A balancer that has read the store asks the seeds for what it lacks; one that knows
@@ -95,17 +95,17 @@
 func TestFollowerTakesUnlistedAgentsOfUpToDateSeed(t *testing.T) {
 	g := NewWithT(t)
 	behind, fake := newStore(t), newStore(t)
-	lagging := prepare(t, behind, 20)
+	lagging := newFollower(t, behind, 20)
 	lagging.known = []steer.Agent{{Addr: netip.MustParseAddrPort("10.0.0.8:1"), Service: 1, DataCentre: "a"}}
 	lagging.start(t)
-	seed := prepare(t, fake, 20)
+	seed := newFollower(t, fake, 20)
 	seed.known = []steer.Agent{{Addr: netip.MustParseAddrPort("10.0.0.9:1"), Service: 1, DataCentre: "a"}}
 	fake.Put(platform.ConfigKey, []byte("1"))
 	seed.start(t)
-	g.Eventually(seed.sees(0, "1"), patience).Should(BeTrue())
-	g.Eventually(lagging.reachedNow, patience).Should(BeTrue())
-	f := prepare(t, fake, 20)
-	f.SetSeeds([]netip.AddrPort{serve(t, lagging), serve(t, seed)})
+	g.Eventually(seed.hasListing(0, "1"), waitTimeout).Should(BeTrue())
+	g.Eventually(lagging.reachedNow, waitTimeout).Should(BeTrue())
+	f := newFollower(t, fake, 20)
+	f.SetSeeds([]netip.AddrPort{startServer(t, lagging), startServer(t, seed)})
 	f.start(t)
-	g.Eventually(f.asked, patience).Should(Receive(Equal(seed.known)))
+	g.Eventually(f.asked, waitTimeout).Should(Receive(Equal(seed.known)))
 }
--- a/internal/packetface/registry/writes_test.go
+++ b/internal/packetface/registry/writes_test.go
@@ -17,15 +17,15 @@
 
 // Tests of agents that write their entries by way of balancers.
 
-// serveNothing returns the address of a process that knows no call.
-func serveNothing(t *testing.T) netip.AddrPort {
+// startServerWithoutHandlers returns the address of a process that knows no call.
+func startServerWithoutHandlers(t *testing.T) netip.AddrPort {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// serveSilence returns the address of a process that takes calls and does not answer.
-func serveSilence(t *testing.T) netip.AddrPort {
+// startUnresponsiveServer returns the address of a process that takes calls and does not answer.
+func startUnresponsiveServer(t *testing.T) netip.AddrPort {
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -34,24 +34,24 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// throughSeeds returns how an agent is prepared that knows some balancers.
-func throughSeeds(seeds ...netip.AddrPort) func(*registry.Agent) {
+// withSeeds returns how an agent is prepared that knows some balancers.
+func withSeeds(seeds ...netip.AddrPort) func(*registry.Agent) {
 	return func(a *registry.Agent) { a.SetSeeds(seeds) }
 }
 
 func TestWritesOfStartingAgentsShareCalls(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	balancer := follow(t, fake, 1)
-	g.Eventually(balancer.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, balancer)
+	balancer := startFollower(t, fake, 1)
+	g.Eventually(balancer.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, balancer)
 	const agents = 60
 	writes := fake.CallsOf("/kv-txn")
 	for n := range agents {
-		agent, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
+		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
 		agent.Want(entry)
 	}
-	g.Eventually(balancer.sees(agents, ""), patience).Should(BeTrue())
+	g.Eventually(balancer.hasListing(agents, ""), waitTimeout).Should(BeTrue())
 	g.Expect(fake.CallsOf("/kv-lease")).To(Equal(agents))
 	g.Expect(fake.CallsOf("/kv-txn") - writes).To(BeNumerically("<=", agents/4))
 	g.Expect(fake.CallsOf("/kv-key")).To(BeZero())
@@ -61,15 +61,15 @@
 func TestStaleWriteDoesNotBlockOthersInBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	balancer := follow(t, fake, 1)
-	g.Eventually(balancer.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, balancer)
+	balancer := startFollower(t, fake, 1)
+	g.Eventually(balancer.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, balancer)
 	fake.Put("saltbend/agents/10.0.0.7:1", []byte("left by another writer"))
 	for n := range 20 {
-		agent, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
+		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
 		agent.Want(entry)
 	}
-	g.Eventually(balancer.sees(20, ""), patience).Should(BeTrue())
+	g.Eventually(balancer.hasListing(20, ""), waitTimeout).Should(BeTrue())
 }
 
 // Balancers that are gone, that the store turns away, or that know no such call keep no
@@ -80,18 +80,18 @@
 		"gone": func(*testing.T) netip.AddrPort { return gone },
 		"turned away": func(t *testing.T) netip.AddrPort {
 			refusing := newStore(t)
-			f := follow(t, refusing, 1)
-			NewWithT(t).Eventually(f.reachedNow, patience).Should(BeTrue())
+			f := startFollower(t, refusing, 1)
+			NewWithT(t).Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
 			refusing.Fail(http.StatusServiceUnavailable)
-			return serve(t, f)
+			return startServer(t, f)
 		},
-		"frozen":                func(t *testing.T) netip.AddrPort { return serveSilence(t) },
-		"of an earlier version": func(t *testing.T) netip.AddrPort { return serveNothing(t) },
+		"frozen":                func(t *testing.T) netip.AddrPort { return startUnresponsiveServer(t) },
+		"of an earlier version": func(t *testing.T) netip.AddrPort { return startServerWithoutHandlers(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			fake := newStore(t)
-			agent, entry := runAgent(t, fake, "10.0.0.1:1", throughSeeds(seed(t)))
+			agent, entry := startConfiguredAgent(t, fake, "10.0.0.1:1", withSeeds(seed(t)))
 			agent.Want(entry)
 			g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, 2*time.Second).Should(HaveLen(1), "as soon as entries are to be back")
 		})
@@ -102,24 +102,24 @@
 func TestEntriesAreListedAfterLostAnswerToBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	balancer := follow(t, fake, 1)
-	g.Eventually(balancer.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, balancer)
+	balancer := startFollower(t, fake, 1)
+	g.Eventually(balancer.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, balancer)
 	for n := range 5 {
-		agent, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
+		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
 		fake.LoseAnswers(1)
 		agent.Want(entry)
 	}
-	g.Eventually(balancer.sees(5, ""), patience).Should(BeTrue())
+	g.Eventually(balancer.hasListing(5, ""), waitTimeout).Should(BeTrue())
 }
 
 // A balancer writes entries for agents and nothing else.
 func TestBalancerRejectsWritesOtherThanEntries(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	f := follow(t, fake, 1)
-	g.Eventually(f.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, f)
+	f := startFollower(t, fake, 1)
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, f)
 	for name, body := range map[string]string{
 		"another key":  `{"Key":"saltbend/settled-era","Value":"MQ==","Lease":1}`,
 		"another host": `{"Key":"saltbend/agents/10.0.0.1:1","Value":"e30=","Lease":1}`,
