--- a/internal/packetface/registry/batch_test.go
+++ b/internal/packetface/registry/batch_test.go
@@ -10,8 +10,9 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// simulateWrites plays a time of arrivals in steps of a millisecond, with a store that answers
-// after 4 ms, and returns how many calls are made and the longest that one waited.
+// simulateWrites simulates writes that arrive at the given times, in steps of a
+// millisecond, with a store that answers after 4 ms. It returns the number of calls and
+// the longest wait of a write.
 func simulateWrites(arrivals map[time.Duration]int) (calls int, longest time.Duration) {
 	const answer = 4 * time.Millisecond
 	var b batch[time.Duration]
@@ -42,8 +43,9 @@
 	g.Expect(longest).To(BeZero())
 }
 
-// A first start: 226 agents of 678 write through one of three seeds within the 3 s
-// between their upstreams' heartbeats; then twice as many.
+// At the first start, 226 agents of 678 write through one of three seeds within the 3 s
+// between the heartbeats of their upstreams. Twice as many must not cost more than their
+// share.
 func TestWritesOfFirstStartAreBatched(t *testing.T) {
 	for _, agents := range []int{226, 452} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
@@ -59,7 +61,7 @@
 	}
 }
 
-// A third of a fleet's entries are taken away and come back at once.
+// A third of a fleet's entries are lost, and all are written again at the same time.
 func TestLostEntriesAreRewrittenWithinTwoSeconds(t *testing.T) {
 	for _, agents := range []int{240, 480} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
@@ -79,7 +81,7 @@
 	b.add(pending[int]{platform.Write{Key: "b"}, 3})
 	g.Expect(b.take(time.Second)).To(HaveLen(2))
 	_, ok := b.due(time.Second)
-	g.Expect(ok).To(BeFalse(), "a call is under way")
+	g.Expect(ok).To(BeFalse(), "no call is due while another one is running")
 	b.done()
 	g.Expect(b.take(2 * time.Second)).To(Equal([]pending[int]{{platform.Write{Key: "a"}, 2}}))
 }
--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -20,8 +20,8 @@
 const (
 	changesPath = "/packet/changes"
 	// minRecentChanges and maxRecentBytes bound the changes that are retained for
-	// listeners: at most as many as the store has keys, but always up to
-	// minRecentChanges. Beyond that, the full listing is the shorter answer.
+	// listeners: as many as the store has keys, or minRecentChanges if that is more. For
+	// a listener that lacks more changes, the full listing is the shorter answer.
 	minRecentChanges = 256
 	maxRecentBytes   = 2 << 20
 )
@@ -29,7 +29,8 @@
 // changes are the most recent changes of the store in their order. The zero value has
 // none.
 type changes struct {
-	// All changes after from and up to to are retained. Both positions are of one era.
+	// items are all changes after the position from, up to the position to. Both are of
+	// one era.
 	from, to store.Position
 	items    []platform.Item
 	bytes    int
--- a/internal/packetface/registry/changes_test.go
+++ b/internal/packetface/registry/changes_test.go
@@ -16,17 +16,17 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// Tests of balancers that learn from the watch of another one.
+// Tests of listeners: balancers that fetch the changes from another one, their source.
 
-// startServer lets others reach a follower.
+// startServer starts an HTTP server for a follower and returns its address.
 func startServer(t *testing.T, f *follower) netip.AddrPort {
 	server := httptest.NewServer(handlerOf(f.Follower))
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// changesSince returns what a balancer tells a listener that knows every change up to a
-// position.
+// changesSince returns the changes that a source returns to a listener that knows every
+// change up to a position.
 func changesSince(t *testing.T, source netip.AddrPort, after store.Position) []platform.Item {
 	g := NewWithT(t)
 	var answer registry.Changes
@@ -36,8 +36,8 @@
 	return answer.Items
 }
 
-// startPair returns a follower that watches the store and one that listens to it, and
-// what tells the second of news, as datagrams between them do.
+// startPair returns a follower that watches the store and one whose source it is. notify
+// tells the listener that the source has changes, as a datagram between balancers does.
 func startPair(t *testing.T, fake *packetplatform.Store) (watcher, listener *follower, notify func()) {
 	g := NewWithT(t)
 	watcher = startFollower(t, fake, 1)
@@ -70,11 +70,11 @@
 	fake.Put(platform.ConfigKey, []byte("3"))
 	g.Eventually(bothHave(0, "3"), waitTimeout).Should(BeTrue())
 	g.Expect(listener.listAge().AsOf).To(Equal(watcher.listAge().AsOf))
-	g.Expect(fake.Readings()-readings).To(BeNumerically("<=", 1), "of the watcher, after the loss of history")
+	g.Expect(fake.Readings()-readings).To(BeNumerically("<=", 1), "only the watcher reads all keys after the compaction")
 }
 
-// Changes that its source no longer keeps come as a whole listing, which also takes
-// away what is gone.
+// When the changes that a listener lacks have been evicted, it receives the full listing,
+// which also removes agents that are gone.
 func TestListenerFarBehindReceivesFullListing(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -83,7 +83,7 @@
 	g.Eventually(func() bool { tell(); return listener.hasListing(1, "")() }, waitTimeout).Should(BeTrue())
 	agent.Want(nil)
 	g.Eventually(watcher.hasListing(0, ""), waitTimeout).Should(BeTrue())
-	const more = 1100 // than are kept
+	const more = 1100 // more changes than the source retains
 	for n := range more {
 		fake.Put("servers/x", []byte(strconv.Itoa(n)))
 	}
@@ -92,7 +92,7 @@
 	g.Eventually(func() bool { tell(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
-// A source that does not answer keeps no news away: the store is read.
+// A source that does not answer must not delay changes: the listener reads the store.
 func TestListenerReadsStoreWhenSourceIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -102,7 +102,7 @@
 	g.Eventually(func() bool { listener.News(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
-// One that is told to watch again goes on from what it has.
+// A listener without a source any more watches the store from the position it has.
 func TestListenerWatchesStoreWhenSourceIsUnset(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -112,7 +112,7 @@
 	g.Eventually(listener.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
 
-// On a hint of something newer, which its source does not tell of, it asks the store.
+// After a hint of something newer that the source does not announce, the store is read.
 func TestListenerReadsStoreAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
--- a/internal/packetface/registry/document.go
+++ b/internal/packetface/registry/document.go
@@ -18,8 +18,8 @@
 	err  error
 }
 
-// write answers a request with the document. It calls value at most once for all
-// compressed answers, and for each client that does not accept gzip.
+// write answers a request with the document. It calls value once for all compressed
+// answers, and once for each request whose client does not accept gzip.
 func (d *document) write(w http.ResponseWriter, r *http.Request, value func() any) {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		writeUncompressed(w, value())
--- a/internal/packetface/registry/document_test.go
+++ b/internal/packetface/registry/document_test.go
@@ -9,8 +9,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// BenchmarkChanges answers a listener that lacks one change. A busy source does so for 32
-// listeners at each change.
+// BenchmarkChanges answers a listener that lacks one change. A source with the maximum
+// number of listeners does so 32 times for each change.
 func BenchmarkChanges(b *testing.B) {
 	f := NewFollower(nil, nil)
 	shared := Shared{AsOf: store.At(0, 5)}
--- a/internal/packetface/registry/entry.go
+++ b/internal/packetface/registry/entry.go
@@ -52,7 +52,7 @@
 const maxWarmupMS = math.MaxUint16
 
 // ErrEntry is returned for an entry that cannot be decoded or that no agent has written.
-var ErrEntry = errors.New("registry: unreadable entry")
+var ErrEntry = errors.New("registry: invalid entry")
 
 func agentKey(addr netip.AddrPort) string { return agentPrefix + addr.String() }
 
@@ -92,15 +92,15 @@
 	if err := json.Unmarshal(item.Value, &e); err != nil {
 		return Entry{}, errors.Wrapf(ErrEntry, "key %.80q: %s", item.Key, err.Error())
 	}
-	if field := e.wrong(item.Key); field != "" {
-		return Entry{}, errors.Wrapf(ErrEntry, "key %.80q: %s is missing or wrong", item.Key, field)
+	if field := e.invalidField(item.Key); field != "" {
+		return Entry{}, errors.Wrapf(ErrEntry, "key %.80q: %s is missing or invalid", item.Key, field)
 	}
 	return e, nil
 }
 
-// wrong returns the name of a field whose value no agent writes under the key, or an
+// invalidField returns the name of a field whose value no agent writes under the key, or an
 // empty string if all are valid.
-func (e *Entry) wrong(key string) string {
+func (e *Entry) invalidField(key string) string {
 	switch {
 	case !e.Addr.IsValid() || key != agentKey(e.Addr):
 		return "addr"
--- a/internal/packetface/registry/evacuations_test.go
+++ b/internal/packetface/registry/evacuations_test.go
@@ -32,7 +32,8 @@
 	g.Expect(record.Requests()).To(Equal([]evacuation.Request{{DataCentre: "b", At: 10}}))
 }
 
-// What a request's value says does not matter, nor that no host is there.
+// The key alone requests an evacuation, whatever its value, and even if no host is in the
+// data centre.
 func TestEvacuationKeyWithEmptyValueEvacuates(t *testing.T) {
 	g := NewWithT(t)
 	item := evacuate("nowhere", 5)
@@ -42,7 +43,8 @@
 	g.Expect(record.Word("nowhere").Evacuated).To(BeTrue())
 }
 
-// A balancer that the store turns away learns from another one.
+// A balancer whose calls the store refuses takes the evacuations from a newer listing of
+// a peer and ignores those of an older one.
 func TestMergeReplacesEvacuationsByNewerOnes(t *testing.T) {
 	g := NewWithT(t)
 	knows, _ := registry.NewListing([]platform.Item{evacuate("b", 8)}, 12)
@@ -50,7 +52,7 @@
 	changed, _ := lacks.Merge(knows.Shared())
 	g.Expect(changed).To(BeTrue())
 	record := lacks.Evacuations()
-	g.Expect(record.Requests()).To(Equal([]evacuation.Request{{DataCentre: "b", At: 8}}), "a was taken back meanwhile")
+	g.Expect(record.Requests()).To(Equal([]evacuation.Request{{DataCentre: "b", At: 8}}), "the evacuation of a was withdrawn in the meantime")
 	changed, _ = lacks.Merge(knows.Shared())
 	g.Expect(changed).To(BeFalse())
 	stale, _ := registry.NewListing([]platform.Item{evacuate("a", 5)}, 7)
@@ -58,7 +60,8 @@
 	g.Expect(changed).To(BeFalse())
 }
 
-// A watch that begins at an older revision than a peer's word tells what is over.
+// A watch that begins at an older revision than a peer's listing returns requests that
+// have been withdrawn since.
 func TestReplayedChangeDoesNotRestoreWithdrawnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	l, _ := registry.NewListing(nil, 3)
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -269,8 +269,8 @@
 
 func (f *Follower) isShared() bool { return f.Shared != nil && f.Shared() }
 
-// watch waits for changes. It is cancelled by a hint once it is older than
-// hintMinWatchAge, and when there is a source.
+// watch waits for changes of the store. The wait is cancelled when there is a source, and
+// by a hint once it has lasted for hintMinWatchAge.
 func (f *Follower) watch(ctx context.Context) (changes []platform.Item, asOf store.Position, hinted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan interruption, 1)
@@ -293,8 +293,8 @@
 	interruptedBySource
 )
 
-// awaitInterruption cancels a watch on a hint, once it is older than hintMinWatchAge, or
-// when there is a source. It returns the reason.
+// awaitInterruption cancels a watch when there is a source, or on a hint once the watch is
+// older than hintMinWatchAge. It returns the reason.
 func (f *Follower) awaitInterruption(ctx context.Context, cancel context.CancelFunc) interruption {
 	defer cancel()
 	timer := time.NewTimer(hintMinWatchAge)
--- a/internal/packetface/registry/follow_test.go
+++ b/internal/packetface/registry/follow_test.go
@@ -24,7 +24,7 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// follower keeps what a Follower reports.
+// follower wraps a Follower and records what its callbacks report.
 type follower struct {
 	*registry.Follower
 
@@ -33,10 +33,11 @@
 	config  string
 	reached []bool
 	age     steer.ListAge
-	// evacuations is the number of data centres that are to be emptied.
+	// evacuations is the number of data centres with a requested evacuation.
 	evacuations int
 
-	// known is what the follower tells others, asked takes what they told it.
+	// known are the agents that the follower returns to others; asked receives those that
+	// others returned to it.
 	known []steer.Agent
 	asked chan []steer.Agent
 }
@@ -85,7 +86,7 @@
 	go f.Run(ctx)
 }
 
-// newFollower returns a follower that does not run yet.
+// newFollower returns a follower that is not running yet.
 func newFollower(t *testing.T, fake *packetplatform.Store, balancers int) *follower {
 	f := &follower{Follower: registry.NewFollower(client(fake), discardLog)}
 	f.Changed = func(l *registry.Listing) {
@@ -109,7 +110,7 @@
 	return f
 }
 
-// handlerOf returns how a follower handlerOf other processes.
+// handlerOf returns the HTTP handler of a follower.
 func handlerOf(f *registry.Follower) http.Handler {
 	mux := http.NewServeMux()
 	f.Handle(mux)
@@ -126,19 +127,19 @@
 	return fake
 }
 
-// startPublishingAgent keeps an agent's entry.
+// startPublishingAgent runs an agent that maintains its entry.
 func startPublishingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
 	agent, entry = startAgent(t, fake, addr)
 	agent.Want(entry)
 	return agent, entry
 }
 
-// startInheritingAgent is prepareAgent for a process that follows another one.
+// startInheritingAgent is startAgent for a process that replaces an earlier one.
 func startInheritingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
 	return startConfiguredAgent(t, fake, addr, (*registry.Agent).Inherit)
 }
 
-// storedAgents returns the agents that the store has.
+// storedAgents returns the agents that the store lists.
 func storedAgents(t *testing.T, fake *packetplatform.Store) []steer.Agent {
 	g := NewWithT(t)
 	items, revision, err := client(fake).Range(t.Context(), "")
@@ -147,7 +148,7 @@
 	return l.Agents()
 }
 
-// startAgent runs an agent's agent that wants no entry yet.
+// startAgent runs an agent that wants no entry yet.
 func startAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
 	return startConfiguredAgent(t, fake, addr, func(*registry.Agent) {})
 }
@@ -187,11 +188,11 @@
 	g.Eventually(f.hasListing(1, ""), waitTimeout).Should(BeTrue())
 	fake.Fail(http.StatusServiceUnavailable)
 	g.Eventually(f.reachedNow, waitTimeout).Should(BeFalse())
-	fake.Lapse() // the leases run out while nobody reaches the store
+	fake.Lapse() // the leases expire during the outage
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Fail(0)
 	g.Eventually(f.hasListing(0, "2"), waitTimeout).Should(BeTrue())
-	agent.Hint() // a balancer that misses the entry tells the agent
+	agent.Hint() // as a balancer does that misses the entry
 	g.Eventually(f.hasListing(1, "2"), waitTimeout).Should(BeTrue())
 	g.Expect(f.reachedNow()).To(BeTrue())
 }
@@ -207,8 +208,8 @@
 	g.Eventually(f.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
 
-// A hint ends a watch that waits, so that a deaf one does no harm, and hints in
-// a row do not keep it from being read.
+// A hint ends a waiting watch, so that a watch that misses changes does no harm. Hints in
+// quick succession must not keep the reading from completing.
 func TestHintsMakeFollowerReadStore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -231,7 +232,8 @@
 	g.Eventually(f.hasListing(1, ""), waitTimeout).Should(BeTrue())
 }
 
-// A balancer that the store turns away learns from one that it serves.
+// A balancer whose calls the store refuses merges the listing of one that the store
+// serves.
 func TestFollowerMergesListingOfPeerWhenStoreRefuses(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -254,9 +256,9 @@
 	}, waitTimeout).Should(BeTrue())
 }
 
-// Of two balancers, one saw the entry of an agent that has left since, the other
-// has only read the store afterwards: what the first tells is no news to the
-// second.
+// One balancer has seen the entry of an agent that has left since; the other one has read
+// the store only after that. The listing of the first must not count as newer than that
+// of the second.
 func TestFollowerStartedAfterRemovalIsUpToDate(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -272,8 +274,8 @@
 	g.Expect(late.listAge().Newest).To(BeNumerically("<=", late.listAge().AsOf))
 }
 
-// A balancer that starts while the store does not serve it begins with the newest
-// listing that a seed knows, and goes on from there when the store is back.
+// A balancer that starts while the store refuses calls or does not answer loads the
+// newest listing of a seed, and continues from there when the store answers again.
 func TestFollowerStartsFromSeedWhenStoreFails(t *testing.T) {
 	for name, status := range map[string]int{"refused": http.StatusServiceUnavailable, "silent": packetplatform.Silent} {
 		t.Run(name, func(t *testing.T) { testStartFromSeed(t, status) })
@@ -308,8 +310,8 @@
 	g.Eventually(late.reachedNow, waitTimeout).Should(BeTrue())
 }
 
-// An agent that the store turns away from its start is listed by way of a
-// balancer, and goes back to the straight way later.
+// An agent whose calls the store refuses from its start is listed through a balancer that
+// relays them.
 func TestAgentIsListedThroughSeedWhenStoreRefuses(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -335,8 +337,8 @@
 	g.Eventually(served.hasListing(0, ""), waitTimeout).Should(BeTrue())
 }
 
-// A balancer that starts learns from its seeds of agents whose entries have
-// lapsed; seeds that are gone do not keep it waiting.
+// A balancer that starts receives the agents whose entries have expired from its seeds.
+// Seeds that are down must not delay it.
 func TestFollowerRequestsUnlistedAgentsFromSeeds(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
--- a/internal/packetface/registry/foreign_test.go
+++ b/internal/packetface/registry/foreign_test.go
@@ -17,7 +17,7 @@
 
 const entryText = `{"addr":"10.0.0.1:1","service":"s","dc":"a","slots":3}`
 
-// foreignEntries are texts under an agent's key that no agent writes.
+// foreignEntries are values of an agent's key that no agent writes.
 var foreignEntries = []string{
 	"", "{", "null", "[]", "\xff\xfe", `{"state":"ready"}`,
 	`{"addr":"10.0.0.1:1","service":"","dc":"a","slots":3}`,
@@ -35,8 +35,8 @@
 	return platform.Item{Key: entryKey, Value: []byte(text), At: revision, Lease: lease}
 }
 
-// An entry that another writer wrote over changes nothing of what is known of the agent,
-// but that it is to write it anew.
+// An entry that another program has overwritten leaves the known agent unchanged, but
+// marks it as damaged so that the agent writes the entry again.
 func TestForeignEntryMarksAgentDamagedAndKeepsIt(t *testing.T) {
 	for _, text := range foreignEntries {
 		t.Run(text, func(t *testing.T) {
@@ -59,7 +59,8 @@
 	}
 }
 
-// One that is right but for the lease is nobody's: it would never go.
+// An entry without a lease would never expire, so it is ignored even if it is valid
+// otherwise.
 func TestEntryWithoutLeaseIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	l, unreadable := registry.NewListing([]platform.Item{item(entryText, 4, 0)}, 4)
@@ -67,7 +68,8 @@
 	g.Expect(l.Agents()).To(BeEmpty())
 }
 
-// The agents reach others with the lease that shows whose they are.
+// Entries in a peer's listing carry their leases; without them Merge would reject them as
+// foreign.
 func TestMergedEntriesKeepTheirLease(t *testing.T) {
 	g := NewWithT(t)
 	knows, _ := registry.NewListing([]platform.Item{item(entryText, 4, 7)}, 4)
@@ -77,8 +79,8 @@
 	g.Expect(l.Agents()).To(HaveLen(1))
 }
 
-// A whole round with the store: other writers' keys stop neither pages nor watches, and
-// the agent, once it is told, has its entry back.
+// Keys of other programs must block neither the pages of a reading nor watches. The agent
+// writes its entry again once a balancer sends it a hint.
 func TestOverwrittenEntryIsWrittenAgainAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -119,7 +121,7 @@
 		l, _ := registry.NewListing([]platform.Item{item(string(text), 4, 7)}, 4)
 		for _, a := range l.Agents() {
 			if a.Addr.String() != "10.0.0.1:1" || a.DataCentre == "" || a.Slots < 0 || a.Service == 0 {
-				t.Fatalf("%+v was taken", a)
+				t.Fatalf("agent accepted from an invalid entry: %+v", a)
 			}
 		}
 	})
--- a/internal/packetface/registry/inherit_test.go
+++ b/internal/packetface/registry/inherit_test.go
@@ -10,8 +10,8 @@
 	"github.com/saltbend/saltbend/internal/packetface/steer"
 )
 
-// What an upstream has shown of its warm-up outlives the agent's process: it is wanted
-// after a common loss of power, when nobody else remembers it.
+// The observed warm-up time of an upstream must survive a restart of the agent. It is
+// needed after a simultaneous loss of power, when no other process has it any more.
 func TestInheritedWarmupIsKeptInNewEntry(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -29,7 +29,7 @@
 	g.Eventually(warmups, waitTimeout).Should(Receive(Equal(2 * time.Second)))
 
 	second, later := startInheritingAgent(t, fake, "10.0.0.1:1")
-	later.Slots = 9 // a change, so that the entry is written anew
+	later.Slots = 9 // a change, so that the entry is written again
 	second.Want(later)
 	g.Eventually(func() []steer.Agent { return storedAgents(t, fake) }, waitTimeout).Should(ConsistOf(And(
 		HaveField("Slots", 9), HaveField("Warmup", 2*time.Second))))
--- a/internal/packetface/registry/listing.go
+++ b/internal/packetface/registry/listing.go
@@ -129,15 +129,15 @@
 // position of the reading. Keys retained from an earlier era until they are written again
 // do not count as missing.
 func (l *Listing) differences(all []platform.Item, known, asOf store.Position) (out []platform.Item) {
-	there := make(map[string]bool, len(all))
+	present := make(map[string]bool, len(all))
 	for _, item := range all {
-		there[item.Key] = true
+		present[item.Key] = true
 		if item.At > known {
 			out = append(out, item)
 		}
 	}
 	for _, item := range l.Shared().Entries {
-		if !there[item.Key] && item.At.SameEra(asOf) {
+		if !present[item.Key] && item.At.SameEra(asOf) {
 			out = append(out, platform.Item{Key: item.Key, At: asOf, Removed: true})
 		}
 	}
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -28,9 +28,9 @@
 // get a hint and read at once.
 const verifyWindow = 2 * time.Second
 
-// agentReturns counts restores of the store from an older copy that an agent has
+// agentRestores counts restores of the store from an older copy that an agent has
 // detected.
-var agentReturns = metrics.NewCounter(`saltbend_packet_entry_returns_total`)
+var agentRestores = metrics.NewCounter(`saltbend_packet_entry_returns_total`)
 
 // Agent maintains the entry of an agent in the store.
 type Agent struct {
@@ -183,8 +183,8 @@
 	p := a.publisher
 	before := p.era
 	p.ObserveEra(a.Clock(), era, within)
-	if p.returned && p.era != before {
-		agentReturns.Inc()
+	if p.restored && p.era != before {
+		agentRestores.Inc()
 		a.Log.Warn("Store came back older; the entry will be read again.", "era_before", before, "era", era,
 			"listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "within_ms", within.Milliseconds())
 	}
@@ -234,7 +234,7 @@
 }
 
 // write sends the entry to a balancer, which combines the writes of many agents into one
-// call. If no balancer is reached, it writes the entry to the store directly.
+// call. If no balancer has received the write, it calls the store on the current route.
 func (a *Agent) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
 	at, err = a.routes.writeViaBalancer(ctx, w)
 	if !errors.Is(err, errNotSent) {
@@ -245,7 +245,7 @@
 		return at, err
 	}
 	if a.routes.current == 0 && !errors.Is(err, errNoWriter) {
-		a.Log.Info("No balancer accepted the entry; writing it without one.", "error", err.Error())
+		a.Log.Info("No balancer accepted the entry; writing it to the store directly.", "error", err.Error())
 	}
 	at, err = calls.Apply(ctx, w)
 	a.observeAnswerEra()
--- a/internal/packetface/registry/publisher.go
+++ b/internal/packetface/registry/publisher.go
@@ -43,8 +43,8 @@
 // String returns the name of the step as it appears in logs.
 func (s Step) String() string { return stepNames[s] }
 
-// Publisher decides which call of the store is due so that it holds the wanted entry.
-// Times are those of a monotonic clock.
+// Publisher decides which call is due so that the store holds the wanted entry. Times are
+// those of a monotonic clock.
 type Publisher struct {
 	key string
 	// wanted is the text that should be in the store, nil for none.
@@ -71,7 +71,7 @@
 	// older copy since the entry was last read; verifyAt is the latest time for the next
 	// reading.
 	era      uint64
-	returned bool
+	restored bool
 	verifyAt time.Duration
 }
 
@@ -117,7 +117,7 @@
 	}
 	p.era = era
 	if p.lease.ID != 0 || p.written != nil || p.withdrawn {
-		p.returned, p.verifyAt = true, now+within
+		p.restored, p.verifyAt = true, now+within
 	}
 }
 
@@ -127,7 +127,7 @@
 // Next returns the call that is due.
 func (p *Publisher) Next(now time.Duration) Step {
 	step := p.next(now)
-	if p.returned && (step != StepNone || p.withdrawn || now >= p.verifyAt) {
+	if p.restored && (step != StepNone || p.withdrawn || now >= p.verifyAt) {
 		return StepRead
 	}
 	return step
@@ -184,7 +184,7 @@
 	if p.lease.ID != 0 {
 		due = p.renewed + p.lease.TTL/renewDivisor - now
 	}
-	if p.returned {
+	if p.restored {
 		due = min(due, p.verifyAt-now)
 	}
 	return max(0, due)
@@ -251,10 +251,10 @@
 	switch {
 	case p.inherit:
 		p.adoptLease(item.Lease)
-	case p.returned:
+	case p.restored:
 		p.verify(item)
 	}
-	p.inherit, p.returned = false, false
+	p.inherit, p.restored = false, false
 }
 
 // adoptLease continues with the lease of the entry that was read. Its remaining time is
--- a/internal/packetface/registry/publisher_test.go
+++ b/internal/packetface/registry/publisher_test.go
@@ -47,7 +47,7 @@
 	g.Expect(p.Next(0)).To(Equal(StepNone))
 	g.Expect(p.Listed()).To(BeFalse())
 
-	p.Want(entryText) // another life begins
+	p.Want(entryText) // the upstream has started again
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
 	p.Granted(platform.Lease{ID: 8, TTL: leaseTTL}, 0)
 	g.Expect(p.Next(0)).To(Equal(StepRead))
@@ -55,12 +55,12 @@
 	g.Expect(p.Write()).To(Equal(platform.Write{Key: "k", Expected: store.Create, Value: entryText, Lease: 8}))
 }
 
-// After whatever may have changed the entry, it is read before it is written.
+// After any event that may have changed the entry, it is read before it is written.
 func TestPublisherReadsBeforeWritingWhenUncertain(t *testing.T) {
 	cases := map[string]func(*Publisher){
-		"another wrote":        func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrConflict, "apply")) },
-		"the answer was lost":  func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrOutcomeUnknown, "apply")) },
-		"a hint that it lacks": func(p *Publisher) { p.Hint(time.Second) },
+		"write conflict":          func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrConflict, "apply")) },
+		"answer lost":             func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrOutcomeUnknown, "apply")) },
+		"hint that it is missing": func(p *Publisher) { p.Hint(time.Second) },
 	}
 	for name, event := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,7 +107,8 @@
 	g.Expect(p.Next(time.Minute)).To(Equal(StepNone))
 }
 
-// An agent that no balancer calls asks cheaply, and reads only now and then.
+// While no balancer contacts the agent, it checks its lease by renewals and reads the
+// entry only every idleReadInterval.
 func TestIdlePublisherRenewsLeaseAndReadsRarely(t *testing.T) {
 	g := NewWithT(t)
 	p := newPublished(g)
@@ -122,7 +123,7 @@
 	g.Expect(p.Next(idleReadInterval)).To(Equal(StepGrant))
 }
 
-// newInherited returns a publisher of a process that found the entry of the one before.
+// newInherited returns a publisher that has found the entry of the previous process.
 func newInherited(g *WithT, left []byte) *Publisher {
 	p := NewPublisher("k")
 	p.Inherit()
@@ -133,13 +134,13 @@
 	return p
 }
 
-// After a common loss of power all agents come back at once: each goes on with its
-// entry, and no balancer has to hear of a change.
+// After a simultaneous loss of power all agents restart at once. Each reuses its entry,
+// so that balancers receive no changes.
 func TestPublisherReusesInheritedEntry(t *testing.T) {
 	g := NewWithT(t)
 	p := newInherited(g, entryText)
 	g.Expect(p.asOf).To(BeEquivalentTo(30))
-	g.Expect(p.Next(0)).To(Equal(StepRenew)) // how much of the lease is left is not known
+	g.Expect(p.Next(0)).To(Equal(StepRenew)) // the remaining time of the lease is not known
 	p.Renewed(nil, 0)
 	g.Expect(p.Next(0)).To(Equal(StepNone)) // the upstream has not reported yet
 	p.Want(entryText)
@@ -150,8 +151,8 @@
 	g.Expect(p.Write()).To(Equal(platform.Write{Key: "k", Expected: 9, Value: []byte("other"), Lease: 7}))
 }
 
-// An agent that leaves ends the entry at its address, whoever wrote it: else it stays
-// in all lists until its lease lapses.
+// An agent that leaves ends the lease of the entry at its address, whoever wrote it.
+// Otherwise the entry would stay in all listings until the lease expires.
 func TestPublisherEndsInheritedLeaseWhenWithdrawn(t *testing.T) {
 	g := NewWithT(t)
 	p := newInherited(g, entryText)
@@ -166,7 +167,7 @@
 	g := NewWithT(t)
 	p := newInherited(g, entryText)
 	p.Renewed(errors.Wrap(platform.ErrLeaseEnded, "renew"), 0)
-	g.Expect(p.Next(0)).To(Equal(StepNone)) // nothing is known of the upstream yet
+	g.Expect(p.Next(0)).To(Equal(StepNone)) // the upstream has not reported yet
 	p.Want(entryText)
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
 	p.Granted(platform.Lease{ID: 8, TTL: leaseTTL}, 0)
--- a/internal/packetface/registry/restore.go
+++ b/internal/packetface/registry/restore.go
@@ -17,8 +17,8 @@
 const (
 	// rewriteTime is how long operators have to write again what the store lost when it
 	// was restored from an older copy. They detect the restore by the era of the store's
-	// answers and take some seconds. Data retained for them unnecessarily restricts the
-	// choice of agents, but ends no flow.
+	// answers and take some seconds. An evacuation that is retained for them although it
+	// was withdrawn restricts the choice of agents for new flows, but ends no flow.
 	rewriteTime = 8 * time.Second
 	// settleSpread is the maximum random delay that is added, so that one balancer
 	// records the era as settled and the others receive that as a change.
@@ -27,9 +27,9 @@
 	settleRetryInterval = 1 * time.Second
 )
 
-// storeReturns counts restores of the store from an older copy, each of which begins
+// storeRestores counts restores of the store from an older copy, each of which begins
 // another era.
-var storeReturns = metrics.NewCounter(`saltbend_packet_store_returns_total`)
+var storeRestores = metrics.NewCounter(`saltbend_packet_store_returns_total`)
 
 // summary is what the log shows of a listing.
 type summary struct {
@@ -56,7 +56,7 @@
 	if before.asOf == 0 {
 		return // the first listing
 	}
-	storeReturns.Inc()
+	storeRestores.Inc()
 	f.Log.Warn("Store came back older.", "before", before.asOf, "as_of", now.asOf, "agents_before", before.agents, "agents", now.agents,
 		"config_before", before.configAt, "config_at", now.configAt, "evacuations_before", before.evacuations, "evacuations", now.evacuations)
 }
--- a/internal/packetface/registry/restore_test.go
+++ b/internal/packetface/registry/restore_test.go
@@ -13,17 +13,17 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Tests of a store that comes back from a copy some seconds old.
+// Tests with a store that is restored from a copy some seconds old.
 
 // config returns the text of a configuration.
 func config(version int) []byte { return fmt.Appendf(nil, `{"version":%d}`, version) }
 
-// A data centre whose balancers all listened to watchers elsewhere served three
-// configurations late, the first by 5.2 s, after the store had come back from a copy.
-// The watchers read it anew and said so: "Store read." revision=48. The listeners knew
-// revision 52 of before ("Store reached." revision=52) and took all that their source
-// told for older than that: versions 24, 27 and 31 had the revisions 49, 50 and 51.
-// Version 35 got revision 53, and all three adopted it within 80 ms, from version 21.
+// Guards against listeners that ignore changes of a restored store because its revisions
+// are lower than those they know. In a data centre that had only listeners, three
+// configurations took effect late, the first by 5.2 s: the watchers had read the restored
+// store at revision 48, but the listeners were at revision 52 and ignored versions 24, 27
+// and 31, which had the revisions 49, 50 and 51. Version 35 got revision 53, and all
+// three listeners adopted it within 80 ms, from version 21.
 func TestListenerAppliesChangesAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -39,7 +39,7 @@
 	fake.Put(platform.ConfigKey, config(21))
 	g.Eventually(bothHave(string(config(21))), waitTimeout).Should(BeTrue())
 	old := fake.Copy()
-	for range 4 { // what is lost
+	for range 4 { // changes that the restore loses
 		fake.Put("op/other", nil)
 	}
 	g.Eventually(func() store.Position { return watcher.listAge().AsOf }, waitTimeout).Should(Equal(store.At(0, fake.Revision())))
@@ -50,8 +50,8 @@
 	g.Eventually(bothHave(string(config(24))), waitTimeout).Should(BeTrue())
 }
 
-// A watch goes on where the store has that revision again, without telling what lies
-// between: the era of its answer tells.
+// When a restored store has reached the revision of the follower again, a watch continues
+// without the changes in between. The follower must detect that by the era of the answer.
 func TestFollowerReadsAllKeysWhenRevisionIsReused(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -66,8 +66,9 @@
 	g.Eventually(f.hasListing(0, string(config(3))), waitTimeout).Should(BeTrue())
 }
 
-// The copy has an older configuration until operators write theirs again. It is not
-// taken over, nor offered to others, and neither is one that they write again on the way.
+// The restored store has an older configuration until operators write the current one
+// again. Neither that nor another older one that operators write first may replace the
+// known configuration.
 func TestOlderConfigurationInCopyIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -84,8 +85,8 @@
 	g.Eventually(f.hasListing(1, string(config(4))), waitTimeout).Should(BeTrue())
 }
 
-// A balancer that starts while the copy has an older configuration hears from agents of
-// the one in force and takes it from the balancer that told them.
+// A balancer that starts while the restored store has an older configuration gets a hint
+// of the current one from agents, and fetches it from the balancer that the hint names.
 func TestFollowerStartedAfterRestoreTakesConfigurationOfPeer(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -106,8 +107,8 @@
 	g.Consistently(func() string { _, config := late.view(); return config }, "1s").Should(Equal(string(config(2))))
 }
 
-// Two returns, the second before anybody has noticed the first, with the history dropped
-// in between.
+// The store is restored a second time before any balancer has detected the first restore,
+// and drops its history in between.
 func TestFollowerCatchesUpAfterTwoRestores(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -128,8 +129,8 @@
 	}
 }
 
-// A peer of the era before tells of agents and configurations as it knew them; what a
-// later era has disproved does not come back.
+// A peer that has not detected the restore has agents and configurations of the earlier
+// era. Merging its listing must not bring back what has been removed or replaced since.
 func TestMergeIgnoresListingOfEarlierEra(t *testing.T) {
 	g := NewWithT(t)
 	agent := item(entryText, store.At(1, 40), 7)
@@ -144,11 +145,11 @@
 	g.Expect(changed).To(BeTrue())
 	g.Expect(before.AsOf).To(Equal(store.At(2, 30)))
 	g.Expect(before.Config).To(Equal(config(3)))
-	g.Expect(before.Agents()).To(HaveLen(1), "what the other lacks may live")
+	g.Expect(before.Agents()).To(HaveLen(1), "an agent that the other listing lacks may be running")
 }
 
-// Agents whose entries the copy lacks are listed again, and one whose lease has the
-// number of another agent's does not keep that one's entry.
+// Agents whose entries the restored store lacks are listed again. Lease IDs are granted a
+// second time, so an agent that leaves must not end the lease of another one.
 func TestAgentsAreListedAgainAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -162,7 +163,7 @@
 	}
 	fake.Return(old)
 	for _, k := range agentsByAddr {
-		k.Era(1) // balancers tell
+		k.Era(1) // as balancers report it
 	}
 	g.Eventually(f.hasListing(3, ""), waitTimeout).Should(BeTrue())
 	agentsByAddr["10.0.0.1:1"].Want(nil)
@@ -170,7 +171,8 @@
 	g.Expect(fake.Keys("saltbend/agents/")).To(Equal([]string{"saltbend/agents/10.0.0.2:1", "saltbend/agents/10.0.0.3:1"}))
 }
 
-// A balancer that the store turns away hears of the return from one that it serves.
+// A balancer whose calls the store refuses detects the restore by the listing of one that
+// the store serves.
 func TestFollowerDetectsRestoreFromPeerWhenStoreRefuses(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -178,7 +180,7 @@
 	served := startFollower(t, fake, 20)
 	g.Eventually(served.hasListing(0, string(config(1))), waitTimeout).Should(BeTrue())
 	peer := startServer(t, served)
-	cut := newStore(t) // the same store as another host sees it, with a longer past
+	cut := newStore(t) // the same store as another host sees it, at a higher revision
 	cut.Put(platform.ConfigKey, config(1))
 	for range 5 {
 		cut.Put("op/other", nil)
@@ -196,13 +198,13 @@
 	}, waitTimeout).Should(BeTrue())
 	g.Expect(refused.listAge().AsOf.Era()).To(BeEquivalentTo(1))
 	readings := cut.Readings()
-	cut.Fail(0) // it answers, and still as before the return
+	cut.Fail(0) // it answers again, still in the era before the restore
 	g.Eventually(cut.Readings, waitTimeout).Should(BeNumerically(">", readings))
 	g.Consistently(func() uint64 { return refused.listAge().AsOf.Era() }, "300ms").Should(BeEquivalentTo(1))
 }
 
-// A listener that has heard of the return elsewhere takes nothing from a source that has
-// not, nor from the store's own answers of the era before.
+// A listener that has detected the restore elsewhere ignores a source that has not, and
+// late answers of the store in the earlier era.
 func TestLateAnswersOfEarlierEraAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -226,7 +228,8 @@
 	g.Expect(f.listAge().AsOf.Era()).To(BeEquivalentTo(2))
 }
 
-// The answer to an agent's write is lost, and the store returns from a copy without it.
+// The answer to an agent's write is lost, and the store is restored from a copy without
+// the entry.
 func TestEntryIsWrittenAgainAfterLostAnswerAndRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -239,8 +242,8 @@
 	g.Eventually(func() []string { return fake.Keys("saltbend/") }, waitTimeout).ShouldNot(BeEmpty())
 }
 
-// A return is noted as settled in the store, once; what another writer puts there is not
-// believed.
+// A restore is recorded in the store as settled, once. A value that another program
+// writes to that key must be ignored.
 func TestEraIsRecordedAsSettledAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -257,8 +260,8 @@
 	g.Expect(started.listAge().Relisting).To(BeFalse())
 }
 
-// After a return a balancer keeps the evacuation that the copy lacks. A second reading,
-// after a hint, must not tell those that listen that it was taken back.
+// After a restore a balancer retains the evacuation that the copy lacks. A second
+// reading, after a hint, must not report it to listeners as withdrawn.
 func TestReadingAfterRestoreReportsNoRemovals(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
--- a/internal/packetface/registry/retry_test.go
+++ b/internal/packetface/registry/retry_test.go
@@ -13,8 +13,8 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// retryPauses returns a follower of a fleet whose store has just failed, and the pauses before
-// its next calls, which fail, too.
+// retryPauses returns the pauses before the next five calls of a follower whose store has
+// just failed, all of which fail, too.
 func retryPauses(balancers int, shared bool) (pauses []time.Duration) {
 	f := NewFollower(nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f.Shared = func() bool { return shared }
@@ -30,9 +30,9 @@
 	return pauses
 }
 
-// A watch that is cut may have waited for most of the 2 s for which what was last heard
-// counts as new. If the next call came 200 ms later or more, those that rely on it would
-// all read the store themselves.
+// A watch that is cut may have waited for most of the 2 s for which the store's last
+// answer counts as recent. If the retry came 200 ms later or more, all balancers that
+// share the watch would read the store themselves.
 func TestSharedWatchIsRetriedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	pauses := retryPauses(304, true)
@@ -41,8 +41,8 @@
 	g.Expect(pauses[1:]).To(HaveEach(BeNumerically("<=", retryMax)))
 }
 
-// While the store is away each balancer is alone: all together make some 20 to 40 calls a
-// second, whatever their number.
+// While the store is down no balancer shares the watch of another one. All of them
+// together make some 20 to 40 calls a second, whatever the size of the fleet.
 func TestUnsharedRetryPauseGrowsWithFleetSize(t *testing.T) {
 	g := NewWithT(t)
 	for _, balancers := range []int{304, 608} {
@@ -50,5 +50,5 @@
 			g.Expect(float64(balancers) / pause.Seconds()).To(BeNumerically("<=", 41))
 		}
 	}
-	g.Expect(retryPauses(4, false)).To(HaveEach(BeNumerically("<=", retryMax)), "a small fleet")
+	g.Expect(retryPauses(4, false)).To(HaveEach(BeNumerically("<=", retryMax)), "a small fleet retries within retryMax")
 }
--- a/internal/packetface/registry/routes.go
+++ b/internal/packetface/registry/routes.go
@@ -65,31 +65,31 @@
 // setSeeds sets the control addresses of the balancers that relay calls and write
 // entries.
 func (w *storeRoutes) setSeeds(seeds []netip.AddrPort) {
-	detours := make([]*platform.Store, len(seeds))
+	relays := make([]*platform.Store, len(seeds))
 	for i, seed := range seeds {
-		detours[i] = w.direct.Through(seed)
+		relays[i] = w.direct.Through(seed)
 	}
-	w.relays.Store(&detours)
+	w.relays.Store(&relays)
 	w.writers.Store(&seeds)
 }
 
 func (w *storeRoutes) seeds() []*platform.Store {
-	if detours := w.relays.Load(); detours != nil {
-		return *detours
+	if relays := w.relays.Load(); relays != nil {
+		return *relays
 	}
 	return nil
 }
 
 // store returns the client for the route to use now.
 func (w *storeRoutes) store(now time.Duration) *platform.Store {
-	detours := w.seeds()
-	if w.current > len(detours) || now >= w.until {
+	relays := w.seeds()
+	if w.current > len(relays) || now >= w.until {
 		w.current = 0
 	}
 	if w.current == 0 {
 		return w.direct
 	}
-	return detours[w.current-1]
+	return relays[w.current-1]
 }
 
 // useNext switches to the next route after a failed call.
--- a/internal/packetface/registry/snapshot_test.go
+++ b/internal/packetface/registry/snapshot_test.go
@@ -12,7 +12,7 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// Tests of balancers that start with the snapshot in the store.
+// Tests of balancers that start from the snapshot in the store.
 
 const (
 	snapshotKey = "saltbend/listing"
@@ -39,7 +39,7 @@
 	return granted.ID
 }
 
-// startSharedFollower returns a balancer that others rely on.
+// startSharedFollower returns a running balancer whose watch others share.
 func startSharedFollower(t *testing.T, fake *packetplatform.Store) *follower {
 	f := newFollower(t, fake, 20)
 	f.Shared = func() bool { return true }
@@ -55,12 +55,14 @@
 	return f
 }
 
-// newStoreWithSnapshot returns a store with many agents, a configuration and a snapshot of both.
+// newStoreWithSnapshot returns a store with many agents, a configuration and a snapshot
+// of both.
 func newStoreWithSnapshot(t *testing.T) *packetplatform.Store {
 	return newStoreWithSnapshotUntil(t.Context(), t)
 }
 
-// newStoreWithSnapshotUntil is the same; the balancer that has written it runs until ctx ends.
+// newStoreWithSnapshotUntil is newStoreWithSnapshot with a context that ends the balancer
+// that writes the snapshot.
 func newStoreWithSnapshotUntil(ctx context.Context, t *testing.T) *packetplatform.Store {
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
@@ -75,7 +77,7 @@
 func TestFollowerStartsFromSnapshotAndLaterChanges(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStoreWithSnapshot(t)
-	g.Expect(len(fake.Value(snapshotKey))).To(BeNumerically("<", 20*manyAgents), "bytes, where its entries have 150 each")
+	g.Expect(len(fake.Value(snapshotKey))).To(BeNumerically("<", 20*manyAgents), "bytes for each agent; an uncompressed entry has 150")
 	fake.Put(platform.ConfigKey, config(2))
 	fake.Remove("saltbend/agents/10.0.0.7:1")
 	readings, watches := fake.Readings(), fake.CallsOf("/kv-watch")
@@ -83,33 +85,34 @@
 	g.Eventually(f.hasListing(manyAgents-1, string(config(2))), waitTimeout).Should(BeTrue())
 	g.Expect(fake.Readings()).To(Equal(readings))
 	g.Expect(fake.CallsOf("/kv-key")).To(Equal(1))
-	g.Expect(fake.CallsOf("/kv-watch")-watches).To(BeNumerically("<=", 4), "some of the balancer that watches")
+	g.Expect(fake.CallsOf("/kv-watch")-watches).To(BeNumerically("<=", 4), "some are of the balancer that wrote the snapshot")
 }
 
-// Nothing changes any more, and the store has dropped its history: the snapshot holds on.
+// If nothing has changed since the snapshot, it is usable even after the store has
+// dropped its history.
 func TestSnapshotOfUnchangedStoreNeedsNoHistory(t *testing.T) {
 	g := NewWithT(t)
 	ctx, stop := context.WithCancel(t.Context())
 	fake := newStoreWithSnapshotUntil(ctx, t)
-	stop() // its history is gone below, and it would read everything
+	stop() // else it would read all keys after the compaction below
 	fake.Compact()
 	readings := fake.Readings()
 	f := startWithSnapshots(t, fake)
 	g.Eventually(f.hasListing(manyAgents, string(config(1))), waitTimeout).Should(BeTrue())
 	g.Expect(fake.Readings()).To(Equal(readings))
-	g.Expect(f.listAge().AsOf).To(BeNumerically(">", f.listAge().Newest), "up to the snapshot itself")
+	g.Expect(f.listAge().AsOf).To(BeNumerically(">", f.listAge().Newest), "the listing is as of the snapshot's own write")
 }
 
 func TestFollowerReadsStoreWhenSnapshotIsUnusable(t *testing.T) {
 	for name, invalidate := range map[string]func(fake *packetplatform.Store){
-		"history is gone": func(fake *packetplatform.Store) {
+		"history dropped": func(fake *packetplatform.Store) {
 			fake.Put(platform.ConfigKey, config(2))
 			fake.Compact()
 		},
-		"other writer":     func(fake *packetplatform.Store) { fake.Put(snapshotKey, []byte("not a snapshot")) },
-		"of the future":    func(fake *packetplatform.Store) { fake.Put(snapshotKey, []byte("\xff\xff\xff\xff\xff\xff\xff\xff")) },
-		"removed":          func(fake *packetplatform.Store) { fake.Remove(snapshotKey) },
-		"an empty listing": func(fake *packetplatform.Store) { fake.Put(snapshotKey, make([]byte, 8)) },
+		"other writer":           func(fake *packetplatform.Store) { fake.Put(snapshotKey, []byte("not a snapshot")) },
+		"revision in the future": func(fake *packetplatform.Store) { fake.Put(snapshotKey, []byte("\xff\xff\xff\xff\xff\xff\xff\xff")) },
+		"removed":                func(fake *packetplatform.Store) { fake.Remove(snapshotKey) },
+		"an empty listing":       func(fake *packetplatform.Store) { fake.Put(snapshotKey, make([]byte, 8)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -123,8 +126,8 @@
 	}
 }
 
-// The store comes back from a copy. The snapshot that the copy holds tells of its own past;
-// one that was written after it is lost with the rest.
+// The store is restored from a copy that has a snapshot. That snapshot belongs to the
+// history of the copy and is usable; a later one is lost with the other later changes.
 func TestSnapshotInRestoredCopyIsUsed(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStoreWithSnapshot(t)
@@ -137,7 +140,7 @@
 	g.Expect(f.listAge().AsOf.Era()).To(BeEquivalentTo(1))
 }
 
-// A fleet whose entries come in one call has no use for a snapshot.
+// A fleet whose entries fit in one call needs no snapshot.
 func TestNoSnapshotIsWrittenForSmallFleet(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -151,7 +154,8 @@
 	g.Eventually(late.hasListing(60, string(config(1))), waitTimeout).Should(BeTrue())
 }
 
-// Those that listen do not hear of snapshots, which only a balancer that starts needs.
+// Only starting balancers need the snapshot, so it is not among the changes for
+// listeners.
 func TestChangesForListenersOmitSnapshot(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
--- a/internal/packetface/registry/start_test.go
+++ b/internal/packetface/registry/start_test.go
@@ -12,9 +12,9 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// Tests of balancers that start with what another one knows.
+// Tests of balancers that load their first listing from another one.
 
-// startAwaitingSource returns a follower that waits for a source.
+// startAwaitingSource returns a running follower that waits for a source.
 func startAwaitingSource(t *testing.T, fake *packetplatform.Store) *follower {
 	f := newFollower(t, fake, 20)
 	f.AwaitSource = true
@@ -38,7 +38,7 @@
 	g.Eventually(f.asked, waitTimeout).Should(Receive(Equal(source.known)), "agents that the store does not list")
 	fake.Put(platform.ConfigKey, []byte("2"))
 	g.Eventually(func() bool { f.News(); return f.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
-	watches := 2 // of the source: the one that told of the change, and the next
+	watches := 2 // of the source: the one that returned the change, and the next
 	g.Expect(fake.Calls() - calls).To(BeNumerically("<=", watches))
 }
 
@@ -62,8 +62,8 @@
 	g.Eventually(f.hasListing(0, "1"), waitTimeout).Should(BeTrue())
 }
 
-// The store drops its history: the balancer that watches reads everything, and those that
-// listen to it get the few changes since, also that a key is gone.
+// When the store drops its history, the watching balancer reads all keys. Its listeners
+// receive only the differences, including removed keys.
 func TestListenersReceiveDifferencesAfterCompaction(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -86,12 +86,12 @@
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Compact()
 	g.Eventually(watcher.hasListing(1, "2"), waitTimeout).Should(BeTrue())
-	g.Expect(changesSince(t, source, before)).To(HaveLen(2), "the configuration, and the agent that is gone")
+	g.Expect(changesSince(t, source, before)).To(HaveLen(2), "the configuration, and the removed agent")
 	g.Eventually(func() bool { listener.News(); return listener.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
 }
 
-// A balancer that has read the store asks the seeds for what it lacks; one that knows
-// less of the store than it can't tell, and one of an earlier version tells all.
+// A balancer that has read the store requests the agents that it lacks from the seeds. A
+// seed with an older listing refuses, and its agents must not appear in the result.
 func TestFollowerTakesUnlistedAgentsOfUpToDateSeed(t *testing.T) {
 	g := NewWithT(t)
 	behind, fake := newStore(t), newStore(t)
--- a/internal/packetface/registry/writes_test.go
+++ b/internal/packetface/registry/writes_test.go
@@ -15,16 +15,17 @@
 	"github.com/saltbend/saltbend/internal/packetface/registry"
 )
 
-// Tests of agents that write their entries by way of balancers.
+// Tests of agents whose entries balancers write.
 
-// startServerWithoutHandlers returns the address of a process that knows no call.
+// startServerWithoutHandlers returns the address of a server that has none of the paths.
 func startServerWithoutHandlers(t *testing.T) netip.AddrPort {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// startUnresponsiveServer returns the address of a process that takes calls and does not answer.
+// startUnresponsiveServer returns the address of a server that accepts requests and does
+// not answer.
 func startUnresponsiveServer(t *testing.T) netip.AddrPort {
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -34,7 +35,7 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// withSeeds returns how an agent is prepared that knows some balancers.
+// withSeeds returns a function that sets the seeds of an agent.
 func withSeeds(seeds ...netip.AddrPort) func(*registry.Agent) {
 	return func(a *registry.Agent) { a.SetSeeds(seeds) }
 }
@@ -57,7 +58,7 @@
 	g.Expect(fake.CallsOf("/kv-key")).To(BeZero())
 }
 
-// One of many that write together has an entry there that it does not know of.
+// One write of a batch conflicts with an existing entry that its agent does not know of.
 func TestStaleWriteDoesNotBlockOthersInBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -72,13 +73,13 @@
 	g.Eventually(balancer.hasListing(20, ""), waitTimeout).Should(BeTrue())
 }
 
-// Balancers that are gone, that the store turns away, or that know no such call keep no
-// entry away.
+// An entry must be written even if the balancer is down, refused by the store, frozen, or
+// of a version without this request.
 func TestEntryIsWrittenDirectlyWhenBalancersFail(t *testing.T) {
 	gone := netip.MustParseAddrPort("127.0.0.1:1")
 	for name, seed := range map[string]func(t *testing.T) netip.AddrPort{
 		"gone": func(*testing.T) netip.AddrPort { return gone },
-		"turned away": func(t *testing.T) netip.AddrPort {
+		"refused by the store": func(t *testing.T) netip.AddrPort {
 			refusing := newStore(t)
 			f := startFollower(t, refusing, 1)
 			NewWithT(t).Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
@@ -93,12 +94,13 @@
 			fake := newStore(t)
 			agent, entry := startConfiguredAgent(t, fake, "10.0.0.1:1", withSeeds(seed(t)))
 			agent.Want(entry)
-			g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, 2*time.Second).Should(HaveLen(1), "as soon as entries are to be back")
+			g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, 2*time.Second).Should(HaveLen(1), "within the time in which a lost entry must be listed again")
 		})
 	}
 }
 
-// The answer to a call for many is lost: each finds out what became of its own write.
+// The answer to a call for several agents is lost. Each agent finds out by reading
+// whether its own write was done.
 func TestEntriesAreListedAfterLostAnswerToBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
@@ -113,7 +115,7 @@
 	g.Eventually(balancer.hasListing(5, ""), waitTimeout).Should(BeTrue())
 }
 
-// A balancer writes entries for agents and nothing else.
+// A balancer writes entries for agents and rejects any other write.
 func TestBalancerRejectsWritesOtherThanEntries(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
