--- a/internal/packetface/watchshare/size_test.go
+++ b/internal/packetface/watchshare/size_test.go
@@ -18,38 +18,38 @@
 const (
 	// callsPerSecond bounds the calls of all balancers together in calm.
 	callsPerSecond = 5
-	// trying bounds those while the store answers nobody: each is paid for, too.
-	trying = 50
-	// listenersMost bounds those that rely on one host.
-	listenersMost = 32
+	// outageCallsPerSecond bounds those while the store answers nobody: each is paid for, too.
+	outageCallsPerSecond = 50
+	// maxListenersPerHost bounds those that rely on one host.
+	maxListenersPerHost = 32
 )
 
-func atEachSize(t *testing.T, test func(g *WithT, f *fleet)) {
+func forEachSize(t *testing.T, test func(g *WithT, f *fleet)) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			f := newFleet(size, 7)
 			test(NewWithT(t), f)
-			NewWithT(t).Expect(f.busiest).To(BeNumerically("<=", listenersMost), "listeners of one host")
+			NewWithT(t).Expect(f.maxListeners).To(BeNumerically("<=", maxListenersPerHost), "listeners of one host")
 		})
 	}
 }
 
-// callsIn returns the calls that are made in a time.
-func (f *fleet) callsIn(d time.Duration) int {
+// callsDuring returns the calls that are made in a time.
+func (f *fleet) callsDuring(d time.Duration) int {
 	before := f.calls
 	f.run(d)
 	return f.calls - before
 }
 
-func TestALargeFleetStartsWithFewReadings(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
-		g.Expect(f.callsIn(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
+func TestStartOfLargeFleetCostsFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
+		g.Expect(f.callsDuring(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
 		g.Expect(f.behind()).To(BeEmpty())
 	})
 }
 
-func TestChangesCostALargeFleetFewCalls(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestChangesInLargeFleetCostFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		before := f.calls
 		for range 20 {
@@ -61,13 +61,13 @@
 	})
 }
 
-func TestALargeFleetComesBackFromALossOfPowerWithFewReadings(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestSimultaneousRestartOfLargeFleetCostsFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		for _, m := range f.members {
 			f.start(m)
 		}
-		calls := f.callsIn(500 * time.Millisecond)
+		calls := f.callsDuring(500 * time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 		g.Expect(calls).To(BeNumerically("<=", 20))
 	})
@@ -75,14 +75,14 @@
 
 // The first word of a seed that has just started tells how large the fleet is, and its
 // own reading may take long.
-func TestABalancerWaitsForASeedThatIsReading(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestStartingBalancerWaitsForSeedThatReadsStore(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
-		f.reading = 150 * time.Millisecond
+		f.readingTime = 150 * time.Millisecond
 		for _, m := range f.members {
 			f.start(m)
 		}
-		calls := f.callsIn(600 * time.Millisecond)
+		calls := f.callsDuring(600 * time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 		g.Expect(calls).To(BeNumerically("<=", 20))
 	})
@@ -90,23 +90,23 @@
 
 // While the store is away every balancer learns that its news are old at the same time.
 // When it is back, all know a change soon.
-func TestALargeFleetAsksRarelyWhileTheStoreIsAway(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestLargeFleetCallsStoreRarelyDuringOutage(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		f.down = true
 		f.run(watchshare.StaleAfter + 500*time.Millisecond) // each has noticed
-		g.Expect(f.callsIn(4 * time.Second)).To(BeNumerically("<=", 4*trying))
+		g.Expect(f.callsDuring(4 * time.Second)).To(BeNumerically("<=", 4*outageCallsPerSecond))
 		f.down = false
 		f.change()
 		f.run(watchshare.StaleAfter)
 		g.Expect(f.behind()).To(BeEmpty())
 		f.run(3 * time.Second)
-		g.Expect(f.callsIn(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
+		g.Expect(f.callsDuring(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
 	})
 }
 
-func TestALargeFleetFindsOtherSourcesWhenItsWatchersDie(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestListenersFindSourcesAfterAllWatchersFail(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		for _, m := range f.members {
 			if _, listens := m.share.Source(); !listens {
@@ -117,19 +117,19 @@
 		f.run(watchshare.StaleAfter + 700*time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 		f.run(6 * time.Second)
-		g.Expect(f.callsIn(6*time.Second)).To(BeNumerically("<=", 6*callsPerSecond*2), "all seeds are gone")
+		g.Expect(f.callsDuring(6*time.Second)).To(BeNumerically("<=", 6*callsPerSecond*2), "all seeds are gone")
 	})
 }
 
 // A rolling restart of half of the balancers, some of them seeds.
-func TestARollingRestartOfALargeFleetCostsFewCalls(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestRollingRestartOfLargeFleetCostsFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		before := f.calls
 		const restarts = 100
 		for n := range restarts {
 			m := f.members[n]
-			f.post(m, m.share.Leave(f.clock(m)))
+			f.send(m, m.share.Leave(f.clock(m)))
 			f.run(100 * time.Millisecond)
 			f.start(m)
 		}
--- a/internal/packetface/watchshare/start.go
+++ b/internal/packetface/watchshare/start.go
@@ -14,22 +14,22 @@
 
 // Times of a start.
 const (
-	// startEvery is the time between two requests of a balancer that knows nothing.
-	startEvery = 15 * time.Millisecond
-	// startLook is the time between two requests of one that has read the store itself:
+	// startRequestInterval is the time between two requests of a balancer that knows nothing.
+	startRequestInterval = 15 * time.Millisecond
+	// startSearchInterval is the time between two requests of one that has read the store itself:
 	// others that start at the same moment have become sources meanwhile.
-	startLook = 60 * time.Millisecond
-	// restartPatience is how long it waits for a seed's first word, fleetPatience for
+	startSearchInterval = 60 * time.Millisecond
+	// seedReplyTimeout is how long it waits for a seed's first word, fleetPatience for
 	// the seed's own reading where the fleet is known to be large: a reading of 1,000
 	// agents takes some 100 ms on a link of 20 Mbit/s.
-	restartPatience = 25 * time.Millisecond
-	fleetPatience   = 400 * time.Millisecond
-	// firstPatience is the same when the whole system starts for the first time: the
+	seedReplyTimeout = 25 * time.Millisecond
+	seedReadTimeout  = 400 * time.Millisecond
+	// firstStartTimeout is the same when the whole system starts for the first time: the
 	// seeds may come later, and callers later yet.
-	firstPatience = 2 * time.Second
-	// sizeKnown is the age from which on the number of balancers that have asked tells
+	firstStartTimeout = 2 * time.Second
+	// sizeKnownAfter is the age from which on the number of balancers that have asked tells
 	// whether the fleet is small.
-	sizeKnown = 500 * time.Millisecond
+	sizeKnownAfter = 500 * time.Millisecond
 )
 
 // start is what a balancer knows of its own start.
@@ -37,20 +37,20 @@
 	// seed tells that others name this host as a seed, first that the whole system
 	// starts for the first time.
 	seed, first bool
-	// small tells that by the word of another balancer the fleet shares no watches.
-	small bool
+	// smallFleet tells that by the word of another balancer the fleet shares no watches.
+	smallFleet bool
 }
 
 // SetStart tells how the process starts: whether it is a seed of others, and whether
 // the whole system starts for the first time.
 func (s *State) SetStart(seed, first bool) { s.start.seed, s.start.first = seed, first }
 
-// young reports whether the process knows nothing of the store yet.
-func (s *State) young() bool { return s.asOf == 0 }
+// lacksListing reports whether the process knows nothing of the store yet.
+func (s *State) lacksListing() bool { return s.asOf == 0 }
 
-// awaits reports whether news of a host are wanted as the process knows nothing yet.
-func (s *State) awaits(host netip.Addr) bool {
-	return s.young() && !s.source.IsValid() && slices.Contains(s.seeds, host)
+// awaitsSeed reports whether news of a host are wanted as the process knows nothing yet.
+func (s *State) awaitsSeed(host netip.Addr) bool {
+	return s.lacksListing() && !s.source.IsValid() && slices.Contains(s.seeds, host)
 }
 
 // ReadsStore reports whether a process that knows nothing yet is to read the store
@@ -64,18 +64,18 @@
 	}
 	switch {
 	case s.start.first:
-		return now >= firstPatience
-	case s.fleet >= fleetLeast:
-		return now >= fleetPatience
+		return now >= firstStartTimeout
+	case s.fleetSize >= minFleetToShare:
+		return now >= seedReadTimeout
 	}
-	return s.start.small || now >= restartPatience
+	return s.start.smallFleet || now >= seedReplyTimeout
 }
 
-// tickYoung asks for a source.
-func (s *State) tickYoung(now time.Duration) []Send {
+// tickStarting asks for a source.
+func (s *State) tickStarting(now time.Duration) []Send {
 	if s.start.seed || now < s.nextAsk {
 		return nil
 	}
-	s.nextAsk = now + startEvery
+	s.nextAsk = now + startRequestInterval
 	return s.askAny(now)
 }
--- a/internal/packetface/watchshare/watchshare_test.go
+++ b/internal/packetface/watchshare/watchshare_test.go
@@ -23,28 +23,28 @@
 	step = 4 * time.Millisecond
 	// firstStart is when the whole system starts for the first time.
 	firstStart = time.Second
-	// retry is the time after which a failed call is made again by one that others rely
+	// retryPause is the time after which a failed call is made again by one that others rely
 	// on, retryPart what each balancer adds to that of another one.
-	retry     = time.Second
-	retryPart = 50 * time.Millisecond
+	retryPause       = time.Second
+	retryPerBalancer = 50 * time.Millisecond
 )
 
 // member is a balancer of the fleet.
 type member struct {
 	host  netip.Addr
 	share *watchshare.State
-	// knows is the revision that it knows, checked when the store last answered it.
-	knows   store.Position
-	checked time.Duration
-	// began is when it was started.
-	began time.Duration
+	// knownRevision is the revision that it knownRevision, checked when the store last answered it.
+	knownRevision store.Position
+	lastCall      time.Duration
+	// started is when it was started.
+	started time.Duration
 	// dead members are gone, frozen ones stand still, cut ones don't reach the store.
 	dead, frozen, cut bool
 	// failed tells that its last call was.
 	failed bool
 }
 
-type letter struct {
+type message struct {
 	due      time.Duration
 	from, to netip.Addr
 	news     *inner.News
@@ -53,21 +53,21 @@
 
 // fleet is all of it. behind holds since when a member lacks the newest revision.
 type fleet struct {
-	random  *rand.Rand
-	now     time.Duration
-	members []*member
-	byHost  map[netip.Addr]*member
-	letters []letter
-	loss    float64
+	random   *rand.Rand
+	now      time.Duration
+	members  []*member
+	byHost   map[netip.Addr]*member
+	inFlight []message
+	loss     float64
 	// revision is the store's, changed when it was last changed.
 	revision store.Position
 	changed  time.Duration
-	// calls counts those to the store, busiest the most listeners of a member.
-	calls, busiest int
+	// calls counts those to the store, maxListeners the most listeners of a member.
+	calls, maxListeners int
 	// down tells that the store answers nobody, reading is how long it takes to answer one
 	// that knows nothing.
-	down    bool
-	reading time.Duration
+	down        bool
+	readingTime time.Duration
 }
 
 func host(n int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}) }
@@ -84,52 +84,52 @@
 
 // start starts a member anew.
 func (f *fleet) start(m *member) {
-	m.dead, m.frozen, m.began = false, false, f.now
+	m.dead, m.frozen, m.started = false, false, f.now
 	m.share = watchshare.New(m.host, rand.New(rand.NewPCG(f.random.Uint64(), 2)))
 	seeds := []netip.Addr{host(1), host(2), host(3)}
 	m.share.SetSeeds(seeds)
 	m.share.SetStart(slices.Contains(seeds, m.host), f.now == firstStart)
-	m.knows, m.checked = 0, 0
+	m.knownRevision, m.lastCall = 0, 0
 }
 
 // clock returns the time as a member counts it.
-func (f *fleet) clock(m *member) time.Duration { return f.now - m.began + 1 }
+func (f *fleet) clock(m *member) time.Duration { return f.now - m.started + 1 }
 
-// ask makes a member's call of the store.
-func (f *fleet) ask(m *member) {
+// callStore makes a member's call of the store.
+func (f *fleet) callStore(m *member) {
 	f.calls++
-	m.checked, m.failed = f.now, m.cut || f.down
-	if m.failed || m.knows == 0 && f.reading > 0 {
+	m.lastCall, m.failed = f.now, m.cut || f.down
+	if m.failed || m.knownRevision == 0 && f.readingTime > 0 {
 		return // tick takes the answer when it is there
 	}
-	f.answered(m)
+	f.handleAnswer(m)
 }
 
-func (f *fleet) answered(m *member) {
-	f.post(m, m.share.Heard(f.clock(m)))
-	f.know(m, f.revision)
+func (f *fleet) handleAnswer(m *member) {
+	f.send(m, m.share.Heard(f.clock(m)))
+	f.setKnown(m, f.revision)
 }
 
-func (f *fleet) know(m *member, revision store.Position) {
-	m.knows = max(m.knows, revision)
-	f.post(m, m.share.Known(f.clock(m), m.knows))
+func (f *fleet) setKnown(m *member, revision store.Position) {
+	m.knownRevision = max(m.knownRevision, revision)
+	f.send(m, m.share.Known(f.clock(m), m.knownRevision))
 }
 
-func (f *fleet) post(m *member, messages []watchshare.Send) {
+func (f *fleet) send(m *member, messages []watchshare.Send) {
 	for _, s := range messages {
 		if f.random.Float64() >= f.loss {
-			f.letters = append(f.letters, letter{due: f.now + step, from: m.host, to: s.To, news: s.News, follow: s.Follow})
+			f.inFlight = append(f.inFlight, message{due: f.now + step, from: m.host, to: s.To, news: s.News, follow: s.Follow})
 		}
 	}
 }
 
-func (f *fleet) at(host netip.Addr) *member { return f.byHost[host] }
+func (f *fleet) memberAt(host netip.Addr) *member { return f.byHost[host] }
 
 // run lets time pass.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += step {
-		due := f.letters
-		f.letters = nil
+		due := f.inFlight
+		f.inFlight = nil
 		for _, l := range due {
 			f.deliver(l)
 		}
@@ -141,43 +141,43 @@
 	}
 }
 
-func (f *fleet) deliver(l letter) {
-	m := f.at(l.to)
+func (f *fleet) deliver(l message) {
+	m := f.memberAt(l.to)
 	switch {
 	case l.due > f.now:
-		f.letters = append(f.letters, l)
+		f.inFlight = append(f.inFlight, l)
 	case m.dead || m.frozen:
 	case l.news == nil:
-		f.post(m, m.share.Request(f.clock(m), l.from, l.follow))
+		f.send(m, m.share.Request(f.clock(m), l.from, l.follow))
 	default:
-		f.post(m, m.share.News(f.clock(m), l.from, *l.news))
+		f.send(m, m.share.News(f.clock(m), l.from, *l.news))
 	}
 }
 
 // tick is what the shell does: watch the store, or fetch what the source has told of.
 func (f *fleet) tick(m *member) {
 	now := f.clock(m)
-	f.post(m, m.share.Tick(now, f.size(m)))
-	f.busiest = max(f.busiest, m.share.Listeners(now))
+	f.send(m, m.share.Tick(now, f.size(m)))
+	f.maxListeners = max(f.maxListeners, m.share.Listeners(now))
 	source, listens := m.share.Source()
 	switch {
 	case listens && m.share.Behind():
-		if peer := f.at(source); !peer.dead && !peer.frozen {
-			f.know(m, peer.knows)
+		if peer := f.memberAt(source); !peer.dead && !peer.frozen {
+			f.setKnown(m, peer.knownRevision)
 		}
-	case listens || m.knows == 0 && !m.share.ReadsStore(now):
-	case m.knows == 0 && m.checked > 0 && !m.failed:
-		if f.now-m.checked >= f.reading {
-			f.answered(m)
+	case listens || m.knownRevision == 0 && !m.share.ReadsStore(now):
+	case m.knownRevision == 0 && m.lastCall > 0 && !m.failed:
+		if f.now-m.lastCall >= f.readingTime {
+			f.handleAnswer(m)
 		}
-	case m.knows == 0 && m.checked == 0 || f.now-m.checked >= f.pause(m) || m.knows < f.revision && !m.failed:
-		f.ask(m)
+	case m.knownRevision == 0 && m.lastCall == 0 || f.now-m.lastCall >= f.pause(m) || m.knownRevision < f.revision && !m.failed:
+		f.callStore(m)
 	}
 }
 
 // size is the number of balancers as a member learns it from agents, once it knows any.
 func (f *fleet) size(m *member) int {
-	if m.knows == 0 {
+	if m.knownRevision == 0 {
 		return 1
 	}
 	return len(f.members)
@@ -189,9 +189,9 @@
 	case !m.failed:
 		return watchshare.WatchWait
 	case m.share.Listeners(f.clock(m)) > 0:
-		return retry
+		return retryPause
 	}
-	return max(retry, time.Duration(len(f.members))*retryPart)
+	return max(retryPause, time.Duration(len(f.members))*retryPerBalancer)
 }
 
 func (f *fleet) change() { f.revision, f.changed = f.revision+1, f.now }
@@ -209,14 +209,14 @@
 // behind returns members that reach the store and lack its newest revision.
 func (f *fleet) behind() (hosts []string) {
 	for _, m := range f.members {
-		if !m.dead && !m.frozen && !m.cut && m.knows < f.revision {
+		if !m.dead && !m.frozen && !m.cut && m.knownRevision < f.revision {
 			hosts = append(hosts, m.host.String())
 		}
 	}
 	return hosts
 }
 
-func TestFewWatchInCalm(t *testing.T) {
+func TestFewBalancersWatchInStableFleet(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(60, 1)
 	f.run(6 * time.Second)
@@ -231,7 +231,7 @@
 	g.Expect(f.calls - before).To(BeNumerically("<=", 100))
 }
 
-func TestASmallFleetWatchesItself(t *testing.T) {
+func TestAllBalancersWatchInSmallFleet(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(8, 1)
 	f.run(6 * time.Second)
@@ -240,21 +240,21 @@
 
 // Whatever becomes of the watchers, a change reaches every balancer that reaches the
 // store within the time that a configuration may take.
-func TestAChangeArrivesWhateverBecomesOfTheSource(t *testing.T) {
+func TestChangeArrivesWhenWatchersFail(t *testing.T) {
 	const limit = watchshare.StaleAfter + 300*time.Millisecond
-	fates := map[string]func(*member){
+	faults := map[string]func(*member){
 		"dead":               func(m *member) { m.dead = true },
 		"frozen":             func(m *member) { m.frozen = true },
 		"cut from the store": func(m *member) { m.cut = true },
 	}
-	for name, fate := range fates {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newFleet(30, 3)
 			f.run(6 * time.Second)
 			for _, m := range f.members {
 				if _, listens := m.share.Source(); !listens {
-					fate(m)
+					fault(m)
 				}
 			}
 			f.change()
@@ -266,13 +266,13 @@
 
 // A watcher that is told to stop says so, and its listeners go to another one
 // before what they know is too old: they make no calls of their own.
-func TestListenersOfOneThatLeavesFindAnother(t *testing.T) {
+func TestListenersFindSourceWhenWatcherStops(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(60, 1)
 	f.run(6 * time.Second)
 	for n := range 3 {
 		m := f.members[n]
-		f.post(m, m.share.Leave(f.clock(m)))
+		f.send(m, m.share.Leave(f.clock(m)))
 		f.run(500 * time.Millisecond)
 		m.dead = true
 		f.run(1500 * time.Millisecond)
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestNewsOfStrangersIsPassedOver(t *testing.T) {
+func TestNewsOfUnrequestedSenderIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	s := watchshare.New(host(9), rand.New(rand.NewPCG(1, 2)))
 	s.Heard(time.Second)
@@ -294,7 +294,7 @@
 	g.Expect(listens).To(BeFalse())
 }
 
-func TestListenersAreBounded(t *testing.T) {
+func TestNumberOfListenersIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	s := watchshare.New(host(9), rand.New(rand.NewPCG(1, 2)))
 	s.Heard(time.Second)
@@ -307,31 +307,31 @@
 // Random histories: deaths, restarts, freezes, cuts and losses in any order. Whoever
 // has run, and reached the store, for long enough knows a change, and nobody listens
 // in a circle for longer than that.
-func TestEveryChangeArrives(t *testing.T) {
+func TestChangesArriveUnderRandomFaults(t *testing.T) {
 	const changes = 5
-	everyChangeArrives(t, changes)
+	checkEveryChangeArrives(t, changes)
 }
 
 // The same while the store comes back from copies: its revisions go back, and a balancer
 // that has not noticed must not keep one that has from what is new.
-func TestEveryChangeArrivesThroughReturns(t *testing.T) {
+func TestChangesArriveUnderRandomFaultsAndRestores(t *testing.T) {
 	const changesAndReturns = 7
-	everyChangeArrives(t, changesAndReturns)
+	checkEveryChangeArrives(t, changesAndReturns)
 }
 
-// comeBack lets the store return from a copy.
-func (f *fleet) comeBack() {
+// restoreStore lets the store return from a copy.
+func (f *fleet) restoreStore() {
 	back := f.random.Uint64N(f.revision.Revision())
 	f.revision, f.changed = store.At(f.revision.Era()+1, f.revision.Revision()-back), f.now
 }
 
-// everyChangeArrives plays steps of the first kinds: faults, changes, returns.
-func everyChangeArrives(t *testing.T, kinds int) {
+// checkEveryChangeArrives plays steps of the first kinds: faults, changes, returns.
+func checkEveryChangeArrives(t *testing.T, kinds int) {
 	const limit = watchshare.StaleAfter + 500*time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(12, 24).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
 		f.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
-		calm := map[*member]time.Duration{}
+		lastEvent := map[*member]time.Duration{}
 		for range rapid.IntRange(3, 25).Draw(t, "steps") {
 			m := f.members[rapid.IntRange(0, len(f.members)-1).Draw(t, "member")]
 			switch rapid.IntRange(0, kinds).Draw(t, "step") {
@@ -344,15 +344,15 @@
 			case 3:
 				m.cut = !m.cut
 			case 6, 7:
-				f.comeBack()
+				f.restoreStore()
 			default:
 				f.change()
 			}
-			calm[m] = f.now
+			lastEvent[m] = f.now
 			f.run(time.Duration(rapid.SampledFrom([]int{10, 200, 900, 2600}).Draw(t, "ms")) * time.Millisecond)
 			for _, m := range f.members {
-				out := m.dead || m.frozen || m.cut || m.knows >= f.revision
-				if !out && f.now-max(f.changed, calm[m]) > limit {
+				exempt := m.dead || m.frozen || m.cut || m.knownRevision >= f.revision
+				if !exempt && f.now-max(f.changed, lastEvent[m]) > limit {
 					t.Fatalf("%s lacks revision %s of %s for %s; %s", m.host, f.revision, f.changed, f.now-f.changed, describe(m))
 				}
 			}
@@ -362,12 +362,12 @@
 
 func describe(m *member) string {
 	source, listens := m.share.Source()
-	return fmt.Sprintf("knows %s, listens %t to %s", m.knows, listens, source)
+	return fmt.Sprintf("knows %s, listens %t to %s", m.knownRevision, listens, source)
 }
 
 // A source that has not noticed that the store came back, or is of a version that does
 // not tell, would keep its listener from all that is new.
-func TestASourceOfAnEarlierEraIsNotListenedTo(t *testing.T) {
+func TestSourceOfEarlierEraIsAbandoned(t *testing.T) {
 	g := NewWithT(t)
 	s := watchshare.New(host(2), rand.New(rand.NewPCG(1, 2)))
 	s.SetSeeds([]netip.Addr{host(1)})
