--- a/internal/packetface/watchshare/size_test.go
+++ b/internal/packetface/watchshare/size_test.go
@@ -10,17 +10,19 @@
 	"github.com/saltbend/saltbend/internal/packetface/watchshare"
 )
 
-// Tests of the largest fleet in service and of one of twice its balancers: what the
-// store is asked does not grow with them, nor does what one host serves.
+// Tests of the largest fleet in production and of one with twice its balancers. Neither
+// the calls of the store nor the listeners of one host may grow with the number of
+// balancers.
 
 var sizes = []int{304, 608}
 
 const (
-	// callsPerSecond bounds the calls of all balancers together in calm.
+	// callsPerSecond bounds the calls of all balancers together while nothing fails.
 	callsPerSecond = 5
-	// outageCallsPerSecond bounds those while the store answers nobody: each is paid for, too.
+	// outageCallsPerSecond bounds the calls while the store answers no balancer; each of
+	// these is paid for, too.
 	outageCallsPerSecond = 50
-	// maxListenersPerHost bounds those that rely on one host.
+	// maxListenersPerHost bounds the listeners of one host.
 	maxListenersPerHost = 32
 )
 
@@ -34,7 +36,7 @@
 	}
 }
 
-// callsDuring returns the calls that are made in a time.
+// callsDuring runs the fleet for some time and returns the number of calls made.
 func (f *fleet) callsDuring(d time.Duration) int {
 	before := f.calls
 	f.run(d)
@@ -57,7 +59,7 @@
 			f.run(500 * time.Millisecond)
 			g.Expect(f.behind()).To(BeEmpty())
 		}
-		g.Expect(f.calls-before).To(BeNumerically("<=", 10*callsPerSecond+20*3), "one of each of three watchers for a change")
+		g.Expect(f.calls-before).To(BeNumerically("<=", 10*callsPerSecond+20*3), "three watching balancers make one call each for a change")
 	})
 }
 
@@ -73,8 +75,8 @@
 	})
 }
 
-// The first word of a seed that has just started tells how large the fleet is, and its
-// own reading may take long.
+// The first news of a seed that has just started show that the fleet is large. Starting
+// balancers then have to wait for the seed's own reading, even if it takes long.
 func TestStartingBalancerWaitsForSeedThatReadsStore(t *testing.T) {
 	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
@@ -88,13 +90,14 @@
 	})
 }
 
-// While the store is away every balancer learns that its news are old at the same time.
-// When it is back, all know a change soon.
+// In an outage of the store the listings of all balancers become stale at the same time,
+// and they must not all call the store. After the outage every balancer receives a change
+// soon.
 func TestLargeFleetCallsStoreRarelyDuringOutage(t *testing.T) {
 	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		f.down = true
-		f.run(watchshare.StaleAfter + 500*time.Millisecond) // each has noticed
+		f.run(watchshare.StaleAfter + 500*time.Millisecond) // every balancer has detected the outage
 		g.Expect(f.callsDuring(4 * time.Second)).To(BeNumerically("<=", 4*outageCallsPerSecond))
 		f.down = false
 		f.change()
@@ -117,11 +120,11 @@
 		f.run(watchshare.StaleAfter + 700*time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 		f.run(6 * time.Second)
-		g.Expect(f.callsDuring(6*time.Second)).To(BeNumerically("<=", 6*callsPerSecond*2), "all seeds are gone")
+		g.Expect(f.callsDuring(6*time.Second)).To(BeNumerically("<=", 6*callsPerSecond*2), "all seeds are down")
 	})
 }
 
-// A rolling restart of half of the balancers, some of them seeds.
+// Restarts a part of the balancers one after the other, among them the seeds.
 func TestRollingRestartOfLargeFleetCostsFewCalls(t *testing.T) {
 	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
@@ -135,6 +138,6 @@
 		}
 		f.run(2 * time.Second)
 		g.Expect(f.behind()).To(BeEmpty())
-		g.Expect(f.calls-before).To(BeNumerically("<=", 12*callsPerSecond+30), "12 s, and some for the three seeds")
+		g.Expect(f.calls-before).To(BeNumerically("<=", 12*callsPerSecond+30), "calls of 12 s, and 30 for the restarts of the three seeds")
 	})
 }
--- a/internal/packetface/watchshare/start.go
+++ b/internal/packetface/watchshare/start.go
@@ -6,55 +6,62 @@
 	"time"
 )
 
-// A balancer that starts knows nothing. In a large fleet most start together, at the
-// first start or after a common loss of power: if each read the store, those readings
-// would fill its link, and grow with the balancers times the agents. So a balancer that
-// is no seed asks the seeds first and takes what one of them has read. The seeds, which
-// start at the same moment, keep those that ask and tell them once they know.
+// A balancer has no listing when it starts. In a large fleet most balancers start
+// together, at the first start or after a simultaneous loss of power. If each of them
+// read the store, the readings would fill the store's link, and their size grows with
+// balancers times agents. So a balancer that is no seed requests the listing from the
+// seeds first. The seeds, which start at the same time, record these requests and send
+// their news once they have read the store.
 
-// Times of a start.
+// Intervals and time limits of a start.
 const (
-	// startRequestInterval is the time between two requests of a balancer that knows nothing.
+	// startRequestInterval is the time between two requests of a balancer that has no
+	// listing.
 	startRequestInterval = 15 * time.Millisecond
-	// startSearchInterval is the time between two requests of one that has read the store itself:
-	// others that start at the same moment have become sources meanwhile.
+	// startSearchInterval is the time between two requests of a balancer that has just
+	// read the store itself: others that started at the same time may have become sources
+	// since.
 	startSearchInterval = 60 * time.Millisecond
-	// seedReplyTimeout is how long it waits for a seed's first word, fleetPatience for
-	// the seed's own reading where the fleet is known to be large: a reading of 1,000
+	// seedReplyTimeout is how long a starting balancer waits for the first answer of a
+	// seed before it reads the store. seedReadTimeout applies instead if the fleet is
+	// known to be large, so that the seed can read the store itself: a reading of 1,000
 	// agents takes some 100 ms on a link of 20 Mbit/s.
 	seedReplyTimeout = 25 * time.Millisecond
 	seedReadTimeout  = 400 * time.Millisecond
-	// firstStartTimeout is the same when the whole system starts for the first time: the
-	// seeds may come later, and callers later yet.
+	// firstStartTimeout applies instead if the whole system starts for the first time:
+	// the seeds may start later, and callers later than those.
 	firstStartTimeout = 2 * time.Second
-	// sizeKnownAfter is the age from which on the number of balancers that have asked tells
-	// whether the fleet is small.
+	// sizeKnownAfter is the time since the start after which the number of balancers that
+	// have sent requests shows whether the fleet is small.
 	sizeKnownAfter = 500 * time.Millisecond
 )
 
-// start is what a balancer knows of its own start.
+// start is the state of a balancer that concerns its start.
 type start struct {
-	// seed tells that others name this host as a seed, first that the whole system
-	// starts for the first time.
+	// seed is set if others use this host as a seed, first if the whole system starts for
+	// the first time.
 	seed, first bool
-	// smallFleet tells that by the word of another balancer the fleet shares no watches.
+	// smallFleet is set if, according to another balancer, the fleet is too small to
+	// share watches.
 	smallFleet bool
 }
 
-// SetStart tells how the process starts: whether it is a seed of others, and whether
-// the whole system starts for the first time.
+// SetStart sets whether the process is a seed of others, and whether the whole system
+// starts for the first time.
 func (s *State) SetStart(seed, first bool) { s.start.seed, s.start.first = seed, first }
 
-// lacksListing reports whether the process knows nothing of the store yet.
+// lacksListing reports whether the process has neither read the store nor loaded a
+// listing yet.
 func (s *State) lacksListing() bool { return s.asOf == 0 }
 
-// awaitsSeed reports whether news of a host are wanted as the process knows nothing yet.
+// awaitsSeed reports whether the process accepts news from a host that it did not ask
+// last: it does from any seed while it has neither a listing nor a source.
 func (s *State) awaitsSeed(host netip.Addr) bool {
 	return s.lacksListing() && !s.source.IsValid() && slices.Contains(s.seeds, host)
 }
 
-// ReadsStore reports whether a process that knows nothing yet is to read the store
-// itself: a seed does at once, another one when nobody has told it anything in time.
+// ReadsStore reports whether a process without a listing should read the store itself. A
+// seed does so at once; another balancer does when no source has answered in time.
 func (s *State) ReadsStore(now time.Duration) bool {
 	if s.start.seed || len(s.seeds) == 0 {
 		return true
@@ -71,7 +78,7 @@
 	return s.start.smallFleet || now >= seedReplyTimeout
 }
 
-// tickStarting asks for a source.
+// tickStarting requests a source while the process has no listing.
 func (s *State) tickStarting(now time.Duration) []Send {
 	if s.start.seed || now < s.nextAsk {
 		return nil
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -1,21 +1,25 @@
-// Package watchshare decides whether a balancer watches the platform's store itself
-// or listens to one that does. It is pure: requests and news of other balancers, what
-// the store has told and the time come in; requests and news go out.
+// Package watchshare decides whether a balancer watches the platform's store itself or
+// listens to another balancer, its source, which announces changes to it. The package
+// makes no calls and reads no clock: messages of other balancers, answers of the store
+// and the time are its input, and messages are its output. A message is either a request
+// to listen (inner.Follow) or news (inner.News), the state of the sender.
 //
-// The load it is made for: each call of the store is paid for, and each change ends
-// the watch of every balancer. With 60 balancers a release of 45 upstreams costs
-// thousands of calls, the largest price of a calm day; the calls of shared watches
-// grow with the changes alone.
+// Each call of the store is paid for, and each change ends the watch of every balancer.
+// If each of 60 balancers watched the store, a release of 45 upstreams would cost
+// thousands of calls, which is the highest cost of a normal day. With shared watches the
+// number of calls grows with the number of changes only.
 //
-// Nothing is agreed and nobody is elected: any number of watchers is correct, also
-// all. A balancer asks the seeds of its settings whether they watch; one that does
-// takes it in, one that listens itself names the one it listens to, one that is full
-// names one of its listeners, which takes it in. So listeners form a tree, and no host
-// serves more than maxListeners. A balancer that others listen to goes on watching.
-// Each piece of news tells how long ago the store last answered the root of the tree;
-// a listener that has no news younger than StaleAfter watches itself.
+// There is no agreement and no election: any number of watching balancers is correct,
+// even all. A balancer asks the seeds of its settings whether they watch the store. A
+// balancer that watches accepts it as a listener; one that listens itself refers it to
+// its own source; one that has no room refers it to one of its listeners, which accepts
+// it. So the listeners of a watching balancer form a tree with that balancer as the root,
+// and no host serves more than maxListeners. A balancer that has listeners continues to
+// watch, unless it joins another watching balancer together with its listeners (see
+// joinsWatcher). All news contain the time since the store last answered the root of the
+// tree; a listener without news younger than StaleAfter watches the store itself.
 //
-// A balancer that has just started asks for a source before it reads the store: see
+// A balancer that has just started asks for a source before it reads the store; see
 // start.go.
 package watchshare
 
@@ -30,115 +34,126 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Times and limits.
+// Intervals, time limits and bounds.
 const (
-	// StaleAfter is the age of the store's last answer from which on a listener
-	// watches itself: with the reading that follows it learns of a change within the
-	// 3 s in which a configuration is to be in force, whatever becomes of its source.
+	// StaleAfter is the age of the store's last answer from which on a listener watches
+	// the store itself. With the reading that follows it receives a change within the 3 s
+	// in which a configuration must be in force, however its source fails.
 	StaleAfter = 2 * time.Second
-	// WatchWait is how long a watch waits that others rely on: with the 240 ms of a slow
-	// store its answer comes within StaleAfter.
+	// WatchWait is how long a watch waits if others rely on it. Even with the 240 ms of a
+	// slow store its answer comes within StaleAfter.
 	WatchWait = 1400 * time.Millisecond
-	// renewInterval is the time between two requests to the source, each of which is
-	// answered with news.
+	// renewInterval is the time between two requests to the source, each of which the
+	// source answers with news.
 	renewInterval = 450 * time.Millisecond
-	// silenceTimeout is the time without news after which a listener asks others, while
-	// it still has some time left: two requests without an answer.
+	// silenceTimeout is the time without news of the source after which a listener asks
+	// other balancers, while its own listing is still recent enough: the source has not
+	// answered two requests.
 	silenceTimeout = 2*renewInterval + 50*time.Millisecond
-	// askInterval is the time between requests to others then.
+	// askInterval is the time between these requests to other balancers.
 	askInterval = 200 * time.Millisecond
-	// searchDelayMin and lookMost bound the time after which a watcher without listeners
-	// looks for one to listen to, spread so that not all ask at once.
+	// searchDelayMin and searchDelayMax bound the time after which a watching balancer
+	// without listeners searches for a source. It is randomized, so that not all
+	// balancers search at the same time.
 	searchDelayMin = 300 * time.Millisecond
 	searchDelayMax = 1000 * time.Millisecond
-	// listenerTimeout is how long a listener that does not ask again counts: three requests.
+	// listenerTimeout is the time after its last request for which a listener counts:
+	// three requests.
 	listenerTimeout = 1500 * time.Millisecond
-	// maxListeners bounds those of one balancer, whatever the size of the fleet: their
-	// requests take some 0.1% of a core, and two levels hold 1,056 of them.
+	// maxListeners bounds the listeners of one balancer, whatever the size of the fleet.
+	// Their requests take some 0.1% of a core, and two levels hold 1,056 listeners.
 	maxListeners = 32
-	// maxDepth bounds the levels below a balancer that watches.
+	// maxDepth bounds the levels below a watching balancer.
 	maxDepth = 6
-	// gracePerLevel is the time that a listener gives its source to hear the store again
-	// before it watches itself, for each level above the source: when the store is away
-	// the upper levels alone try it at first. graceMost bounds it.
+	// gracePerLevel is the additional time that a listener waits for its source to reach
+	// the store again before it watches the store itself, for each level between the
+	// source and the root. During an outage only the upper levels call the store at
+	// first. graceMax bounds the total.
 	gracePerLevel = 200 * time.Millisecond
 	graceMax      = 400 * time.Millisecond
-	// notifyInterval bounds how often listeners are told that the store has answered.
+	// notifyInterval is the minimum time between two notifications of the listeners that
+	// the store has answered.
 	notifyInterval = 100 * time.Millisecond
-	// maxCandidates bounds the balancers that are remembered beside the seeds, which are asked
-	// once the seeds have not answered seedTries times in a row.
+	// maxCandidates bounds the balancers that are remembered beside the seeds. They are
+	// asked once maxUnansweredSeeds requests in a row to seeds were not answered.
 	maxCandidates      = 8
 	maxUnansweredSeeds = 3
-	// minFleetToShare is the number of balancers from which on watches are shared: with
-	// fewer, the answers that listeners rely on cost as much as is saved.
+	// minFleetToShare is the number of balancers from which on watches are shared. In a
+	// smaller fleet the answers to the requests of listeners cost as much as the shared
+	// watches save.
 	minFleetToShare = 12
 )
 
-// Send is a message to the balancer of a host: news, or a request to listen if there
-// are none.
+// Send is a message to the balancer of a host: news, or a request to listen if News is
+// nil.
 type Send struct {
 	To     netip.Addr
 	News   *inner.News
 	Follow inner.Follow
 }
 
-// State is that of one balancer. Times are counted by the steady clock from the
-// process's start. It is owned by one caller at a time.
+// State is the state of one balancer. Times are those of a monotonic clock since the
+// start of the process. State is not safe for concurrent use.
 type State struct {
 	self   netip.Addr
 	random *rand.Rand
 	seeds  []netip.Addr
-	// candidates are other balancers that were heard of lately, in case no seed is left.
+	// candidates are other balancers that have sent news or were named in news, to be
+	// asked if no seed answers.
 	candidates []netip.Addr
 	start      start
-	// asOf is the position up to which this process knows every change, heard when
-	// the store last answered its own calls.
+	// asOf is the position up to which this process knows every change. lastAnswer is
+	// when the store last answered a call of this process.
 	asOf       store.Position
 	lastAnswer time.Duration
-	// source is the balancer that this one listens to, invalid while it watches; depth
-	// is the number of levels up to the one that watches.
+	// source is the balancer that this one listens to, invalid while it watches the
+	// store. depth is the number of levels up to the root.
 	source netip.Addr
 	depth  uint8
-	// sourceAsOf is the position that the source has sourceAsOf of, confirmed when the store last
-	// answered the root, newsAt when the source's last news came.
+	// sourceAsOf is the position that the source has announced, confirmed the time at
+	// which the store last answered the root, lastNews the time of the last news of the
+	// source.
 	sourceAsOf          store.Position
 	confirmed, lastNews time.Duration
-	// asked is the balancer that was asked last and has not answered, nextAsk when
-	// the next one is asked.
+	// asked is the balancer that was asked last and has not answered yet. nextAsk is when
+	// the next balancer is asked.
 	asked   netip.Addr
 	nextAsk time.Duration
-	// unanswered counts requests to seeds since one has answered.
+	// unanswered counts the requests to seeds since a seed last answered.
 	unanswered int
-	// listeners are the balancers that rely on this one, or wait until they can, with
-	// their last requests; retold is when all were told last.
+	// listeners are the balancers that rely on this one, or wait until it has a listing,
+	// with the times of their last requests. lastNotified is when all of them were last
+	// sent news.
 	listeners    map[netip.Addr]time.Duration
 	lastNotified time.Duration
-	// fleetSize is the highest number of balancers that was heard of lately.
+	// fleetSize is the highest number of balancers that was reported so far.
 	fleetSize int
-	// leaving tells that the process has been told to stop.
+	// leaving is set once the process has been asked to stop.
 	leaving bool
 }
 
-// New returns the state of a balancer that watches itself.
+// New returns the state of a balancer that watches the store itself.
 func New(self netip.Addr, random *rand.Rand) *State {
 	return &State{self: self, random: random, listeners: make(map[netip.Addr]time.Duration)}
 }
 
-// SetSeeds names the hosts of some balancers; they may be gone.
+// SetSeeds sets the hosts of the seeds. They may be down.
 func (s *State) SetSeeds(hosts []netip.Addr) {
 	s.seeds = slices.DeleteFunc(slices.Clone(hosts), func(h netip.Addr) bool { return h == s.self })
 }
 
-// Source returns the balancer to listen to; ok is false for one that watches.
+// Source returns the balancer to listen to. ok is false while this one watches the store.
 func (s *State) Source() (source netip.Addr, ok bool) { return s.source, s.source.IsValid() }
 
-// Confirmed returns when the store last answered the root, 0 for never.
+// Confirmed returns when the store last answered the root according to the source, 0 if
+// it has not.
 func (s *State) Confirmed() time.Duration { return s.confirmed }
 
-// Behind reports whether the source has told of changes that are not known yet.
+// Behind reports whether the source has announced changes that this process lacks.
 func (s *State) Behind() bool { return s.source.IsValid() && s.sourceAsOf > s.asOf }
 
-// Listeners returns how many others rely on this balancer, or wait until they can.
+// Listeners returns the number of balancers that rely on this one, or wait until it has a
+// listing. It removes those whose last request is too old.
 func (s *State) Listeners(now time.Duration) int {
 	for host, at := range s.listeners {
 		if now-at > listenerTimeout {
@@ -148,13 +163,14 @@
 	return len(s.listeners)
 }
 
-// Heard notes that the store has answered this process.
+// Heard records that the store has answered this process.
 func (s *State) Heard(now time.Duration) []Send {
 	s.lastAnswer = now
 	return s.notifyUnlessRecent(now)
 }
 
-// notifyUnlessRecent tells the listeners that the store has answered, unless they were told lately.
+// notifyUnlessRecent notifies the listeners that the store has answered, unless they were
+// notified less than notifyInterval ago.
 func (s *State) notifyUnlessRecent(now time.Duration) []Send {
 	if s.asOf == 0 || s.lastNotified != 0 && now-s.lastNotified < notifyInterval || s.Listeners(now) == 0 {
 		return nil
@@ -162,7 +178,8 @@
 	return s.notifyListeners(now)
 }
 
-// Known notes up to which position every change is known, and tells the listeners.
+// Known records the position up to which this process knows every change, and notifies
+// the listeners.
 func (s *State) Known(now time.Duration, asOf store.Position) []Send {
 	if asOf <= s.asOf {
 		return nil
@@ -183,7 +200,8 @@
 	return out
 }
 
-// newsFor returns news for a balancer.
+// newsFor returns a message with news for a balancer. It names another listener as a
+// balancer to ask when this one fails.
 func (s *State) newsFor(now time.Duration, to netip.Addr) Send {
 	n := s.news(now)
 	if other := s.anyListener(); other != to {
@@ -192,7 +210,7 @@
 	return Send{To: to, News: n}
 }
 
-// news returns what this process can tell now.
+// news returns the current state of this process for other balancers.
 func (s *State) news(now time.Duration) *inner.News {
 	n := &inner.News{
 		Watches: s.canServe(now), AsOf: s.asOf, Age: now - s.lastAnswer, Source: s.source,
@@ -204,8 +222,8 @@
 	return n
 }
 
-// balancers returns the size of the fleet, 0 while a process that has only just started
-// can't know it.
+// balancers returns the size of the fleet, or 0 if the process has started too recently
+// to know it.
 func (s *State) balancers(now time.Duration) uint16 {
 	n := max(s.fleetSize, len(s.listeners)+1)
 	if n < minFleetToShare && now < sizeKnownAfter {
@@ -225,7 +243,7 @@
 	return s.lastAnswer > 0 && now-s.lastAnswer < StaleAfter
 }
 
-// Request decides on the request of another balancer to listen to this one.
+// Request handles the request of another balancer to listen to this one.
 func (s *State) Request(now time.Duration, from netip.Addr, f inner.Follow) []Send {
 	if from == s.self {
 		return nil
@@ -239,7 +257,7 @@
 	}
 	if from == s.asked && s.canServe(now) {
 		if s.self.Compare(from) > 0 {
-			return nil // both have asked: the lower address goes on watching
+			return nil // both have asked each other; the lower address continues to watch
 		}
 		s.asked = netip.Addr{}
 	}
@@ -251,22 +269,24 @@
 	}
 	s.listeners[from] = now
 	if !listens && len(s.listeners)+1 == minFleetToShare {
-		return s.notifyListeners(now) // those that start wait only in a fleet of this size
+		return s.notifyListeners(now) // starting balancers wait longer in a large fleet
 	}
 	return []Send{s.newsFor(now, from)}
 }
 
-// referToSource names the source of this balancer to one that asks.
+// referToSource refers a balancer to the source of this one. If the source is silent,
+// this balancer watches the store again, as others need one that does.
 func (s *State) referToSource(now time.Duration, from netip.Addr) []Send {
 	if now-s.lastNews > silenceTimeout && !s.leaving {
-		s.abandonSource(now) // its source is lost, and others ask for one that watches
+		s.abandonSource(now)
 	}
 	n := s.news(now)
 	n.Watches = false
 	return []Send{{To: from, News: n}}
 }
 
-// referToListener names one of the listeners to a balancer that asks when there is no room.
+// referToListener refers a balancer to one of the listeners, because there is no room for
+// another one.
 func (s *State) referToListener(now time.Duration, from netip.Addr) []Send {
 	n := s.news(now)
 	n.Watches = false
@@ -276,7 +296,7 @@
 	return []Send{{To: from, News: n}}
 }
 
-// anyListener returns a listener at random, the invalid address for none.
+// anyListener returns a random listener, or the invalid address if there is none.
 func (s *State) anyListener() netip.Addr {
 	if len(s.listeners) == 0 {
 		return netip.Addr{}
@@ -291,7 +311,8 @@
 	return netip.Addr{}
 }
 
-// News decides on what another balancer has told.
+// News handles news of another balancer. It ignores those of a balancer that is neither
+// the source nor was asked.
 func (s *State) News(now time.Duration, from netip.Addr, n inner.News) []Send {
 	if from != s.source && from != s.asked && !s.awaitsSeed(from) {
 		return nil
@@ -307,7 +328,7 @@
 		return s.handleRefusal(now, from, n)
 	}
 	if n.AsOf.Era() < s.asOf.Era() {
-		return s.handleRefusal(now, from, inner.News{}) // it has not noticed yet that the store came back older
+		return s.handleRefusal(now, from, inner.News{}) // the sender has not detected a restore of the store yet
 	}
 	if !s.accepts(now, from, n) {
 		return nil
@@ -321,8 +342,8 @@
 	return nil
 }
 
-// accepts reports whether this balancer listens to another one from now on, or goes on
-// doing so.
+// accepts reports whether this balancer uses the sender of the news as its source, or
+// continues to do so.
 func (s *State) accepts(now time.Duration, from netip.Addr, n inner.News) bool {
 	switch {
 	case s.leaving || n.Age >= StaleAfter || n.Depth >= maxDepth:
@@ -336,17 +357,20 @@
 	case !s.source.IsValid():
 		return s.joinsWatcher(from, n)
 	}
-	return n.Depth <= s.depth // or it may listen to this process itself
+	return n.Depth <= s.depth // a deeper one may be a listener of this process
 }
 
-// joinsWatcher reports whether a balancer that watches and has listeners listens to another one
-// from now on, with them. That one watches, so it relies on none of them; and where two
-// watch, one alone joinsWatcher the other: seeds go on watching, else the lower address does.
+// joinsWatcher reports whether a watching balancer with listeners becomes a listener of
+// another one, together with its own listeners. The other one watches the store, so it
+// cannot be a listener of this one. Of two watching balancers only one joins the other: a
+// seed continues to watch rather than one that is no seed, and otherwise the one with the
+// lower address.
 func (s *State) joinsWatcher(from netip.Addr, n inner.News) bool {
 	return n.Depth == 0 && !s.precedes(from)
 }
 
-// precedes reports whether this balancer goes on watching, and not the other one.
+// precedes reports whether, of this balancer and another one, this one continues to
+// watch.
 func (s *State) precedes(other netip.Addr) bool {
 	if s.start.seed || slices.Contains(s.seeds, other) {
 		return s.start.seed
@@ -354,13 +378,14 @@
 	return s.self.Less(other)
 }
 
-// handleRefusal asks the one that another balancer names, or looks further.
+// handleRefusal asks the balancer to which another one has referred this one. If the
+// refusal comes from the source, it also makes the next tick ask other balancers.
 func (s *State) handleRefusal(now time.Duration, from netip.Addr, n inner.News) []Send {
 	if from == s.asked {
 		s.asked = netip.Addr{}
 	}
 	if from == s.source {
-		s.lastNews = min(s.lastNews, now-silenceTimeout-1) // ask others, while the last news holds
+		s.lastNews = min(s.lastNews, now-silenceTimeout-1) // ask others while the last news is still recent enough
 		s.nextAsk = now
 	}
 	if other := n.Source; other.IsValid() && other != s.self && other != from {
@@ -370,6 +395,8 @@
 	return nil
 }
 
+// ask returns a request to a balancer. below is set if the balancer's source has referred
+// this one to it.
 func (s *State) ask(now time.Duration, host netip.Addr, below bool) []Send {
 	s.asked = host
 	s.nextAsk = max(s.nextAsk, now+startRequestInterval)
@@ -377,8 +404,8 @@
 	return []Send{{To: host, Follow: inner.Follow{Below: below, Leads: leads}}}
 }
 
-// askAny asks a seed, or another balancer that was heard of where no seed answers: all
-// may be gone.
+// askAny asks a random seed. If seeds have not answered repeatedly, or there are none, it
+// may ask one of the candidates instead: all seeds may be down.
 func (s *State) askAny(now time.Duration) []Send {
 	if len(s.candidates) > 0 && (len(s.seeds) == 0 || s.unanswered >= maxUnansweredSeeds && s.random.IntN(2) == 0) {
 		return s.ask(now, s.candidates[s.random.IntN(len(s.candidates))], false)
@@ -390,7 +417,7 @@
 	return s.ask(now, s.seeds[s.random.IntN(len(s.seeds))], false)
 }
 
-// remember keeps a balancer that was heard of.
+// remember adds a balancer to the candidates. If they are full, it replaces a random one.
 func (s *State) remember(host netip.Addr) {
 	if !host.IsValid() || host == s.self || slices.Contains(s.seeds, host) || slices.Contains(s.candidates, host) {
 		return
@@ -402,8 +429,8 @@
 	s.candidates[s.random.IntN(maxCandidates)] = host
 }
 
-// Tick does what is due by time alone. balancers is the size of the fleet as far as
-// is known.
+// Tick does what is due by time alone. balancers is the size of the fleet as far as it is
+// known.
 func (s *State) Tick(now time.Duration, balancers int) []Send {
 	s.fleetSize = max(s.fleetSize, balancers)
 	switch {
@@ -425,8 +452,8 @@
 	return nil
 }
 
-// tickListening asks the source for news, others once it is silent, and gives up
-// when what is known is too old.
+// tickListening requests news from the source, asks other balancers if the source is
+// silent, and abandons the source if the last confirmed answer of the store is too old.
 func (s *State) tickListening(now time.Duration) []Send {
 	if now-s.confirmed >= StaleAfter+s.grace(now) {
 		s.abandonSource(now)
@@ -443,7 +470,8 @@
 	return s.askAny(now)
 }
 
-// grace returns for how long a source that lives may yet hear the store.
+// grace returns the additional time for which a source that still sends news may reach
+// the store again.
 func (s *State) grace(now time.Duration) time.Duration {
 	if now-s.lastNews > silenceTimeout {
 		return 0
@@ -451,17 +479,18 @@
 	return min(time.Duration(s.depth-1)*gracePerLevel, graceMax)
 }
 
-// abandonSource begins to abandonSource the store itself.
+// abandonSource makes the balancer watch the store itself.
 func (s *State) abandonSource(now time.Duration) {
 	s.source, s.asked, s.sourceAsOf, s.depth = netip.Addr{}, netip.Addr{}, 0, 0
 	s.scheduleSearch(now)
 }
 
+// scheduleSearch sets a random time for the next search for a source.
 func (s *State) scheduleSearch(now time.Duration) {
 	s.nextAsk = now + searchDelayMin + time.Duration(s.random.Int64N(int64(searchDelayMax-searchDelayMin)))
 }
 
-// Leave notes that the process has been told to stop, and tells its listeners.
+// Leave records that the process has been asked to stop, and notifies its listeners.
 func (s *State) Leave(now time.Duration) []Send {
 	s.leaving = true
 	return s.notifyListeners(now)
--- a/internal/packetface/watchshare/watchshare_test.go
+++ b/internal/packetface/watchshare/watchshare_test.go
@@ -16,15 +16,16 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Tests with a fleet in simulated time: a store that changes, balancers that watch it
-// or listen, and a network that delays and loses.
+// Tests with a fleet in simulated time: a store that changes, balancers that watch it or
+// listen to others, and a network that delays and loses messages.
 
 const (
 	step = 4 * time.Millisecond
 	// firstStart is when the whole system starts for the first time.
 	firstStart = time.Second
-	// retryPause is the time after which a failed call is made again by one that others rely
-	// on, retryPart what each balancer adds to that of another one.
+	// retryPause is the time after which a member with listeners retries a failed call.
+	// A member without listeners waits for retryPerBalancer for each balancer of the
+	// fleet if that is longer.
 	retryPause       = time.Second
 	retryPerBalancer = 50 * time.Millisecond
 )
@@ -33,14 +34,15 @@
 type member struct {
 	host  netip.Addr
 	share *watchshare.State
-	// knownRevision is the revision that it knownRevision, checked when the store last answered it.
+	// knownRevision is the revision that the member knows, lastCall the time of its last
+	// call.
 	knownRevision store.Position
 	lastCall      time.Duration
-	// started is when it was started.
+	// started is when the member was started.
 	started time.Duration
-	// dead members are gone, frozen ones stand still, cut ones don't reach the store.
+	// dead members are down, frozen ones do not run, cut ones do not reach the store.
 	dead, frozen, cut bool
-	// failed tells that its last call was.
+	// failed is set if the member's last call failed.
 	failed bool
 }
 
@@ -51,7 +53,7 @@
 	follow   inner.Follow
 }
 
-// fleet is all of it. behind holds since when a member lacks the newest revision.
+// fleet is the simulated system.
 type fleet struct {
 	random   *rand.Rand
 	now      time.Duration
@@ -59,13 +61,14 @@
 	byHost   map[netip.Addr]*member
 	inFlight []message
 	loss     float64
-	// revision is the store's, changed when it was last changed.
+	// revision is that of the store, changed the time of its last change.
 	revision store.Position
 	changed  time.Duration
-	// calls counts those to the store, maxListeners the most listeners of a member.
+	// calls counts the calls of the store, maxListeners is the highest number of
+	// listeners of a member.
 	calls, maxListeners int
-	// down tells that the store answers nobody, reading is how long it takes to answer one
-	// that knows nothing.
+	// down is set while the store answers no member. readingTime is how long the store
+	// takes to answer a member without a listing.
 	down        bool
 	readingTime time.Duration
 }
@@ -82,7 +85,7 @@
 	return f
 }
 
-// start starts a member anew.
+// start starts or restarts a member.
 func (f *fleet) start(m *member) {
 	m.dead, m.frozen, m.started = false, false, f.now
 	m.share = watchshare.New(m.host, rand.New(rand.NewPCG(f.random.Uint64(), 2)))
@@ -92,7 +95,7 @@
 	m.knownRevision, m.lastCall = 0, 0
 }
 
-// clock returns the time as a member counts it.
+// clock returns the time since the start of a member.
 func (f *fleet) clock(m *member) time.Duration { return f.now - m.started + 1 }
 
 // callStore makes a member's call of the store.
@@ -100,7 +103,7 @@
 	f.calls++
 	m.lastCall, m.failed = f.now, m.cut || f.down
 	if m.failed || m.knownRevision == 0 && f.readingTime > 0 {
-		return // tick takes the answer when it is there
+		return // tick handles the answer after readingTime
 	}
 	f.handleAnswer(m)
 }
@@ -125,7 +128,7 @@
 
 func (f *fleet) memberAt(host netip.Addr) *member { return f.byHost[host] }
 
-// run lets time pass.
+// run advances the simulated time.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += step {
 		due := f.inFlight
@@ -154,7 +157,8 @@
 	}
 }
 
-// tick is what the shell does: watch the store, or fetch what the source has told of.
+// tick does what the balancer's process does: it watches the store, or fetches what the
+// source has announced.
 func (f *fleet) tick(m *member) {
 	now := f.clock(m)
 	f.send(m, m.share.Tick(now, f.size(m)))
@@ -175,7 +179,8 @@
 	}
 }
 
-// size is the number of balancers as a member learns it from agents, once it knows any.
+// size is the number of balancers that a member knows of. It learns the number from
+// agents, which it knows once it has a listing.
 func (f *fleet) size(m *member) int {
 	if m.knownRevision == 0 {
 		return 1
@@ -206,7 +211,7 @@
 	return n
 }
 
-// behind returns members that reach the store and lack its newest revision.
+// behind returns the members that reach the store and lack its newest revision.
 func (f *fleet) behind() (hosts []string) {
 	for _, m := range f.members {
 		if !m.dead && !m.frozen && !m.cut && m.knownRevision < f.revision {
@@ -227,7 +232,7 @@
 		f.run(500 * time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 	}
-	// 20 changes and 10 s at three watchers, where 60 that watch make 1,200 calls.
+	// 20 changes in 10 s with three watching balancers; 60 would make 1,200 calls.
 	g.Expect(f.calls - before).To(BeNumerically("<=", 100))
 }
 
@@ -238,8 +243,8 @@
 	g.Expect(f.watchers()).To(Equal(8))
 }
 
-// Whatever becomes of the watchers, a change reaches every balancer that reaches the
-// store within the time that a configuration may take.
+// However the watching balancers fail, a change reaches every balancer that reaches the
+// store within the time in which a configuration must be in force.
 func TestChangeArrivesWhenWatchersFail(t *testing.T) {
 	const limit = watchshare.StaleAfter + 300*time.Millisecond
 	faults := map[string]func(*member){
@@ -264,8 +269,8 @@
 	}
 }
 
-// A watcher that is told to stop says so, and its listeners go to another one
-// before what they know is too old: they make no calls of their own.
+// A watching balancer that is asked to stop announces it. Its listeners find another
+// source before their listings are stale, so they make no calls of their own.
 func TestListenersFindSourceWhenWatcherStops(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(60, 1)
@@ -304,28 +309,29 @@
 	g.Expect(s.Listeners(time.Second)).To(BeNumerically("<=", 32))
 }
 
-// Random histories: deaths, restarts, freezes, cuts and losses in any order. Whoever
-// has run, and reached the store, for long enough knows a change, and nobody listens
-// in a circle for longer than that.
+// Random sequences of crashes, restarts, freezes, cuts and message losses. A member that
+// has run and reached the store for long enough must know the newest change, so listeners
+// must not form a cycle for longer than that.
 func TestChangesArriveUnderRandomFaults(t *testing.T) {
 	const changes = 5
 	checkEveryChangeArrives(t, changes)
 }
 
-// The same while the store comes back from copies: its revisions go back, and a balancer
-// that has not noticed must not keep one that has from what is new.
+// The same while the store is restored from older copies, which lowers its revision. A
+// source that has not detected a restore must not keep listeners from newer changes.
 func TestChangesArriveUnderRandomFaultsAndRestores(t *testing.T) {
 	const changesAndReturns = 7
 	checkEveryChangeArrives(t, changesAndReturns)
 }
 
-// restoreStore lets the store return from a copy.
+// restoreStore restores the store from an older copy, in a new era.
 func (f *fleet) restoreStore() {
 	back := f.random.Uint64N(f.revision.Revision())
 	f.revision, f.changed = store.At(f.revision.Era()+1, f.revision.Revision()-back), f.now
 }
 
-// checkEveryChangeArrives plays steps of the first kinds: faults, changes, returns.
+// checkEveryChangeArrives runs random steps. kinds is the highest kind of step to use: up
+// to 3 are faults, 4 and 5 changes, 6 and 7 restores of the store.
 func checkEveryChangeArrives(t *testing.T, kinds int) {
 	const limit = watchshare.StaleAfter + 500*time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
@@ -365,8 +371,8 @@
 	return fmt.Sprintf("knows %s, listens %t to %s", m.knownRevision, listens, source)
 }
 
-// A source that has not noticed that the store came back, or is of a version that does
-// not tell, would keep its listener from all that is new.
+// A source that has not detected a restore of the store, or whose version does not report
+// eras, would keep its listener from all newer changes.
 func TestSourceOfEarlierEraIsAbandoned(t *testing.T) {
 	g := NewWithT(t)
 	s := watchshare.New(host(2), rand.New(rand.NewPCG(1, 2)))
@@ -379,14 +385,14 @@
 	s.News(now, host(1), news(store.At(1, 52)))
 	_, listens := s.Source()
 	g.Expect(listens).To(BeTrue())
-	s.Known(now, store.At(2, 48)) // from the store, after a hint
+	s.Known(now, store.At(2, 48)) // read from the store after a hint
 	for range 30 {
 		now += 100 * time.Millisecond
 		s.Tick(now, 20)
 		s.News(now, host(1), news(store.At(1, 60)))
 	}
 	_, listens = s.Source()
-	g.Expect(listens).To(BeFalse(), "it watches itself")
+	g.Expect(listens).To(BeFalse(), "the balancer watches the store itself")
 	now += 3 * time.Second
 	s.Heard(now)
 	g.Expect(s.Tick(now, 20)).NotTo(BeEmpty())
