--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -70,7 +70,8 @@
 	Changed func(*Listing)
 	// Reached is called when the store stops answering (false) or answers again (true).
 	Reached func(bool)
-	// Heard is called after each successful call of the store or of the source.
+	// Heard is called after each successful step of Run: a call of the store, or changes
+	// fetched from the source.
 	Heard func()
 	// Known returns all agents that this balancer knows, including those that the store
 	// does not list.
--- a/internal/packetface/registry/snapshot.go
+++ b/internal/packetface/registry/snapshot.go
@@ -96,7 +96,7 @@
 	era := item.At.Era()
 	s.AsOf = store.At(era, binary.BigEndian.Uint64(item.Value))
 	if s.AsOf >= item.At {
-		return Shared{}, errors.Wrapf(errSnapshot, "it claims to be as of %s but was written at %s", s.AsOf, item.At)
+		return Shared{}, errors.Wrapf(errSnapshot, "as of %s, which is not before its write at %s", s.AsOf, item.At)
 	}
 	for i := range s.Entries {
 		s.Entries[i].At = store.At(era, s.Entries[i].At.Revision())
