--- a/internal/packetface/registry/evacuations_test.go
+++ b/internal/packetface/registry/evacuations_test.go
@@ -60,8 +60,8 @@
 	g.Expect(changed).To(BeFalse())
 }
 
-// A watch that begins at an older revision than a peer's listing returns requests that
-// have been withdrawn since.
+// A watch that begins at an older revision than a merged listing of a peer returns
+// requests that have been withdrawn since. They must stay withdrawn.
 func TestReplayedChangeDoesNotRestoreWithdrawnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	l, _ := registry.NewListing(nil, 3)
--- a/internal/packetface/registry/foreign_test.go
+++ b/internal/packetface/registry/foreign_test.go
@@ -79,8 +79,8 @@
 	g.Expect(l.Agents()).To(HaveLen(1))
 }
 
-// Keys of other programs must block neither the pages of a reading nor watches. The agent
-// writes its entry again once a balancer sends it a hint.
+// Invalid entries of other programs must fail neither a reading of several pages nor a
+// watch. The agent whose entry they replace writes it again once a balancer sends a hint.
 func TestOverwrittenEntryIsWrittenAgainAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
--- a/internal/packetface/registry/listing.go
+++ b/internal/packetface/registry/listing.go
@@ -29,7 +29,7 @@
 	AsOf store.Position
 	// evacuations are the operators' requests to evacuate data centres.
 	evacuations evacuation.Record
-	// newestAgent is the highest position of an agent's entry so far.
+	// newestAgent is the highest position of any agent's entry that was applied.
 	newestAgent store.Position
 	// settledEra is the era that a balancer recorded last as settled.
 	settledEra uint64
@@ -155,9 +155,10 @@
 	l.settle()
 }
 
-// Settled reports whether the time has passed in which data lost in a restore of the
-// store is written again. A key of the store records that, so a process that starts after
-// that time need not wait, and one that starts before it waits.
+// Settled reports whether the era of the listing is settled: the time in which agents and
+// operators write again what a restore of the store has lost is over. A balancer records
+// that in the store itself, so that a process that starts later need not wait for it, and
+// one that starts earlier does wait.
 func (l *Listing) Settled() bool { return l.settledEra == l.AsOf.Era() }
 
 // settle drops what was retained for operators to write again, once the era is settled.
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -234,7 +234,7 @@
 }
 
 // write sends the entry to a balancer, which combines the writes of many agents into one
-// call. If no balancer has received the write, it calls the store on the current route.
+// call. If no balancer has accepted the write, it calls the store on the current route.
 func (a *Agent) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
 	at, err = a.routes.writeViaBalancer(ctx, w)
 	if !errors.Is(err, errNotSent) {
--- a/internal/packetface/registry/routes.go
+++ b/internal/packetface/registry/routes.go
@@ -23,19 +23,19 @@
 	// and a lost entry must be listed again within 2 s.
 	writerConnect = 250 * time.Millisecond
 	writerTimeout = 600 * time.Millisecond
-	// maxWrittenBytes bounds the answer.
+	// maxWrittenBytes bounds the size of the balancer's answer.
 	maxWrittenBytes = 1 << 10
 )
 
-// errNotSent means that no balancer has received the write, errNoWriter that none is
+// errNotSent means that no balancer has accepted the write, errNoWriter that none is
 // known.
 var (
-	errNotSent  = errors.New("registry: write not sent to a balancer")
+	errNotSent  = errors.New("registry: no balancer accepted the write")
 	errNoWriter = errors.Wrap(errNotSent, "no balancer is known")
 )
 
-// relayTime is how long an agent whose calls the store refuses sends them through a
-// balancer before it calls the store directly again.
+// relayTime is how long an agent whose call has failed sends its calls through a balancer
+// before it calls the store directly again.
 const relayTime = 5 * time.Second
 
 // storeRoutes are the routes by which an agent calls the store: directly, or relayed by a
@@ -99,7 +99,7 @@
 }
 
 // writeViaBalancer asks a random one of the balancers to write an entry. errNotSent means
-// that no balancer has received the write.
+// that no balancer has accepted the write.
 func (w *storeRoutes) writeViaBalancer(ctx context.Context, write platform.Write) (store.Position, error) {
 	writers := w.writers.Load()
 	if writers == nil || len(*writers) == 0 || w.skipWriters {
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -232,7 +232,8 @@
 	return uint16(min(n, math.MaxUint16))
 }
 
-// canServe reports whether others may rely on what this process knows.
+// canServe reports whether other balancers may use this one as their source: it has a
+// listing, and the last answer of the store that it knows of is recent enough.
 func (s *State) canServe(now time.Duration) bool {
 	switch {
 	case s.leaving || s.asOf == 0:
@@ -275,7 +276,7 @@
 }
 
 // referToSource refers a balancer to the source of this one. If the source is silent,
-// this balancer watches the store again, as others need one that does.
+// this balancer watches the store itself, because others need a source that works.
 func (s *State) referToSource(now time.Duration, from netip.Addr) []Send {
 	if now-s.lastNews > silenceTimeout && !s.leaving {
 		s.abandonSource(now)
--- a/internal/packetface/watchshare/watchshare_test.go
+++ b/internal/packetface/watchshare/watchshare_test.go
@@ -359,7 +359,7 @@
 			for _, m := range f.members {
 				exempt := m.dead || m.frozen || m.cut || m.knownRevision >= f.revision
 				if !exempt && f.now-max(f.changed, lastEvent[m]) > limit {
-					t.Fatalf("%s lacks revision %s of %s for %s; %s", m.host, f.revision, f.changed, f.now-f.changed, describe(m))
+					t.Fatalf("%s still lacks revision %s, changed at %s, after %s; %s", m.host, f.revision, f.changed, f.now-f.changed, describe(m))
 				}
 			}
 		}
@@ -368,7 +368,7 @@
 
 func describe(m *member) string {
 	source, listens := m.share.Source()
-	return fmt.Sprintf("knows %s, listens %t to %s", m.knownRevision, listens, source)
+	return fmt.Sprintf("known revision %s, listening %t, source %s", m.knownRevision, listens, source)
 }
 
 // A source that has not detected a restore of the store, or whose version does not report
