--- a/internal/packetface/registry/batch_test.go
+++ b/internal/packetface/registry/batch_test.go
@@ -10,9 +10,10 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// writes plays a time of arrivals in steps of a millisecond, with a store that answers
-// after 4 ms, and returns how many calls are made and the longest that one waited.
-func writes(arrivals map[time.Duration]int) (calls int, longest time.Duration) {
+// simulateWrites simulates writes that arrive at the given times, in steps of a
+// millisecond, with a store that answers after 4 ms. It returns the number of calls and
+// the longest wait of a write.
+func simulateWrites(arrivals map[time.Duration]int) (calls int, longest time.Duration) {
 	const answer = 4 * time.Millisecond
 	var b batch[time.Duration]
 	var until time.Duration
@@ -27,7 +28,7 @@
 		}
 		if wait, ok := b.due(now); ok && wait == 0 {
 			for _, p := range b.take(now) {
-				longest = max(longest, now-p.from)
+				longest = max(longest, now-p.waiter)
 			}
 			calls, until = calls+1, now+answer
 		}
@@ -35,16 +36,17 @@
 	return calls, longest
 }
 
-func TestAnEntryThatComesAloneIsWrittenAtOnce(t *testing.T) {
+func TestSingleWriteIsSentImmediately(t *testing.T) {
 	g := NewWithT(t)
-	calls, longest := writes(map[time.Duration]int{time.Second: 1, 2 * time.Second: 1, 3 * time.Second: 1})
+	calls, longest := simulateWrites(map[time.Duration]int{time.Second: 1, 2 * time.Second: 1, 3 * time.Second: 1})
 	g.Expect(calls).To(Equal(3))
 	g.Expect(longest).To(BeZero())
 }
 
-// A first start: 226 agents of 678 write through one of three seeds within the 3 s
-// between their upstreams' heartbeats; then twice as many.
-func TestManyEntriesThatComeTogetherCostFewCalls(t *testing.T) {
+// At the first start, 226 agents of 678 write through one of three seeds within the 3 s
+// between the heartbeats of their upstreams. Twice as many must not cost more than their
+// share.
+func TestWritesOfFirstStartAreBatched(t *testing.T) {
 	for _, agents := range []int{226, 452} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
 			g := NewWithT(t)
@@ -52,26 +54,26 @@
 			for n := range agents {
 				arrivals[(1000+time.Duration(n*3000/agents))*time.Millisecond]++
 			}
-			calls, longest := writes(arrivals)
+			calls, longest := simulateWrites(arrivals)
 			g.Expect(calls).To(BeNumerically("<=", 3000/200+1+agents/platform.MaxWrites))
-			g.Expect(longest).To(BeNumerically("<=", 2*batchEvery))
+			g.Expect(longest).To(BeNumerically("<=", 2*batchInterval))
 		})
 	}
 }
 
-// A third of a fleet's entries are taken away and come back at once.
-func TestEntriesThatAreTakenAwayTogetherAreBackInTime(t *testing.T) {
+// A third of a fleet's entries are lost, and all are written again at the same time.
+func TestLostEntriesAreRewrittenWithinTwoSeconds(t *testing.T) {
 	for _, agents := range []int{240, 480} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
 			g := NewWithT(t)
-			calls, longest := writes(map[time.Duration]int{time.Second: agents / 3})
+			calls, longest := simulateWrites(map[time.Duration]int{time.Second: agents / 3})
 			g.Expect(calls).To(BeNumerically("<=", agents/3/platform.MaxWrites+1))
 			g.Expect(longest).To(BeNumerically("<", 2*time.Second))
 		})
 	}
 }
 
-func TestTwoWritesOfOneKeyAreMadeOneAfterTheOther(t *testing.T) {
+func TestWritesOfSameKeyAreSentInSeparateCalls(t *testing.T) {
 	g := NewWithT(t)
 	var b batch[int]
 	b.add(pending[int]{platform.Write{Key: "a"}, 1})
@@ -79,7 +81,7 @@
 	b.add(pending[int]{platform.Write{Key: "b"}, 3})
 	g.Expect(b.take(time.Second)).To(HaveLen(2))
 	_, ok := b.due(time.Second)
-	g.Expect(ok).To(BeFalse(), "a call is under way")
+	g.Expect(ok).To(BeFalse(), "no call is due while another one is running")
 	b.done()
 	g.Expect(b.take(2 * time.Second)).To(Equal([]pending[int]{{platform.Write{Key: "a"}, 2}}))
 }
--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -13,43 +13,46 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// A balancer that listens to another one (package watchshare) asks it for the changes
-// since its own listing, in the order in which the store made them.
+// A balancer that shares the watch of another one (see package watchshare) is a listener,
+// and the other one is its source. The listener requests the changes since its own
+// listing; the source returns them in the order in which the store made them.
 
 const (
 	changesPath = "/packet/changes"
-	// leastKept and maxKeptBytes bound the changes that are kept for others: as many as
-	// there are keys, or leastKept. With more, everything would be the shorter answer.
-	leastKept    = 256
-	maxKeptBytes = 2 << 20
+	// minRecentChanges and maxRecentBytes bound the changes that are retained for
+	// listeners: as many as the store has keys, or minRecentChanges if that is more. For
+	// a listener that lacks more changes, the full listing is the shorter answer.
+	minRecentChanges = 256
+	maxRecentBytes   = 2 << 20
 )
 
-// changes are the last changes of the store in their order. The zero value knows none.
+// changes are the most recent changes of the store in their order. The zero value has
+// none.
 type changes struct {
-	// from is the position after which all are kept, to that up to which; they are of one
-	// era.
+	// items are all changes after the position from, up to the position to. Both are of
+	// one era.
 	from, to store.Position
 	items    []platform.Item
 	bytes    int
 }
 
-// add keeps changes after which every one up to the position is known. keys is the number
-// of keys that the store holds.
+// add appends changes that are complete up to a position, and evicts the oldest ones
+// beyond the bounds. keys is the number of keys in the store.
 func (c *changes) add(more []platform.Item, to store.Position, keys int) {
 	c.items = append(c.items, more...)
 	for _, item := range more {
 		c.bytes += len(item.Value)
 	}
 	c.to = max(c.to, to)
-	for len(c.items) > max(keys, leastKept) || c.bytes > maxKeptBytes {
+	for len(c.items) > max(keys, minRecentChanges) || c.bytes > maxRecentBytes {
 		c.from = c.items[0].At
 		c.bytes -= len(c.items[0].Value)
 		c.items = c.items[1:]
 	}
 }
 
-// since returns the changes after a position; ok is false where some are no longer kept,
-// and for a position of an era before.
+// since returns the changes after a position. ok is false if some of them have been
+// evicted, or if the position is of an earlier era.
 func (c *changes) since(after store.Position) (items []platform.Item, ok bool) {
 	if after < c.from {
 		return nil, false
@@ -62,88 +65,92 @@
 	return nil, true
 }
 
-// Changes is what a balancer answers one that listens to it.
+// Changes is the answer of a source to a listener, encoded as JSON.
 type Changes struct {
+	// AsOf is the position up to which the answer is complete.
 	AsOf store.Position
-	// Whole tells that Items are all keys, and not changes.
+	// Whole is set if Items are all keys of the listing instead of changes.
 	Whole bool
 	Items []platform.Item
 }
 
-// changeLog is the newest listing with the changes that led to it, for others. It never
-// changes.
+// changeLog is the newest listing with the changes that led to it, as other balancers
+// receive it. It is immutable.
 type changeLog struct {
 	shared  *Shared
 	changes changes
-	// listing and everything are the listing as it is told to those that ask for it, and
-	// to listeners that lack too much.
-	listing, everything document
+	// listing and full are the encoded answers to a request for the listing and to a
+	// listener whose missing changes have been evicted.
+	listing, full document
 }
 
-// all returns the answer to a listener that lacks too much.
+// all returns the full listing for a listener whose missing changes have been evicted.
 func (l *changeLog) all() Changes {
 	return Changes{AsOf: l.shared.AsOf, Whole: true, Items: l.shared.Entries}
 }
 
+// serveChanges answers a listener with the changes since its position, or with the full
+// listing if some of those have been evicted.
 func (f *Follower) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	log := f.whole(w)
+	log := f.publishedLog(w)
 	if log == nil {
 		return
 	}
 	items, ok := log.changes.since(store.Position(after))
 	if !ok {
-		log.everything.write(w, r, func() any { return log.all() })
+		log.full.write(w, r, func() any { return log.all() })
 		return
 	}
-	writePlain(w, Changes{AsOf: log.changes.to, Items: items})
+	writeUncompressed(w, Changes{AsOf: log.changes.to, Items: items})
 }
 
-// Listen lets the follower learn from the balancer at a control address, or watch the
-// store itself if there is none.
+// Listen sets the source: the control address of the balancer to fetch changes from. With
+// an invalid address the follower watches the store itself.
 func (f *Follower) Listen(source netip.AddrPort) {
 	f.unconfirmed.Store(!source.IsValid())
 	f.source.Store(&source)
-	ring(f.news)
+	signal(f.sourceSignal)
 }
 
-// News tells that the balancer that is listened to knows of changes.
-func (f *Follower) News() { ring(f.news) }
+// News signals that the source has announced changes.
+func (f *Follower) News() { signal(f.sourceSignal) }
 
-// listensTo returns the balancer to learn from; ok is false while the store is
-// watched.
-func (f *Follower) listensTo() (source netip.AddrPort, ok bool) {
+// currentSource returns the source. ok is false while the follower watches the store
+// itself.
+func (f *Follower) currentSource() (source netip.AddrPort, ok bool) {
 	if p := f.source.Load(); p != nil && p.IsValid() {
 		return *p, true
 	}
 	return netip.AddrPort{}, false
 }
 
-// listen waits for news of a balancer and takes over the changes that it knows. On a
-// hint of something newer it asks the store if the balancer does not tell of it soon.
-func (f *Follower) listen(ctx context.Context, source netip.AddrPort) error {
+// followSource waits until the source announces changes, and fetches them. After a hint
+// that something newer exists, it reads the store unless the source announces changes
+// soon.
+func (f *Follower) followSource(ctx context.Context, source netip.AddrPort) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-f.news:
+	case <-f.sourceSignal:
 	case <-f.hints:
-		return f.listenAfterHint(ctx, source)
+		return f.awaitSourceAfterHint(ctx, source)
 	}
-	if now, ok := f.listensTo(); !ok || now != source {
-		return nil // the caller's loop goes on with the other
+	if now, ok := f.currentSource(); !ok || now != source {
+		return nil // Run continues with the current source
 	}
-	return f.takeChanges(ctx, source)
+	return f.fetchChanges(ctx, source)
 }
 
-// ReadStore tells a follower that waits for a source to read the store itself.
-func (f *Follower) ReadStore() { ring(f.readStore) }
+// ReadStore makes a follower that waits for a source at its start read the store itself.
+func (f *Follower) ReadStore() { signal(f.readStore) }
 
-// awaitSource waits until there is a balancer to listen to; ok is false where the store
-// is to be read instead.
+// awaitSource waits until a source is set. ok is false if the store is to be read
+// instead.
 func (f *Follower) awaitSource(ctx context.Context) (source netip.AddrPort, ok bool) {
 	for f.AwaitSource {
 		select {
@@ -151,19 +158,19 @@
 			return netip.AddrPort{}, false
 		case <-f.readStore:
 			f.AwaitSource = false
-		case <-f.news:
+		case <-f.sourceSignal:
 		}
-		if source, ok = f.listensTo(); ok {
+		if source, ok = f.currentSource(); ok {
 			return source, true
 		}
 	}
 	return netip.AddrPort{}, false
 }
 
-// expectSource waits a little for a balancer to listen to before the first watch: where
-// there is a snapshot the fleet is large, and one is found soon.
-func (f *Follower) expectSource(ctx context.Context) {
-	timer := time.NewTimer(sourceExpected)
+// awaitSourceBriefly waits up to sourceWaitTimeout for a source before the first watch. A
+// snapshot exists only in a large fleet, in which a source is found soon.
+func (f *Follower) awaitSourceBriefly(ctx context.Context) {
+	timer := time.NewTimer(sourceWaitTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -171,75 +178,79 @@
 			return
 		case <-timer.C:
 			return
-		case <-f.news:
-			if _, ok := f.listensTo(); ok {
-				ring(f.news)
+		case <-f.sourceSignal:
+			if _, ok := f.currentSource(); ok {
+				signal(f.sourceSignal)
 				return
 			}
 		}
 	}
 }
 
-// sourceExpected is well within the time for which the reading before it counts as new.
-const sourceExpected = 500 * time.Millisecond
+// sourceWaitTimeout is well below watchshare.StaleAfter, the time for which the snapshot
+// that was read before counts as up to date.
+const sourceWaitTimeout = 500 * time.Millisecond
 
-// beginWith takes over all that another balancer knows.
-func (f *Follower) beginWith(ctx context.Context, source netip.AddrPort) error {
-	ctx, cancel := context.WithTimeout(ctx, beginTimeout)
+// loadFromSource loads the first listing from the source.
+func (f *Follower) loadFromSource(ctx context.Context, source netip.AddrPort) error {
+	ctx, cancel := context.WithTimeout(ctx, sourceLoadTimeout)
 	defer cancel()
 	var answer Changes
 	if err := f.fetch(ctx, source, changesPath+"?after=0", &answer); err != nil {
 		return err
 	}
 	if !answer.Whole {
-		return errors.New("registry: the source does not know everything")
+		return errors.New("registry: source balancer returned changes instead of its full listing")
 	}
-	f.takeWhole(answer.Items, answer.AsOf)
-	f.Log.Info("Listing taken from the source.", "source", source.String(), "as_of", answer.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
+	f.replaceListing(answer.Items, answer.AsOf)
+	f.Log.Info("Loaded the listing from the source balancer.", "source", source.String(), "as_of", answer.AsOf, "agents", len(f.listing.agents), "config_at", f.listing.ConfigAt)
 	return nil
 }
 
-func (f *Follower) listenAfterHint(ctx context.Context, source netip.AddrPort) error {
-	timer := time.NewTimer(hintAfter)
+// awaitSourceAfterHint fetches changes if the source announces some within
+// hintMinWatchAge, and reads the store otherwise.
+func (f *Follower) awaitSourceAfterHint(ctx context.Context, source netip.AddrPort) error {
+	timer := time.NewTimer(hintMinWatchAge)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-f.news:
-		return f.takeChanges(ctx, source)
+	case <-f.sourceSignal:
+		return f.fetchChanges(ctx, source)
 	case <-timer.C:
 		return f.readAfterHint(ctx)
 	}
 }
 
-// takeChanges asks a balancer for the changes since the own listing. Where it does not
-// answer, the store is read: a failing source must not keep news away.
-func (f *Follower) takeChanges(ctx context.Context, source netip.AddrPort) error {
+// fetchChanges fetches the changes since the own listing from the source. If the source
+// does not answer, it reads the store, so that a failed source does not delay changes.
+func (f *Follower) fetchChanges(ctx context.Context, source netip.AddrPort) error {
 	var answer Changes
 	path := changesPath + "?after=" + strconv.FormatUint(uint64(f.listing.AsOf), 10)
 	if err := f.fetch(ctx, source, path, &answer); err != nil {
-		f.Log.Warn("Source not reached, reading the store.", "source", source.String(), "error", err.Error())
+		f.Log.Warn("Fetching changes from the source balancer failed; reading the store.", "source", source.String(), "error", err.Error())
 		return f.read(ctx)
 	}
 	if answer.AsOf <= f.listing.AsOf {
 		return nil
 	}
 	if answer.Whole {
-		f.takeWhole(answer.Items, answer.AsOf)
+		f.replaceListing(answer.Items, answer.AsOf)
 		return nil
 	}
-	f.at = answer.AsOf
+	f.watchFrom = answer.AsOf
 	f.apply(answer.Items, answer.AsOf)
 	return nil
 }
 
-// apply takes over changes of the store, from a watch or from another balancer.
+// apply applies changes of the store that came from a watch or from the source.
 func (f *Follower) apply(items []platform.Item, asOf store.Position) {
 	f.report(f.listing.Apply(items, asOf))
-	f.kept.add(items, asOf, len(f.listing.entries))
-	f.takeHint() // one that came before is of these changes
-	f.changed()
+	f.recent.add(items, asOf, len(f.listing.entries))
+	f.clearHint() // an earlier hint is about these changes
+	f.deliver()
 }
 
-// errStopsWatching says that a watch was given up as another balancer's is shared.
-var errStopsWatching = errors.New("registry: another balancer's watch is shared")
+// errSourceAvailable is returned when a watch is cancelled because the follower has a
+// source now.
+var errSourceAvailable = errors.New("registry: watch cancelled to follow a source balancer")
--- a/internal/packetface/registry/changes_test.go
+++ b/internal/packetface/registry/changes_test.go
@@ -16,17 +16,17 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// Tests of balancers that learn from the watch of another one.
+// Tests of listeners: balancers that fetch the changes from another one, their source.
 
-// serve lets others reach a follower.
-func serve(t *testing.T, f *follower) netip.AddrPort {
-	server := httptest.NewServer(answers(f.Follower))
+// startServer starts an HTTP server for a follower and returns its address.
+func startServer(t *testing.T, f *follower) netip.AddrPort {
+	server := httptest.NewServer(handlerOf(f.Follower))
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// changesSince returns what a balancer tells a listener that knows every change up to a
-// position.
+// changesSince returns the changes that a source returns to a listener that knows every
+// change up to a position.
 func changesSince(t *testing.T, source netip.AddrPort, after store.Position) []platform.Item {
 	g := NewWithT(t)
 	var answer registry.Changes
@@ -36,99 +36,99 @@
 	return answer.Items
 }
 
-// pair returns a follower that watches the store and one that listens to it, and
-// what tells the second of news, as datagrams between them do.
-func pair(t *testing.T, fake *packetplatform.Store) (watcher, listener *follower, tell func()) {
+// startPair returns a follower that watches the store and one whose source it is. notify
+// tells the listener that the source has changes, as a datagram between balancers does.
+func startPair(t *testing.T, fake *packetplatform.Store) (watcher, listener *follower, notify func()) {
 	g := NewWithT(t)
-	watcher = follow(t, fake, 1)
-	g.Eventually(watcher.reachedNow, patience).Should(BeTrue())
-	listener = follow(t, fake, 20)
-	g.Eventually(listener.reachedNow, patience).Should(BeTrue())
-	listener.Listen(serve(t, watcher))
+	watcher = startFollower(t, fake, 1)
+	g.Eventually(watcher.reachedNow, waitTimeout).Should(BeTrue())
+	listener = startFollower(t, fake, 20)
+	g.Eventually(listener.reachedNow, waitTimeout).Should(BeTrue())
+	listener.Listen(startServer(t, watcher))
 	return watcher, listener, listener.News
 }
 
-func TestAListenerTakesChangesFromItsSource(t *testing.T) {
+func TestListenerAppliesChangesFromSource(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	watcher, listener, tell := pair(t, fake)
-	told := func(agents int, config string) func() bool {
+	watcher, listener, tell := startPair(t, fake)
+	bothHave := func(agents int, config string) func() bool {
 		return func() bool {
-			if watcher.sees(agents, config)() {
+			if watcher.hasListing(agents, config)() {
 				tell()
 			}
-			return listener.sees(agents, config)()
+			return listener.hasListing(agents, config)()
 		}
 	}
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(told(1, "2"), patience).Should(BeTrue())
+	g.Eventually(bothHave(1, "2"), waitTimeout).Should(BeTrue())
 	readings := fake.Readings()
-	keeper.Want(nil)
-	g.Eventually(told(0, "2"), patience).Should(BeTrue())
+	agent.Want(nil)
+	g.Eventually(bothHave(0, "2"), waitTimeout).Should(BeTrue())
 	fake.Compact()
 	fake.Put(platform.ConfigKey, []byte("3"))
-	g.Eventually(told(0, "3"), patience).Should(BeTrue())
+	g.Eventually(bothHave(0, "3"), waitTimeout).Should(BeTrue())
 	g.Expect(listener.listAge().AsOf).To(Equal(watcher.listAge().AsOf))
-	g.Expect(fake.Readings()-readings).To(BeNumerically("<=", 1), "of the watcher, after the loss of history")
+	g.Expect(fake.Readings()-readings).To(BeNumerically("<=", 1), "only the watcher reads all keys after the compaction")
 }
 
-// Changes that its source no longer keeps come as a whole listing, which also takes
-// away what is gone.
-func TestAListenerThatIsFarBehindTakesAll(t *testing.T) {
+// When the changes that a listener lacks have been evicted, it receives the full listing,
+// which also removes agents that are gone.
+func TestListenerFarBehindReceivesFullListing(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	watcher, listener, tell := pair(t, fake)
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
-	g.Eventually(func() bool { tell(); return listener.sees(1, "")() }, patience).Should(BeTrue())
-	keeper.Want(nil)
-	g.Eventually(watcher.sees(0, ""), patience).Should(BeTrue())
-	const more = 1100 // than are kept
+	watcher, listener, tell := startPair(t, fake)
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(func() bool { tell(); return listener.hasListing(1, "")() }, waitTimeout).Should(BeTrue())
+	agent.Want(nil)
+	g.Eventually(watcher.hasListing(0, ""), waitTimeout).Should(BeTrue())
+	const more = 1100 // more changes than the source retains
 	for n := range more {
 		fake.Put("servers/x", []byte(strconv.Itoa(n)))
 	}
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(watcher.sees(0, "2"), patience).Should(BeTrue())
-	g.Eventually(func() bool { tell(); return listener.sees(0, "2")() }, patience).Should(BeTrue())
+	g.Eventually(watcher.hasListing(0, "2"), waitTimeout).Should(BeTrue())
+	g.Eventually(func() bool { tell(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
-// A source that does not answer keeps no news away: the store is read.
-func TestAListenerWhoseSourceIsGoneReadsTheStore(t *testing.T) {
+// A source that does not answer must not delay changes: the listener reads the store.
+func TestListenerReadsStoreWhenSourceIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	_, listener, _ := pair(t, fake)
+	_, listener, _ := startPair(t, fake)
 	listener.Listen(netip.MustParseAddrPort("127.0.0.1:1"))
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(func() bool { listener.News(); return listener.sees(0, "2")() }, patience).Should(BeTrue())
+	g.Eventually(func() bool { listener.News(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
-// One that is told to watch again goes on from what it has.
-func TestAListenerWatchesAgain(t *testing.T) {
+// A listener without a source any more watches the store from the position it has.
+func TestListenerWatchesStoreWhenSourceIsUnset(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	_, listener, _ := pair(t, fake)
+	_, listener, _ := startPair(t, fake)
 	listener.Listen(netip.AddrPort{})
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(listener.sees(0, "2"), patience).Should(BeTrue())
+	g.Eventually(listener.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
 
-// On a hint of something newer, which its source does not tell of, it asks the store.
-func TestAListenerWithAHintAsksTheStore(t *testing.T) {
+// After a hint of something newer that the source does not announce, the store is read.
+func TestListenerReadsStoreAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	_, listener, _ := pair(t, fake)
+	_, listener, _ := startPair(t, fake)
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(func() bool { listener.Hint(netip.AddrPort{}, 0); return listener.sees(0, "2")() }, patience).Should(BeTrue())
+	g.Eventually(func() bool { listener.Hint(netip.AddrPort{}, 0); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
-func TestAQuestionForChangesIsChecked(t *testing.T) {
+func TestChangesRequestIsValidated(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	watcher := follow(t, fake, 1)
-	g.Eventually(watcher.reachedNow, patience).Should(BeTrue())
+	watcher := startFollower(t, fake, 1)
+	g.Eventually(watcher.reachedNow, waitTimeout).Should(BeTrue())
 	for query, want := range map[string]int{"?after=x": http.StatusBadRequest, "": http.StatusBadRequest, "?after=18446744073709551615": http.StatusOK} {
 		w := httptest.NewRecorder()
-		answers(watcher.Follower).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/packet/changes"+query, nil))
+		handlerOf(watcher.Follower).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/packet/changes"+query, nil))
 		g.Expect(w.Code).To(Equal(want), query)
 	}
 }
--- a/internal/packetface/registry/evacuations_test.go
+++ b/internal/packetface/registry/evacuations_test.go
@@ -21,7 +21,7 @@
 	return item
 }
 
-func TestAListingHoldsEvacuations(t *testing.T) {
+func TestListingRecordsEvacuations(t *testing.T) {
 	g := NewWithT(t)
 	l, unreadable := registry.NewListing([]platform.Item{evacuate("a", 5)}, 7)
 	g.Expect(unreadable).To(BeEmpty())
@@ -32,8 +32,9 @@
 	g.Expect(record.Requests()).To(Equal([]evacuation.Request{{DataCentre: "b", At: 10}}))
 }
 
-// What a request's value says does not matter, nor that no host is there.
-func TestAnEmptyValueEvacuates(t *testing.T) {
+// The key alone requests an evacuation, whatever its value, and even if no host is in the
+// data centre.
+func TestEvacuationKeyWithEmptyValueEvacuates(t *testing.T) {
 	g := NewWithT(t)
 	item := evacuate("nowhere", 5)
 	item.Value = nil
@@ -42,15 +43,16 @@
 	g.Expect(record.Word("nowhere").Evacuated).To(BeTrue())
 }
 
-// A balancer that the store turns away learns from another one.
-func TestEvacuationsAreLearnedFromAPeer(t *testing.T) {
+// A balancer whose calls the store refuses takes the evacuations from a newer listing of
+// a peer and ignores those of an older one.
+func TestMergeReplacesEvacuationsByNewerOnes(t *testing.T) {
 	g := NewWithT(t)
 	knows, _ := registry.NewListing([]platform.Item{evacuate("b", 8)}, 12)
 	lacks, _ := registry.NewListing([]platform.Item{evacuate("a", 5)}, 7)
 	changed, _ := lacks.Merge(knows.Shared())
 	g.Expect(changed).To(BeTrue())
 	record := lacks.Evacuations()
-	g.Expect(record.Requests()).To(Equal([]evacuation.Request{{DataCentre: "b", At: 8}}), "a was taken back meanwhile")
+	g.Expect(record.Requests()).To(Equal([]evacuation.Request{{DataCentre: "b", At: 8}}), "the evacuation of a was withdrawn in the meantime")
 	changed, _ = lacks.Merge(knows.Shared())
 	g.Expect(changed).To(BeFalse())
 	stale, _ := registry.NewListing([]platform.Item{evacuate("a", 5)}, 7)
@@ -58,8 +60,9 @@
 	g.Expect(changed).To(BeFalse())
 }
 
-// A watch that begins at an older revision than a peer's word tells what is over.
-func TestAReplayedWatchBringsNoEvacuationBack(t *testing.T) {
+// A watch that begins at an older revision than a merged listing of a peer returns
+// requests that have been withdrawn since. They must stay withdrawn.
+func TestReplayedChangeDoesNotRestoreWithdrawnEvacuation(t *testing.T) {
 	g := NewWithT(t)
 	l, _ := registry.NewListing(nil, 3)
 	over, _ := registry.NewListing(nil, 20)
--- a/internal/packetface/registry/foreign_test.go
+++ b/internal/packetface/registry/foreign_test.go
@@ -17,7 +17,7 @@
 
 const entryText = `{"addr":"10.0.0.1:1","service":"s","dc":"a","slots":3}`
 
-// foreignEntries are texts under an agent's key that no agent writes.
+// foreignEntries are values of an agent's key that no agent writes.
 var foreignEntries = []string{
 	"", "{", "null", "[]", "\xff\xfe", `{"state":"ready"}`,
 	`{"addr":"10.0.0.1:1","service":"","dc":"a","slots":3}`,
@@ -35,9 +35,9 @@
 	return platform.Item{Key: entryKey, Value: []byte(text), At: revision, Lease: lease}
 }
 
-// An entry that another writer wrote over changes nothing of what is known of the agent,
-// but that it is to write it anew.
-func TestAForeignEntryDisplacesNoAgent(t *testing.T) {
+// An entry that another program has overwritten leaves the known agent unchanged, but
+// marks it as damaged so that the agent writes the entry again.
+func TestForeignEntryMarksAgentDamagedAndKeepsIt(t *testing.T) {
 	for _, text := range foreignEntries {
 		t.Run(text, func(t *testing.T) {
 			g := NewWithT(t)
@@ -59,16 +59,18 @@
 	}
 }
 
-// One that is right but for the lease is nobody's: it would never go.
-func TestAnEntryWithoutALeaseIsPassedOver(t *testing.T) {
+// An entry without a lease would never expire, so it is ignored even if it is valid
+// otherwise.
+func TestEntryWithoutLeaseIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	l, unreadable := registry.NewListing([]platform.Item{item(entryText, 4, 0)}, 4)
 	g.Expect(unreadable).To(HaveLen(1))
 	g.Expect(l.Agents()).To(BeEmpty())
 }
 
-// The agents reach others with the lease that shows whose they are.
-func TestAPeersEntriesKeepTheirLease(t *testing.T) {
+// Entries in a peer's listing carry their leases; without them Merge would reject them as
+// foreign.
+func TestMergedEntriesKeepTheirLease(t *testing.T) {
 	g := NewWithT(t)
 	knows, _ := registry.NewListing([]platform.Item{item(entryText, 4, 7)}, 4)
 	l, _ := registry.NewListing(nil, 1)
@@ -77,13 +79,13 @@
 	g.Expect(l.Agents()).To(HaveLen(1))
 }
 
-// A whole round with the store: other writers' keys stop neither pages nor watches, and
-// the agent, once it is told, has its entry back.
-func TestAnOverwrittenEntryIsWrittenAnew(t *testing.T) {
+// Invalid entries of other programs must fail neither a reading of several pages nor a
+// watch. The agent whose entry they replace writes it again once a balancer sends a hint.
+func TestOverwrittenEntryIsWrittenAgainAfterHint(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
 	fake.Put("saltbend/agents/garbage", []byte("{"))
-	f := prepare(t, fake, 1)
+	f := newFollower(t, fake, 1)
 	var mu sync.Mutex
 	var agents []steer.Agent
 	f.Changed = func(l *registry.Listing) {
@@ -97,16 +99,16 @@
 		return agents
 	}
 	f.start(t)
-	keeper, _ := publish(t, fake, "10.0.0.1:1")
-	g.Eventually(seen, patience).Should(HaveLen(1))
+	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
+	g.Eventually(seen, waitTimeout).Should(HaveLen(1))
 	for _, text := range foreignEntries {
 		fake.Put(entryKey, []byte(text))
-		g.Eventually(func() bool { a := seen(); return len(a) == 1 && a[0].Damaged }, patience).Should(BeTrue())
+		g.Eventually(func() bool { a := seen(); return len(a) == 1 && a[0].Damaged }, waitTimeout).Should(BeTrue())
 		g.Eventually(func() bool {
-			keeper.Hint()
+			agent.Hint()
 			a := seen()
 			return len(a) == 1 && !a[0].Damaged
-		}, patience, 50*time.Millisecond).Should(BeTrue())
+		}, waitTimeout, 50*time.Millisecond).Should(BeTrue())
 	}
 }
 
@@ -119,7 +121,7 @@
 		l, _ := registry.NewListing([]platform.Item{item(string(text), 4, 7)}, 4)
 		for _, a := range l.Agents() {
 			if a.Addr.String() != "10.0.0.1:1" || a.DataCentre == "" || a.Slots < 0 || a.Service == 0 {
-				t.Fatalf("%+v was taken", a)
+				t.Fatalf("agent accepted from an invalid entry: %+v", a)
 			}
 		}
 	})
--- a/internal/packetface/registry/inherit_test.go
+++ b/internal/packetface/registry/inherit_test.go
@@ -10,12 +10,12 @@
 	"github.com/saltbend/saltbend/internal/packetface/steer"
 )
 
-// What an upstream has shown of its warm-up outlives the agent's process: it is wanted
-// after a common loss of power, when nobody else remembers it.
-func TestAWarmUpOutlivesTheProcess(t *testing.T) {
+// The observed warm-up time of an upstream must survive a restart of the agent. It is
+// needed after a simultaneous loss of power, when no other process has it any more.
+func TestInheritedWarmupIsKeptInNewEntry(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	f := prepare(t, fake, 1)
+	f := newFollower(t, fake, 1)
 	warmups := make(chan time.Duration, 100)
 	f.Changed = func(l *registry.Listing) {
 		for _, a := range l.Agents() {
@@ -23,14 +23,14 @@
 		}
 	}
 	f.start(t)
-	first, entry := prepareAgent(t, fake, "10.0.0.1:1")
+	first, entry := startAgent(t, fake, "10.0.0.1:1")
 	entry.WarmupMS = 2000
 	first.Want(entry)
-	g.Eventually(warmups, patience).Should(Receive(Equal(2 * time.Second)))
+	g.Eventually(warmups, waitTimeout).Should(Receive(Equal(2 * time.Second)))
 
-	second, later := inheriting(t, fake, "10.0.0.1:1")
-	later.Slots = 9 // a change, so that the entry is written anew
+	second, later := startInheritingAgent(t, fake, "10.0.0.1:1")
+	later.Slots = 9 // a change, so that the entry is written again
 	second.Want(later)
-	g.Eventually(func() []steer.Agent { return listed(t, fake) }, patience).Should(ConsistOf(And(
+	g.Eventually(func() []steer.Agent { return storedAgents(t, fake) }, waitTimeout).Should(ConsistOf(And(
 		HaveField("Slots", 9), HaveField("Warmup", 2*time.Second))))
 }
--- a/internal/packetface/registry/publisher_test.go
+++ b/internal/packetface/registry/publisher_test.go
@@ -13,8 +13,8 @@
 
 var entryText = []byte("entry")
 
-// written returns a publisher whose entry is in the store.
-func written(g *WithT) *Publisher {
+// newPublished returns a publisher whose entry is in the store.
+func newPublished(g *WithT) *Publisher {
 	p := NewPublisher("k")
 	p.Want(entryText)
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
@@ -27,13 +27,13 @@
 	return p
 }
 
-func TestPublisherKeepsItsEntry(t *testing.T) {
+func TestPublisherRenewsUpdatesAndWithdrawsEntry(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
-	g.Expect(p.Due(0)).To(Equal(leaseTTL / renewPart))
-	g.Expect(p.Next(leaseTTL / renewPart)).To(Equal(StepRenew))
-	p.Renewed(nil, leaseTTL/renewPart)
-	g.Expect(p.Next(leaseTTL / renewPart)).To(Equal(StepNone))
+	p := newPublished(g)
+	g.Expect(p.Due(0)).To(Equal(leaseTTL / renewDivisor))
+	g.Expect(p.Next(leaseTTL / renewDivisor)).To(Equal(StepRenew))
+	p.Renewed(nil, leaseTTL/renewDivisor)
+	g.Expect(p.Next(leaseTTL / renewDivisor)).To(Equal(StepNone))
 
 	p.Want([]byte("other"))
 	g.Expect(p.Next(0)).To(Equal(StepWrite))
@@ -47,7 +47,7 @@
 	g.Expect(p.Next(0)).To(Equal(StepNone))
 	g.Expect(p.Listed()).To(BeFalse())
 
-	p.Want(entryText) // another life begins
+	p.Want(entryText) // the upstream has started again
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
 	p.Granted(platform.Lease{ID: 8, TTL: leaseTTL}, 0)
 	g.Expect(p.Next(0)).To(Equal(StepRead))
@@ -55,18 +55,18 @@
 	g.Expect(p.Write()).To(Equal(platform.Write{Key: "k", Expected: store.Create, Value: entryText, Lease: 8}))
 }
 
-// After whatever may have changed the entry, it is read before it is written.
-func TestPublisherReadsWhenItIsNotSure(t *testing.T) {
+// After any event that may have changed the entry, it is read before it is written.
+func TestPublisherReadsBeforeWritingWhenUncertain(t *testing.T) {
 	cases := map[string]func(*Publisher){
-		"another wrote":        func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrConflict, "apply")) },
-		"the answer was lost":  func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrOutcomeUnknown, "apply")) },
-		"a hint that it lacks": func(p *Publisher) { p.Hint(time.Second) },
+		"write conflict":          func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrConflict, "apply")) },
+		"answer lost":             func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrOutcomeUnknown, "apply")) },
+		"hint that it is missing": func(p *Publisher) { p.Hint(time.Second) },
 	}
-	for name, happens := range cases {
+	for name, event := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			p := written(g)
-			happens(p)
+			p := newPublished(g)
+			event(p)
 			g.Expect(p.Listed()).To(BeFalse())
 			g.Expect(p.Next(0)).To(Equal(StepRead))
 			p.Read(platform.Item{}, 0, store.ErrUnavailable)
@@ -78,18 +78,18 @@
 	}
 }
 
-func TestPublisherTakesOverAnEarlierEntry(t *testing.T) {
+func TestPublisherOverwritesConflictingEntry(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Wrote(entryText, 0, store.ErrConflict)
 	p.Read(platform.Item{Key: "k", Value: []byte("old"), At: 9}, 9, nil)
 	g.Expect(p.Next(0)).To(Equal(StepWrite))
 	g.Expect(p.Write().Expected).To(BeEquivalentTo(9))
 }
 
-func TestPublisherBeginsAnewWhenItsLeaseHasEnded(t *testing.T) {
+func TestPublisherObtainsNewLeaseWhenLeaseHasEnded(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Renewed(errors.Wrap(platform.ErrLeaseEnded, "renew"), 0)
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
 	p.Granted(platform.Lease{ID: 8, TTL: leaseTTL}, 0)
@@ -98,32 +98,33 @@
 	g.Expect(p.Write().Lease).To(BeEquivalentTo(8))
 }
 
-func TestPublisherKeepsAnEntryThroughAnOutage(t *testing.T) {
+func TestPublisherRetriesRenewalDuringOutage(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Renewed(store.ErrUnavailable, time.Minute)
 	g.Expect(p.Next(time.Minute)).To(Equal(StepRenew))
 	p.Renewed(nil, time.Minute)
 	g.Expect(p.Next(time.Minute)).To(Equal(StepNone))
 }
 
-// An agent that no balancer calls asks cheaply, and reads only now and then.
-func TestPublisherThatIsIdleRenews(t *testing.T) {
+// While no balancer contacts the agent, it checks its lease by renewals and reads the
+// entry only every idleReadInterval.
+func TestIdlePublisherRenewsLeaseAndReadsRarely(t *testing.T) {
 	g := NewWithT(t)
-	p := written(g)
+	p := newPublished(g)
 	p.Idle(2 * time.Second)
 	g.Expect(p.Next(2 * time.Second)).To(Equal(StepRenew))
 	p.Renewed(nil, 2*time.Second)
 	g.Expect(p.Next(2 * time.Second)).To(Equal(StepNone))
-	p.Idle(idleRead)
-	g.Expect(p.Next(idleRead)).To(Equal(StepRead))
-	p.Idle(idleRead + time.Second)
-	p.Renewed(platform.ErrLeaseEnded, idleRead)
-	g.Expect(p.Next(idleRead)).To(Equal(StepGrant))
+	p.Idle(idleReadInterval)
+	g.Expect(p.Next(idleReadInterval)).To(Equal(StepRead))
+	p.Idle(idleReadInterval + time.Second)
+	p.Renewed(platform.ErrLeaseEnded, idleReadInterval)
+	g.Expect(p.Next(idleReadInterval)).To(Equal(StepGrant))
 }
 
-// inherited returns a publisher of a process that found the entry of the one before.
-func inherited(g *WithT, left []byte) *Publisher {
+// newInherited returns a publisher that has found the entry of the previous process.
+func newInherited(g *WithT, left []byte) *Publisher {
 	p := NewPublisher("k")
 	p.Inherit()
 	g.Expect(p.Next(0)).To(Equal(StepRead))
@@ -133,28 +134,28 @@
 	return p
 }
 
-// After a common loss of power all agents come back at once: each goes on with its
-// entry, and no balancer has to hear of a change.
-func TestPublisherGoesOnWithTheEntryOfTheProcessBefore(t *testing.T) {
+// After a simultaneous loss of power all agents restart at once. Each reuses its entry,
+// so that balancers receive no changes.
+func TestPublisherReusesInheritedEntry(t *testing.T) {
 	g := NewWithT(t)
-	p := inherited(g, entryText)
+	p := newInherited(g, entryText)
 	g.Expect(p.asOf).To(BeEquivalentTo(30))
-	g.Expect(p.Next(0)).To(Equal(StepRenew)) // how much of the lease is left is not known
+	g.Expect(p.Next(0)).To(Equal(StepRenew)) // the remaining time of the lease is not known
 	p.Renewed(nil, 0)
 	g.Expect(p.Next(0)).To(Equal(StepNone)) // the upstream has not reported yet
 	p.Want(entryText)
 	g.Expect(p.Next(0)).To(Equal(StepNone))
-	g.Expect(p.Next(leaseTTL / renewPart)).To(Equal(StepRenew))
+	g.Expect(p.Next(leaseTTL / renewDivisor)).To(Equal(StepRenew))
 	p.Want([]byte("other"))
 	g.Expect(p.Next(0)).To(Equal(StepWrite))
 	g.Expect(p.Write()).To(Equal(platform.Write{Key: "k", Expected: 9, Value: []byte("other"), Lease: 7}))
 }
 
-// An agent that leaves ends the entry at its address, whoever wrote it: else it stays
-// in all lists until its lease lapses.
-func TestPublisherEndsTheEntryOfTheProcessBefore(t *testing.T) {
+// An agent that leaves ends the lease of the entry at its address, whoever wrote it.
+// Otherwise the entry would stay in all listings until the lease expires.
+func TestPublisherEndsInheritedLeaseWhenWithdrawn(t *testing.T) {
 	g := NewWithT(t)
-	p := inherited(g, entryText)
+	p := newInherited(g, entryText)
 	p.Renewed(nil, 0)
 	p.Want(nil)
 	g.Expect(p.Next(0)).To(Equal(StepEnd))
@@ -162,11 +163,11 @@
 	g.Expect(p.Next(0)).To(Equal(StepNone))
 }
 
-func TestPublisherWhoseInheritedLeaseHasEndedBeginsAnew(t *testing.T) {
+func TestPublisherReplacesEndedInheritedLease(t *testing.T) {
 	g := NewWithT(t)
-	p := inherited(g, entryText)
+	p := newInherited(g, entryText)
 	p.Renewed(errors.Wrap(platform.ErrLeaseEnded, "renew"), 0)
-	g.Expect(p.Next(0)).To(Equal(StepNone)) // nothing is known of the upstream yet
+	g.Expect(p.Next(0)).To(Equal(StepNone)) // the upstream has not reported yet
 	p.Want(entryText)
 	g.Expect(p.Next(0)).To(Equal(StepGrant))
 	p.Granted(platform.Lease{ID: 8, TTL: leaseTTL}, 0)
@@ -175,7 +176,7 @@
 	g.Expect(p.Write()).To(Equal(platform.Write{Key: "k", Expected: store.Create, Value: entryText, Lease: 8}))
 }
 
-func TestPublisherThatInheritsNothingRegisters(t *testing.T) {
+func TestPublisherRegistersWhenNothingIsInherited(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPublisher("k")
 	p.Inherit()
--- a/internal/packetface/registry/writes_test.go
+++ b/internal/packetface/registry/writes_test.go
@@ -15,17 +15,18 @@
 	"github.com/saltbend/saltbend/internal/packetface/registry"
 )
 
-// Tests of agents that write their entries by way of balancers.
+// Tests of agents whose entries balancers write.
 
-// serveNothing returns the address of a process that knows no call.
-func serveNothing(t *testing.T) netip.AddrPort {
+// startServerWithoutHandlers returns the address of a server that has none of the paths.
+func startServerWithoutHandlers(t *testing.T) netip.AddrPort {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// serveSilence returns the address of a process that takes calls and does not answer.
-func serveSilence(t *testing.T) netip.AddrPort {
+// startUnresponsiveServer returns the address of a server that accepts requests and does
+// not answer.
+func startUnresponsiveServer(t *testing.T) netip.AddrPort {
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -34,92 +35,93 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// throughSeeds returns how an agent is prepared that knows some balancers.
-func throughSeeds(seeds ...netip.AddrPort) func(*registry.Agent) {
+// withSeeds returns a function that sets the seeds of an agent.
+func withSeeds(seeds ...netip.AddrPort) func(*registry.Agent) {
 	return func(a *registry.Agent) { a.SetSeeds(seeds) }
 }
 
-func TestAgentsThatStartTogetherShareCalls(t *testing.T) {
+func TestWritesOfStartingAgentsShareCalls(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	balancer := follow(t, fake, 1)
-	g.Eventually(balancer.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, balancer)
+	balancer := startFollower(t, fake, 1)
+	g.Eventually(balancer.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, balancer)
 	const agents = 60
 	writes := fake.CallsOf("/kv-txn")
 	for n := range agents {
-		keeper, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
-		keeper.Want(entry)
+		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
+		agent.Want(entry)
 	}
-	g.Eventually(balancer.sees(agents, ""), patience).Should(BeTrue())
+	g.Eventually(balancer.hasListing(agents, ""), waitTimeout).Should(BeTrue())
 	g.Expect(fake.CallsOf("/kv-lease")).To(Equal(agents))
 	g.Expect(fake.CallsOf("/kv-txn") - writes).To(BeNumerically("<=", agents/4))
 	g.Expect(fake.CallsOf("/kv-key")).To(BeZero())
 }
 
-// One of many that write together has an entry there that it does not know of.
-func TestAStaleWriteKeepsNoOtherAway(t *testing.T) {
+// One write of a batch conflicts with an existing entry that its agent does not know of.
+func TestStaleWriteDoesNotBlockOthersInBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	balancer := follow(t, fake, 1)
-	g.Eventually(balancer.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, balancer)
+	balancer := startFollower(t, fake, 1)
+	g.Eventually(balancer.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, balancer)
 	fake.Put("saltbend/agents/10.0.0.7:1", []byte("left by another writer"))
 	for n := range 20 {
-		keeper, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
-		keeper.Want(entry)
+		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
+		agent.Want(entry)
 	}
-	g.Eventually(balancer.sees(20, ""), patience).Should(BeTrue())
+	g.Eventually(balancer.hasListing(20, ""), waitTimeout).Should(BeTrue())
 }
 
-// Balancers that are gone, that the store turns away, or that know no such call keep no
-// entry away.
-func TestAnEntryIsWrittenWithoutTheBalancers(t *testing.T) {
+// An entry must be written even if the balancer is down, refused by the store, frozen, or
+// of a version without this request.
+func TestEntryIsWrittenDirectlyWhenBalancersFail(t *testing.T) {
 	gone := netip.MustParseAddrPort("127.0.0.1:1")
 	for name, seed := range map[string]func(t *testing.T) netip.AddrPort{
 		"gone": func(*testing.T) netip.AddrPort { return gone },
-		"turned away": func(t *testing.T) netip.AddrPort {
+		"refused by the store": func(t *testing.T) netip.AddrPort {
 			refusing := newStore(t)
-			f := follow(t, refusing, 1)
-			NewWithT(t).Eventually(f.reachedNow, patience).Should(BeTrue())
+			f := startFollower(t, refusing, 1)
+			NewWithT(t).Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
 			refusing.Fail(http.StatusServiceUnavailable)
-			return serve(t, f)
+			return startServer(t, f)
 		},
-		"frozen":                func(t *testing.T) netip.AddrPort { return serveSilence(t) },
-		"of an earlier version": func(t *testing.T) netip.AddrPort { return serveNothing(t) },
+		"frozen":                func(t *testing.T) netip.AddrPort { return startUnresponsiveServer(t) },
+		"of an earlier version": func(t *testing.T) netip.AddrPort { return startServerWithoutHandlers(t) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			fake := newStore(t)
-			keeper, entry := runAgent(t, fake, "10.0.0.1:1", throughSeeds(seed(t)))
-			keeper.Want(entry)
-			g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, 2*time.Second).Should(HaveLen(1), "as soon as entries are to be back")
+			agent, entry := startConfiguredAgent(t, fake, "10.0.0.1:1", withSeeds(seed(t)))
+			agent.Want(entry)
+			g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, 2*time.Second).Should(HaveLen(1), "within the time in which a lost entry must be listed again")
 		})
 	}
 }
 
-// The answer to a call for many is lost: each finds out what became of its own write.
-func TestEntriesAreThereAfterALostAnswerToManyWrites(t *testing.T) {
+// The answer to a call for several agents is lost. Each agent finds out by reading
+// whether its own write was done.
+func TestEntriesAreListedAfterLostAnswerToBatch(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	balancer := follow(t, fake, 1)
-	g.Eventually(balancer.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, balancer)
+	balancer := startFollower(t, fake, 1)
+	g.Eventually(balancer.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, balancer)
 	for n := range 5 {
-		keeper, entry := runAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), throughSeeds(seed))
+		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
 		fake.LoseAnswers(1)
-		keeper.Want(entry)
+		agent.Want(entry)
 	}
-	g.Eventually(balancer.sees(5, ""), patience).Should(BeTrue())
+	g.Eventually(balancer.hasListing(5, ""), waitTimeout).Should(BeTrue())
 }
 
-// A balancer writes entries for agents and nothing else.
-func TestABalancerWritesNothingButEntries(t *testing.T) {
+// A balancer writes entries for agents and rejects any other write.
+func TestBalancerRejectsWritesOtherThanEntries(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
-	f := follow(t, fake, 1)
-	g.Eventually(f.reachedNow, patience).Should(BeTrue())
-	seed := serve(t, f)
+	f := startFollower(t, fake, 1)
+	g.Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
+	seed := startServer(t, f)
 	for name, body := range map[string]string{
 		"another key":  `{"Key":"saltbend/settled-era","Value":"MQ==","Lease":1}`,
 		"another host": `{"Key":"saltbend/agents/10.0.0.1:1","Value":"e30=","Lease":1}`,
--- a/internal/packetface/watchshare/size_test.go
+++ b/internal/packetface/watchshare/size_test.go
@@ -10,46 +10,48 @@
 	"github.com/saltbend/saltbend/internal/packetface/watchshare"
 )
 
-// Tests of the largest fleet in service and of one of twice its balancers: what the
-// store is asked does not grow with them, nor does what one host serves.
+// Tests of the largest fleet in production and of one with twice its balancers. Neither
+// the calls of the store nor the listeners of one host may grow with the number of
+// balancers.
 
 var sizes = []int{304, 608}
 
 const (
-	// callsPerSecond bounds the calls of all balancers together in calm.
+	// callsPerSecond bounds the calls of all balancers together while nothing fails.
 	callsPerSecond = 5
-	// trying bounds those while the store answers nobody: each is paid for, too.
-	trying = 50
-	// listenersMost bounds those that rely on one host.
-	listenersMost = 32
+	// outageCallsPerSecond bounds the calls while the store answers no balancer; each of
+	// these is paid for, too.
+	outageCallsPerSecond = 50
+	// maxListenersPerHost bounds the listeners of one host.
+	maxListenersPerHost = 32
 )
 
-func atEachSize(t *testing.T, test func(g *WithT, f *fleet)) {
+func forEachSize(t *testing.T, test func(g *WithT, f *fleet)) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			f := newFleet(size, 7)
 			test(NewWithT(t), f)
-			NewWithT(t).Expect(f.busiest).To(BeNumerically("<=", listenersMost), "listeners of one host")
+			NewWithT(t).Expect(f.maxListeners).To(BeNumerically("<=", maxListenersPerHost), "listeners of one host")
 		})
 	}
 }
 
-// callsIn returns the calls that are made in a time.
-func (f *fleet) callsIn(d time.Duration) int {
+// callsDuring runs the fleet for some time and returns the number of calls made.
+func (f *fleet) callsDuring(d time.Duration) int {
 	before := f.calls
 	f.run(d)
 	return f.calls - before
 }
 
-func TestALargeFleetStartsWithFewReadings(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
-		g.Expect(f.callsIn(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
+func TestStartOfLargeFleetCostsFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
+		g.Expect(f.callsDuring(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
 		g.Expect(f.behind()).To(BeEmpty())
 	})
 }
 
-func TestChangesCostALargeFleetFewCalls(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestChangesInLargeFleetCostFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		before := f.calls
 		for range 20 {
@@ -57,56 +59,57 @@
 			f.run(500 * time.Millisecond)
 			g.Expect(f.behind()).To(BeEmpty())
 		}
-		g.Expect(f.calls-before).To(BeNumerically("<=", 10*callsPerSecond+20*3), "one of each of three watchers for a change")
+		g.Expect(f.calls-before).To(BeNumerically("<=", 10*callsPerSecond+20*3), "three watching balancers make one call each for a change")
 	})
 }
 
-func TestALargeFleetComesBackFromALossOfPowerWithFewReadings(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestSimultaneousRestartOfLargeFleetCostsFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		for _, m := range f.members {
 			f.start(m)
 		}
-		calls := f.callsIn(500 * time.Millisecond)
+		calls := f.callsDuring(500 * time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 		g.Expect(calls).To(BeNumerically("<=", 20))
 	})
 }
 
-// The first word of a seed that has just started tells how large the fleet is, and its
-// own reading may take long.
-func TestABalancerWaitsForASeedThatIsReading(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+// The first news of a seed that has just started show that the fleet is large. Starting
+// balancers then have to wait for the seed's own reading, even if it takes long.
+func TestStartingBalancerWaitsForSeedThatReadsStore(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
-		f.reading = 150 * time.Millisecond
+		f.readingTime = 150 * time.Millisecond
 		for _, m := range f.members {
 			f.start(m)
 		}
-		calls := f.callsIn(600 * time.Millisecond)
+		calls := f.callsDuring(600 * time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 		g.Expect(calls).To(BeNumerically("<=", 20))
 	})
 }
 
-// While the store is away every balancer learns that its news are old at the same time.
-// When it is back, all know a change soon.
-func TestALargeFleetAsksRarelyWhileTheStoreIsAway(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+// In an outage of the store the listings of all balancers become stale at the same time,
+// and they must not all call the store. After the outage every balancer receives a change
+// soon.
+func TestLargeFleetCallsStoreRarelyDuringOutage(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		f.down = true
-		f.run(watchshare.StaleAfter + 500*time.Millisecond) // each has noticed
-		g.Expect(f.callsIn(4 * time.Second)).To(BeNumerically("<=", 4*trying))
+		f.run(watchshare.StaleAfter + 500*time.Millisecond) // every balancer has detected the outage
+		g.Expect(f.callsDuring(4 * time.Second)).To(BeNumerically("<=", 4*outageCallsPerSecond))
 		f.down = false
 		f.change()
 		f.run(watchshare.StaleAfter)
 		g.Expect(f.behind()).To(BeEmpty())
 		f.run(3 * time.Second)
-		g.Expect(f.callsIn(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
+		g.Expect(f.callsDuring(6 * time.Second)).To(BeNumerically("<=", 6*callsPerSecond))
 	})
 }
 
-func TestALargeFleetFindsOtherSourcesWhenItsWatchersDie(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+func TestListenersFindSourcesAfterAllWatchersFail(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		for _, m := range f.members {
 			if _, listens := m.share.Source(); !listens {
@@ -117,24 +120,24 @@
 		f.run(watchshare.StaleAfter + 700*time.Millisecond)
 		g.Expect(f.behind()).To(BeEmpty())
 		f.run(6 * time.Second)
-		g.Expect(f.callsIn(6*time.Second)).To(BeNumerically("<=", 6*callsPerSecond*2), "all seeds are gone")
+		g.Expect(f.callsDuring(6*time.Second)).To(BeNumerically("<=", 6*callsPerSecond*2), "all seeds are down")
 	})
 }
 
-// A rolling restart of half of the balancers, some of them seeds.
-func TestARollingRestartOfALargeFleetCostsFewCalls(t *testing.T) {
-	atEachSize(t, func(g *WithT, f *fleet) {
+// Restarts a part of the balancers one after the other, among them the seeds.
+func TestRollingRestartOfLargeFleetCostsFewCalls(t *testing.T) {
+	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
 		before := f.calls
 		const restarts = 100
 		for n := range restarts {
 			m := f.members[n]
-			f.post(m, m.share.Leave(f.clock(m)))
+			f.send(m, m.share.Leave(f.clock(m)))
 			f.run(100 * time.Millisecond)
 			f.start(m)
 		}
 		f.run(2 * time.Second)
 		g.Expect(f.behind()).To(BeEmpty())
-		g.Expect(f.calls-before).To(BeNumerically("<=", 12*callsPerSecond+30), "12 s, and some for the three seeds")
+		g.Expect(f.calls-before).To(BeNumerically("<=", 12*callsPerSecond+30), "calls of 12 s, and 30 for the restarts of the three seeds")
 	})
 }
