--- a/internal/packetface/gate/answer.go
+++ b/internal/packetface/gate/answer.go
@@ -16,10 +16,10 @@
 	if err != nil {
 		return err
 	}
-	g.hearKnown(from, poll.Known)
-	g.hearEvacuation(now, from, poll.Evacuation)
-	g.hearCold(now, poll.Service, poll.Known.Version, poll.Cold)
-	otherService := poll.Service != 0 && poll.Service != g.service // the entry is old, or not the agent's
+	g.updateKnown(from, poll.Known)
+	g.updateEvacuation(now, from, poll.Evacuation)
+	g.updateCold(now, poll.Service, poll.Known.Version, poll.Cold)
+	otherService := poll.Service != 0 && poll.Service != g.service // its entry for this agent is outdated or another writer's
 	if (poll.Flags&inner.FlagUnlisted != 0 || otherService) && !g.unlisted {
 		g.unlisted = true
 		g.note(now, Note{Kind: KindUnlisted, Peer: from})
@@ -28,20 +28,21 @@
 	return nil
 }
 
-// hearKnown notes how new a balancer's beliefs are.
-func (g *Gate) hearKnown(from netip.AddrPort, known inner.Known) {
+// updateKnown records the newest configuration version and store position that any balancer
+// has reported, and which balancer reported them.
+func (g *Gate) updateKnown(from netip.AddrPort, known inner.Known) {
 	if known.Max(g.known) == known && from.Addr().Is4() {
 		g.source = from.Addr().As4()
 	}
 	g.known = g.known.Max(known)
 }
 
-// TakeUnlisted reports whether a balancer has told since the last call that
-// the store does not list this agent.
+// TakeUnlisted reports whether a balancer has reported since the last call that the store
+// does not list this agent.
 func (g *Gate) TakeUnlisted() bool {
-	told := g.unlisted
+	reported := g.unlisted
 	g.unlisted = false
-	return told
+	return reported
 }
 
 func (g *Gate) fromAsk(now time.Duration, from netip.AddrPort, b []byte) (err error) {
@@ -50,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	g.hearWarmup(now, head.Service, head.Cold.Warmup)
+	g.updateWarmup(now, head.Service, head.Cold.Warmup)
 	start := len(g.buffer)
 	g.buffer = inner.AppendAnswerHead(g.buffer, g.listing())
 	for _, q := range g.questions {
@@ -60,88 +61,98 @@
 	return nil
 }
 
-// Era returns the highest era of the store that the process has seen or has heard of.
+// Era returns the highest era of the store that the process has read itself or that
+// balancers have reported. A new era begins when the store returns from an older copy of
+// its data.
 func (g *Gate) Era() uint64 { return g.listing().Era() }
 
-// SetSeen tells the store's position that this process has seen itself, when it read
-// or wrote its entry. Balancers that have forgotten the agent while it was silent hear
-// of it at once.
+// SetSeen records the store's position at which this process itself last read or wrote its
+// entry, and sends the status to all balancers, as those that removed the agent from their
+// tables while it was silent would otherwise learn of it late.
 func (g *Gate) SetSeen(now time.Duration, at store.Position) *Result {
 	g.begin()
-	g.seen = at
+	g.ownPosition = at
 	g.announce(now)
 	return &g.out
 }
 
-// listing returns the newest position of the store that the process has seen or has
-// heard of. A balancer whose list is older may lack the agent that holds a flow.
-func (g *Gate) listing() store.Position { return max(g.known.Listing, g.seen) }
-
-// settled reports whether the process can warn a balancer that lacks an agent. It
-// can once it has seen the store since its start: of an agent that was listed before,
-// the position tells; of one that is listed later, balancers tell all agents of its
-// service before the first flow is placed there. While the store does not answer, a
-// process goes by its age and by what balancers tell.
+// listing returns the newest position of the store that the process has read itself or that
+// balancers have reported. A balancer whose list of agents is older may lack the agent that
+// holds a flow.
+func (g *Gate) listing() store.Position { return max(g.known.Listing, g.ownPosition) }
+
+// listingKnown reports whether the process knows a store position that is recent enough for
+// a balancer to detect by it that its own list lacks an agent. This is so once the process
+// has read or written the store since its start: agents listed before are covered by that
+// position, and for an agent listed later, balancers inform all agents of its service
+// before they place the first flow there. While the store does not answer, the position
+// reported by balancers is used once the process has run for settleTime.
 //
-// Waiting instead for a balancer with a list as new as an entry of this start, as all
-// entries were written anew after a common loss of power, kept dead flows from being
-// reset for 2 to 20 s on a fleet of 60 balancers and 140 agents (from its logs).
-func (g *Gate) settled() bool {
-	return g.seen != 0 || g.aged && g.known.Listing != 0
+// The process does not wait for a balancer whose list includes the entry written at this
+// start. After a common power loss all entries are rewritten, and that wait delayed resets
+// of dead flows by 2 to 20 s in a fleet of 60 balancers and 140 agents (from its logs).
+func (g *Gate) listingKnown() bool {
+	return g.ownPosition != 0 || g.pastSettleTime && g.known.Listing != 0
 }
 
-// verdict says whether the upstream holds a flow.
+// verdict returns whether the upstream holds a flow, for a caller that has acknowledged
+// data up to the given sequence number.
 func (g *Gate) verdict(id platform.Flow, acknowledged uint32) inner.Verdict {
 	f := g.flows[id]
 	switch {
-	case g.upstream.down, f == nil && g.upstream.whole:
-		return g.none()
+	case g.upstream.down, f == nil && g.upstream.fullyObserved:
+		return g.notHeldVerdict()
 	case f == nil || f.probing:
 		return inner.VerdictMaybe
 	case g.owns(f, acknowledged):
 		return inner.VerdictHeld
 	}
-	return g.none()
+	return g.notHeldVerdict()
 }
 
-// none returns the verdict on a flow that the upstream does not hold.
-func (g *Gate) none() inner.Verdict {
-	if g.settled() {
+// notHeldVerdict returns the verdict on a flow that the upstream does not hold: none only
+// if the answer carries a store position by which the balancer can detect that its list of
+// agents is outdated, unsure otherwise.
+func (g *Gate) notHeldVerdict() inner.Verdict {
+	if g.listingKnown() {
 		return inner.VerdictNone
 	}
 	return inner.VerdictUnsure
 }
 
-// unknown is none as the reason for returning a packet.
-func (g *Gate) unknown() inner.Reason {
-	if g.settled() {
+// notHeldReason returns the reason, corresponding to notHeldVerdict, for returning a packet
+// of a flow that the upstream does not hold.
+func (g *Gate) notHeldReason() inner.Reason {
+	if g.listingKnown() {
 		return inner.ReasonUnknown
 	}
 	return inner.ReasonUnsure
 }
 
-// Status returns how the agent and its upstream are.
+// Status returns the status of the agent and its upstream that is sent to balancers.
 func (g *Gate) Status(now time.Duration) inner.Status {
 	u := &g.upstream
 	return inner.Status{
-		State: g.state(now), StateFor: now - g.stateSince, Incarnation: g.settings.Incarnation, Known: g.told(), Source: g.source,
+		State: g.state(now), StateFor: now - g.stateSince, Incarnation: g.settings.Incarnation, Known: g.newestKnown(), Source: g.source,
 		Running: g.load(), Slots: uint16(u.slots), Flows: uint32(g.open),
 		Balancers: uint16(min(len(g.balancers), 1<<16-1)), Cold: now < u.coldEnd, Evacuation: g.evacuation,
-		Answer: g.answerTime(now), Warmup: max(g.cold.reported, g.cold.estimate), Whole: u.whole,
+		Answer: g.answerTime(now), Warmup: max(g.cold.reported, g.cold.estimate), Whole: u.fullyObserved,
 	}
 }
 
-// told returns how new the process's knowledge is, for balancers.
-func (g *Gate) told() inner.Known {
+// newestKnown returns the newest configuration version and store position known to the
+// process.
+func (g *Gate) newestKnown() inner.Known {
 	return inner.Known{Version: g.known.Version, Listing: g.listing()}
 }
 
-// load returns how many requests the upstream works on, with those that wait.
+// load returns the number of requests that the upstream is processing or that wait for a
+// slot.
 func (g *Gate) load() uint16 {
 	return uint16(min(g.running+g.queue.Len(), math.MaxUint16))
 }
 
-// state returns whether the upstream takes flows.
+// state returns the state of the upstream that is reported to balancers.
 func (g *Gate) state(now time.Duration) inner.State {
 	u := &g.upstream
 	switch {
--- a/internal/packetface/gate/evacuated.go
+++ b/internal/packetface/gate/evacuated.go
@@ -8,14 +8,14 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Operators may ask that nothing new be sent to a data centre. Balancers choose
-// elsewhere; one that has not heard of it yet, or was turned away by the store, or has
-// slept, is stopped here: the agent keeps the newest word of any balancer. Flows that
-// are open go on.
+// Operators can evacuate a data centre: no new flow may then be sent to it. Balancers stop
+// placing flows there. A balancer that does not know of the evacuation yet, because it has
+// not received it, was refused by the store or was suspended, is stopped by the agent,
+// which keeps the newest evacuation state received from any balancer. Open flows continue.
 
-// hearEvacuation takes a balancer's word on the data centre, and tells the others when
-// it changes what the agent does.
-func (g *Gate) hearEvacuation(now time.Duration, from netip.AddrPort, word evacuation.Word) {
+// updateEvacuation applies the evacuation state of the data centre as sent by a balancer,
+// and notifies all balancers if it changes what the agent does.
+func (g *Gate) updateEvacuation(now time.Duration, from netip.AddrPort, word evacuation.Word) {
 	before := g.evacuation
 	g.evacuation = before.Newer(word)
 	if g.evacuation.Evacuated == before.Evacuated {
@@ -32,9 +32,10 @@
 	g.announce(now)
 }
 
-// keptOut reports whether the evacuation keeps an opening packet out. A copy for a flow
-// that the upstream has taken already is none of its business.
-func (g *Gate) keptOut(id platform.Flow) bool {
+// blockedByEvacuation reports whether an opening packet is refused because the data centre
+// is evacuated. A retransmission for a flow that the upstream has already accepted is not
+// refused.
+func (g *Gate) blockedByEvacuation(id platform.Flow) bool {
 	f := g.flows[id]
 	return g.evacuation.Evacuated && (f == nil || !f.answered)
 }
--- a/internal/packetface/gate/flows.go
+++ b/internal/packetface/gate/flows.go
@@ -8,7 +8,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// flowState is where a flow stands in its life.
+// flowState is the phase of a flow's life cycle.
 type flowState uint8
 
 const (
@@ -17,75 +17,79 @@
 	flowClosed
 )
 
-// flow is what the agent knows of a flow.
+// flow is the agent's state for one flow.
 type flow struct {
 	state flowState
-	// balancer sent the last packet.
+	// balancer is the one that forwarded the flow's last packet.
 	balancer netip.AddrPort
-	// began is when the upstream last accepted the opening, or else when the flow
-	// was first seen; seen is when its last packet came.
-	began, seen time.Duration
-	// openedLate is the age of the opening packet that was let in; repeatedAfter is
-	// how long before the caller may have opened another flow for the same request.
-	openedLate, repeatedAfter time.Duration
-	// opening is the opening packet, until it is answered.
+	// openedAt is when the upstream last accepted the opening packet, or when the agent
+	// first saw the flow if it has not; lastPacket is when the flow's last packet arrived.
+	openedAt, lastPacket time.Duration
+	// openingAge is the age of the opening packet at its admission: a retransmission is
+	// older than the flow's first packet. retryOffset is how long before that the caller
+	// may have opened another flow for the same request.
+	openingAge, retryOffset time.Duration
+	// opening is the opening packet, kept until the upstream answers it.
 	opening []byte
-	// answered tells that the upstream has accepted the opening; accepted is
-	// the sequence of its answer.
-	answered bool
-	accepted uint32
-	// acknowledged is the caller's last count.
+	// answered is true once the upstream has accepted the opening packet; acceptedSequence
+	// is the sequence number of that reply.
+	answered         bool
+	acceptedSequence uint32
+	// acknowledged is the acknowledgement number of the caller's last packet.
 	acknowledged uint32
-	// sent is the caller's count after the data that the upstream got; sentKnown
-	// tells that any was seen. What a caller repeats is no new request.
+	// sent is the sequence number after the last data forwarded to the upstream, valid if
+	// sentKnown. Data below it is a retransmission and not a new request.
 	sent      uint32
 	sentKnown bool
-	// running tells that a request is not answered yet, asked since when.
-	running bool
-	asked   time.Duration
-	// terms are those of the route; served tells that a request of the flow has
-	// been answered; waiting is the request that waits, if any.
+	// running is true while a request forwarded to the upstream is unanswered; requestedAt
+	// is when it was forwarded.
+	running     bool
+	requestedAt time.Duration
+	// terms are the terms of the flow's route; served is true once a request of the flow
+	// has been answered; waiting is the request that is queued for a slot, nil if none.
 	terms   inner.Terms
 	served  bool
 	waiting *waiting
-	// callerDone and upstreamDone tell that the end has closed its direction.
+	// callerDone and upstreamDone are true once that end has closed its direction.
 	callerDone, upstreamDone bool
-	// probing tells that the agent has handed on a packet without knowing
-	// whether the upstream holds the flow.
+	// probing is true after the agent has forwarded a packet without knowing whether the
+	// upstream holds the flow, until the upstream answers.
 	probing bool
 }
 
-// remember makes room for a flow; a full table forgets any closed one first.
-func (g *Gate) remember(id platform.Flow, now time.Duration, state flowState) *flow {
+// addFlow adds a flow to the table. If the table is full, a closed flow is evicted first,
+// or any flow if none is closed.
+func (g *Gate) addFlow(id platform.Flow, now time.Duration, state flowState) *flow {
 	if len(g.flows) >= maxFlows {
-		g.makeRoom()
+		g.evictFlow()
 	}
-	f := &flow{began: now, seen: now}
+	f := &flow{openedAt: now, lastPacket: now}
 	g.flows[id] = f
 	g.setState(f, state)
 	return f
 }
 
-func (g *Gate) makeRoom() {
+func (g *Gate) evictFlow() {
 	for id, f := range g.flows {
 		if f.state == flowClosed {
-			g.forget(id, f)
+			g.removeFlow(id, f)
 			return
 		}
 	}
-	g.upstream.whole, g.upstream.firstCold = false, 0 // a living flow is forgotten: the upstream tells
+	g.upstream.fullyObserved, g.upstream.initialColdFor = false, 0 // an open flow is lost: only the upstream knows its flows now
 	for id, f := range g.flows {
-		g.forget(id, f)
+		g.removeFlow(id, f)
 		return
 	}
 }
 
-func (g *Gate) forget(id platform.Flow, f *flow) {
+func (g *Gate) removeFlow(id platform.Flow, f *flow) {
 	g.setState(f, flowClosed)
 	delete(g.flows, id)
 }
 
-// setState keeps the counts of open flows and running requests true.
+// setState changes a flow's state and updates the counts of open flows and running
+// requests.
 func (g *Gate) setState(f *flow, state flowState) {
 	if f.state == flowOpen {
 		g.open--
@@ -95,7 +99,7 @@
 	}
 	if state == flowClosed {
 		g.setRunning(f, false)
-		g.drop(f)
+		g.dequeue(f)
 	}
 	f.state = state
 }
@@ -112,18 +116,19 @@
 	}
 }
 
-// owns reports whether a packet with this count belongs to the flow as this
-// upstream has opened it: copies of an opening packet may have reached several,
-// and the caller goes on with the one whose answer came first.
+// owns reports whether a packet with this acknowledgement number belongs to the flow as
+// opened by this upstream. Retransmissions of an opening packet may have reached several
+// upstreams, and the caller continues with the one whose answer arrived first.
 func (g *Gate) owns(f *flow, acknowledged uint32) bool {
 	if f.state != flowOpening || f.probing {
 		return true
 	}
 	const window = 1 << 17 // more than 16 packets of data
-	return f.answered && acknowledged-f.accepted < window
+	return f.answered && acknowledged-f.acceptedSequence < window
 }
 
-// countRequest notes that data of a request goes to the upstream.
+// countRequest records that data of a request is forwarded to the upstream, and marks the
+// request as running if the data is new.
 func (g *Gate) countRequest(now time.Duration, f *flow, p *platform.Packet) {
 	if !f.isNew(p) {
 		return
@@ -133,46 +138,47 @@
 		return
 	}
 	if !f.running {
-		f.asked = now
+		f.requestedAt = now
 	}
 	g.setRunning(f, true)
 }
 
-// isNew reports whether a packet brings data that the upstream has not got.
+// isNew reports whether a packet carries data that has not been forwarded to the upstream.
 func (f *flow) isNew(p *platform.Packet) bool {
 	end := p.Sequence + uint32(p.Length)
 	return p.Length > 0 && (!f.sentKnown || int32(end-f.sent) > 0)
 }
 
-// closeIfDone closes a flow that was reset or that both ends have closed.
+// closeIfDone marks a flow as closed if it was reset or both ends have closed it.
 func (g *Gate) closeIfDone(f *flow, p *platform.Packet) {
 	if p.Flags.Has(platform.FlagRST) || (f.callerDone && f.upstreamDone) {
 		g.setState(f, flowClosed)
 	}
 }
 
-// sweep forgets flows that were closed or never opened, and those that are
-// older than a flow may be.
+// sweep removes flows that were closed or never opened once their retention time is over,
+// flows that exceed the maximum age, and balancers that have been silent for balancerTTL.
+// Requests without an answer for maxRunningTime no longer count as running.
 func (g *Gate) sweep(now time.Duration) {
 	g.swept = now
 	for balancer, at := range g.balancers {
-		if now-at > balancerTime {
+		if now-at > balancerTTL {
 			delete(g.balancers, balancer)
 		}
 	}
 	for id, f := range g.flows {
-		if f.running && now-f.asked > runningTime {
-			g.setRunning(f, false) // its caller has gone, or a packet was lost
+		if f.running && now-f.requestedAt > maxRunningTime {
+			g.setRunning(f, false) // the caller has given up, or a packet was lost
 		}
 		limit := g.settings.FlowMaxAge
 		switch f.state {
 		case flowOpening:
-			limit = openingTime
+			limit = openingTTL
 		case flowClosed:
-			limit = closedTime
+			limit = closedTTL
 		}
-		if now-f.seen > limit {
-			g.forget(id, f)
+		if now-f.lastPacket > limit {
+			g.removeFlow(id, f)
 		}
 	}
 }
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -1,13 +1,19 @@
-// Package gate decides for an agent of the packet face which packets its
-// upstream gets. It is pure: packets, datagrams of balancers, heartbeats and
-// the time come in; datagrams and notes on decisions go out. A Gate is owned by
-// one caller at a time.
+// Package gate decides for an agent of the packet face which packets are forwarded to its
+// upstream. It does no I/O: packets, datagrams from balancers, heartbeats and the current
+// time are passed in; datagrams to send and notes on decisions are returned. A Gate is not
+// safe for concurrent use.
 //
-// The agent sees every packet of its upstream in both directions, so it knows
-// the flows that live there, but for those that are older than the agent
-// itself. It is the last to refuse an opening packet: one that is meant for
-// another service, or that comes after the upstream announced that it leaves.
-// Replies go straight to the caller.
+// An agent runs beside one upstream. Balancers forward the packets of callers to it; it
+// forwards them to the upstream and sends replies directly to the caller. Because it sees
+// every packet of its upstream in both directions, it knows the upstream's open flows,
+// except those that are older than the agent process. An instance of the upstream is one
+// run of it, identified by platform.Life.
+//
+// The agent makes the last check on an opening packet: it refuses one that is meant for
+// another service or that arrives after the upstream has announced that it is leaving. A
+// balancer asks agents whether they hold a flow that it does not know; the answer is an
+// inner.Verdict. Package outcome judges separately whether the upstream works; that is an
+// outcome.Verdict.
 package gate
 
 import (
@@ -23,32 +29,34 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Settings of a Gate.
+// Settings configures a Gate.
 type Settings struct {
 	Service string
-	// CallerPort is the port at which callers take packets.
+	// CallerPort is the port on which callers receive packets.
 	CallerPort uint16
-	// Incarnation is that of the process.
+	// Incarnation identifies this run of the agent process.
 	Incarnation uint64
-	// Policies tells which decisions are made.
+	// Policies are the optional policies that are enabled.
 	Policies policy.Set
 	Times
 }
 
-// Times are settings that may change while the process runs.
+// Times are the settings that may change while the process runs.
 type Times struct {
-	// DrainWithin is the time after the acknowledgement of a drain from which
-	// on the upstream must get no new flow.
+	// DrainWithin is the time after the acknowledgement of a drain from which on no new
+	// flow may reach the upstream.
 	DrainWithin time.Duration
-	// FlowMaxAge is the age from which on a flow may be discarded.
+	// FlowMaxAge is the maximum age of a flow. A flow without packets for that long is
+	// discarded.
 	FlowMaxAge time.Duration
-	// HeartbeatEvery is the time between two heartbeats of the upstream.
+	// HeartbeatEvery is the interval between two heartbeats of the upstream.
 	HeartbeatEvery time.Duration
-	// ColdOverage is how many times its rate a cold upstream may get at most.
+	// ColdOverage is the multiple of its cold rate that a cold upstream may get at most,
+	// for flows that no other upstream accepts.
 	ColdOverage float64
 }
 
-// Target says where a datagram goes.
+// Target is the kind of receiver of a datagram.
 type Target uint8
 
 // Targets of datagrams.
@@ -61,7 +69,7 @@
 // Action is a datagram to send. Its bytes are valid until the next call.
 type Action struct {
 	Target Target
-	// To is the address; none for the upstream.
+	// To is the receiver's address; it is not set for the upstream.
 	To    netip.AddrPort
 	Bytes []byte
 }
@@ -82,174 +90,191 @@
 	KindWaited   Kind = "waited"
 	KindSlow     Kind = "slow-answer"
 	KindVerdict  Kind = "verdict"
-	// KindEvacuation tells that the data centre is evacuated, or taken back.
+	// KindEvacuation is recorded when the data centre is evacuated or taken back.
 	KindEvacuation Kind = "evacuation"
-	// KindAbandoned tells of a request whose caller gave up while it waited.
+	// KindAbandoned is recorded for a request whose caller gave up while it waited for a
+	// slot.
 	KindAbandoned Kind = "abandoned"
 )
 
-// Note tells of one decision: its id, its inputs with their age, its outcome.
+// Note records one decision for logs and metrics: its kind, the inputs with their age, and
+// the outcome.
 type Note struct {
 	Kind   Kind
 	Flow   platform.Flow
 	Peer   netip.AddrPort
 	Reason string
-	// Detail tells more than the reason, for the log alone.
+	// Detail adds to the reason; it is only logged.
 	Detail string
-	// Version is that of the configuration decided by.
+	// Version is the version of the configuration that the decision was based on.
 	Version uint64
-	// Running is the number of requests that the upstream works on.
+	// Running is the number of requests that the upstream is processing.
 	Running int
-	// Age is that of the upstream's last heartbeat.
+	// Age is the time since the upstream's last heartbeat.
 	Age time.Duration
-	// Took is how long a request waited for a slot or for its answer.
+	// Took is how long a request waited for a slot or for its answer, or for how long the
+	// upstream is shut out.
 	Took time.Duration
 }
 
-// Result holds what a call decided. It is valid until the next call.
+// Result holds the decisions of one call. It is valid until the next call.
 type Result struct {
 	Actions []Action
 	Notes   []Note
-	// Answered holds the times from requests to their answers, Waited those that
-	// requests have waited for a slot.
+	// Answered holds the response times of requests that were answered, Waited the times
+	// that requests waited for a slot.
 	Answered, Waited []time.Duration
 }
 
-// Limits and times of the decisions.
+// Limits and timeouts.
 const (
-	// drainMargin is kept free before the end of DrainWithin for the way of a
-	// packet to the upstream.
+	// drainMargin is subtracted from DrainWithin to allow for the transit time of a packet
+	// to the upstream.
 	drainMargin = 700 * time.Millisecond
-	// closedTime is how long a flow that was closed or reset is remembered: its
-	// upstream answers what comes late.
-	closedTime = 10 * time.Second
-	// openingTime is how long an opening flow is remembered.
-	openingTime = 5 * time.Second
-	// missedHeartbeats is the number of heartbeats after whose absence the
-	// upstream counts as gone.
+	// closedTTL is how long a closed or reset flow is kept, so that late packets are still
+	// forwarded to its upstream, which answers them.
+	closedTTL = 10 * time.Second
+	// openingTTL is how long a flow is kept that has not been opened.
+	openingTTL = 5 * time.Second
+	// missedHeartbeats is the number of missing heartbeats after which the upstream counts
+	// as silent.
 	missedHeartbeats = 4
-	// settleTime is the age from which on a process that the store does not answer
-	// counts as settled: balancers that use it have polled it several times.
+	// settleTime is the uptime from which on, while the store does not answer, the store
+	// position reported by balancers is relied on: by then the balancers that use the agent
+	// have polled it several times.
 	settleTime = 400 * time.Millisecond
-	// leaveTime is the time after which an upstream that announced its end has
-	// ended.
-	leaveTime = 200 * time.Millisecond
-	// longWait and slowAnswer are the times from which on a request's wait for a
-	// slot, or its answer, has a line of its own in the log.
+	// leaveDelay is the time after an upstream's announcement that it leaves at which it
+	// counts as ended.
+	leaveDelay = 200 * time.Millisecond
+	// longWait and slowAnswer are the thresholds from which on a request's wait for a slot,
+	// or its response time, is logged individually.
 	longWait   = 100 * time.Millisecond
 	slowAnswer = 500 * time.Millisecond
-	// refusals is the number of packets in a row for which no socket was there
-	// after which the upstream counts as gone, refusalTime the least time that
-	// they span.
+	// refusals is the number of consecutive packets refused for lack of a listening socket
+	// after which the upstream counts as down; refusalSpan is the least time between the
+	// first and the last of them.
 	refusals    = 2
-	refusalTime = 20 * time.Millisecond
-	// sweepEvery is the time between two searches for forgotten flows.
+	refusalSpan = 20 * time.Millisecond
+	// sweepEvery is the interval at which expired flows are removed.
 	sweepEvery = 2 * time.Second
-	// runningTime is the time after which a request without an answer no longer
-	// counts as running; callers give a request 10 s at most.
-	runningTime = 10 * time.Second
-	// balancerTime is how long a balancer that sends nothing is told of changes.
-	balancerTime = 10 * time.Second
-	// maxFlows bounds the flows that an agent remembers, twice what an upstream
-	// holds (2,000 connections) with as many closed ones.
+	// maxRunningTime is the time after which an unanswered request no longer counts as
+	// running; callers give up on a request after 10 s at most.
+	maxRunningTime = 10 * time.Second
+	// balancerTTL is how long after its last datagram a balancer is still sent changes of
+	// the status.
+	balancerTTL = 10 * time.Second
+	// maxFlows bounds the flow table: twice what an upstream holds (2,000 connections),
+	// with as many closed flows.
 	maxFlows = 8192
-	// latencyTime is the age from which on the latency of the last answers says nothing
-	// any more: an upstream that was slow is tried again.
-	latencyTime = 2 * time.Second
-	// latencyShare is the part of the newest answer in the mean latency.
-	latencyShare = 0.1
-	// firstHeartbeat is the highest sequence of a heartbeat that shows that the
-	// agent has been there since the upstream's start.
+	// latencyMaxAge is the age at which the mean latency becomes invalid, so that balancers
+	// try an upstream again that was slow.
+	latencyMaxAge = 2 * time.Second
+	// latencyWeight is the weight of the newest response time in the moving average of the
+	// latency.
+	latencyWeight = 0.1
+	// firstHeartbeat is the highest sequence number of a heartbeat that shows that the
+	// agent has been running since the upstream's start.
 	firstHeartbeat = 1
 )
 
-// upstream is what the agent knows of its upstream.
+// upstream is the agent's state for its upstream.
 type upstream struct {
-	life       platform.Life
+	instance   platform.Life
 	dataCentre string
 	slots      int
 	draining   bool
-	// drained is when the agent acknowledged that it drains.
-	drained time.Duration
-	// down tells that it is certainly gone, silent that its heartbeats have
-	// stopped: it gets no new flows, those that are open may live.
+	// drainingSince is when the agent acknowledged the drain.
+	drainingSince time.Duration
+	// down is true if the upstream has certainly ended, silent if its heartbeats have
+	// stopped. A silent upstream gets no new flows, but may still hold open ones.
 	down, silent bool
-	// left tells that it announced its end, leftAt when.
+	// left is true once the upstream has announced that it ends, at leftAt.
 	left   bool
 	leftAt time.Duration
-	// heard is when the last heartbeat came, 0 for never; sequence is its.
-	heard    time.Duration
-	sequence uint64
-	coldEnd  time.Duration
-	// firstCold is how long the upstream was still to be cold at the first heartbeat of
-	// this life that was heard, 0 where that tells nothing of its start.
-	firstCold time.Duration
-	// whole tells that the agent has seen every packet of this life, confirmed
-	// that it is not known from one heartbeat alone, which may have been late.
-	whole, confirmed bool
-	// spoke tells that it has sent a packet that shows life since the process's start.
-	spoke bool
-	// refused counts packets in a row that no socket took, since refusedAt.
+	// lastHeartbeat is when the last heartbeat was received, 0 if none has been; sequence
+	// is its sequence number.
+	lastHeartbeat time.Duration
+	sequence      uint64
+	coldEnd       time.Duration
+	// initialColdFor is the remaining cold time given in the first heartbeat received from
+	// this instance, 0 if that does not allow a conclusion about the instance's start.
+	initialColdFor time.Duration
+	// fullyObserved is true if the agent has seen every packet of this instance. confirmed
+	// is true if the instance is known from more than one heartbeat; a single one may have
+	// been delayed.
+	fullyObserved, confirmed bool
+	// sentPacket is true once the upstream has sent a packet since the agent's start that
+	// only a running upstream sends.
+	sentPacket bool
+	// refused counts consecutive packets to the upstream that were refused because no
+	// socket listened, refusedAt is when the first of them was.
 	refused   int
 	refusedAt time.Duration
 }
 
-// Gate is the state of an agent's decisions. Times are counted from the start
-// of the process by the steady clock.
+// Gate decides on the packets of one upstream. Times are durations since the start of the
+// process on the monotonic clock.
 type Gate struct {
 	settings Settings
 	service  uint64
 	flows    map[platform.Flow]*flow
 	queue    admission.Queue[*waiting]
 	upstream upstream
-	// ended are lives that have ended, claim is one that is not believed in yet.
-	ended []platform.Life
-	claim claim
-	// contested tells that a life of another service has reported that can't be checked.
+	// ended are instances that have ended; candidate is one that has reported but is not
+	// adopted yet.
+	ended     []platform.Life
+	candidate candidate
+	// contested is true if an instance of another service has reported from the upstream's
+	// address and could not be checked against the configuration.
 	contested bool
 	known     inner.Known
 	cold      cold
-	// evacuation is the newest word on the data centre.
+	// evacuation is the newest evacuation state of the data centre.
 	evacuation evacuation.Word
-	// source is the host of the balancer that told of the newest.
+	// source is the host of the balancer that reported the newest configuration version,
+	// store position or evacuation state.
 	source [4]byte
-	// judge judges the upstream, trial is when a flow was let in to try it, 0 for
-	// none, swallowed are opening packets without an answer.
-	judge     outcome.Judge
-	trial     time.Duration
-	swallowed swallowed
-	// called is when the Gate was last called, 0 for not yet; resumed is when a pause
-	// of the process last ended.
-	called, resumed time.Duration
-	running         int
-	open            int
-	latency         time.Duration
+	// judge derives the verdict on the upstream from the outcomes of its flows and
+	// requests. trial is when a flow was last admitted to test an upstream on probation, 0
+	// if none is pending. unansweredOpenings holds the callers of opening packets without an
+	// answer.
+	judge              outcome.Judge
+	trial              time.Duration
+	unansweredOpenings unansweredOpenings
+	// lastCall is when the verdict was last checked, at a tick or a balancer's datagram, 0
+	// for never; resumed is when the last pause of the process ended.
+	lastCall, resumed time.Duration
+	running           int
+	open              int
+	latency           time.Duration
 	// answeredAt is when the last request was answered.
 	answeredAt time.Duration
-	// listedSlots is the number of slots as balancers last told it, 0 for not.
+	// listedSlots is the highest number of slots that balancers have reported for the
+	// upstream, 0 if none has.
 	listedSlots int
 	stopping    bool
 	unlisted    bool
-	// seen is the store's position that this process has seen itself, 0 for none;
-	// aged tells that the process is not young any more.
-	seen store.Position
-	aged bool
-	// announced is the state that balancers were told last, stateSince is when it
-	// began.
+	// ownPosition is the store's position at which this process last read or wrote the
+	// store itself, 0 if it has not; pastSettleTime is true once the process has run for
+	// settleTime.
+	ownPosition    store.Position
+	pastSettleTime bool
+	// announced is the state that was last sent to balancers, stateSince is when it began.
 	announced  inner.State
 	stateSince time.Duration
-	// balancers holds when each balancer last sent anything, asked when any did.
-	balancers map[netip.AddrPort]time.Duration
-	asked     time.Duration
-	idle      idle
-	swept     time.Duration
-	out       Result
-	buffer    []byte
-	// questions is reused from call to call.
+	// balancers holds when each balancer last sent a datagram, lastDatagram when any of
+	// them did.
+	balancers    map[netip.AddrPort]time.Duration
+	lastDatagram time.Duration
+	idle         idle
+	swept        time.Duration
+	out          Result
+	buffer       []byte
+	// questions is a buffer that is reused across calls.
 	questions []inner.Question
 }
 
-// New returns the Gate of a process that starts now.
+// New returns a Gate for an agent process that is just starting.
 func New(s Settings) *Gate {
 	return &Gate{
 		settings: s, service: inner.ServiceID(s.Service),
@@ -258,7 +283,7 @@
 	}
 }
 
-// SetTimes takes over times that have changed.
+// SetTimes replaces the settings that may change while the process runs.
 func (g *Gate) SetTimes(t Times) { g.settings.Times = t }
 
 func (g *Gate) begin() {
@@ -269,8 +294,8 @@
 
 func (g *Gate) note(now time.Duration, n Note) {
 	n.Version, n.Running = g.known.Version, g.running
-	if g.upstream.heard > 0 {
-		n.Age = now - g.upstream.heard
+	if g.upstream.lastHeartbeat > 0 {
+		n.Age = now - g.upstream.lastHeartbeat
 	}
 	g.out.Notes = append(g.out.Notes, n)
 }
@@ -279,17 +304,17 @@
 	g.out.Actions = append(g.out.Actions, Action{Target: target, To: to, Bytes: bytes})
 }
 
-// sendBuffer sends what was appended to the buffer since start.
+// sendBuffer sends the part of the buffer from start on.
 func (g *Gate) sendBuffer(target Target, to netip.AddrPort, start int) {
 	g.send(target, to, g.buffer[start:])
 }
 
-// FromBalancer decides on a datagram of a balancer.
+// FromBalancer handles a datagram from a balancer.
 func (g *Gate) FromBalancer(now time.Duration, from netip.AddrPort, b []byte) (*Result, error) {
 	g.begin()
-	g.asked = now
+	g.lastDatagram = now
 	g.balancers[from] = now
-	g.idle.called(from)
+	g.idle.noteDatagram(from)
 	g.checkVerdict(now)
 	err := g.fromBalancer(now, from, b)
 	g.release(now)
@@ -310,10 +335,11 @@
 	return inner.ErrDatagram
 }
 
-// Tick does what is due by time alone.
+// Tick performs the periodic work: it detects silent upstreams, releases waiting requests
+// and removes expired state.
 func (g *Gate) Tick(now time.Duration) *Result {
 	g.begin()
-	g.aged = now >= settleTime
+	g.pastSettleTime = now >= settleTime
 	g.checkUpstream(now)
 	g.checkVerdict(now)
 	g.release(now)
@@ -323,18 +349,18 @@
 	return &g.out
 }
 
-// Counts of what a Gate holds.
+// Counts are the sizes of a Gate's state.
 type Counts struct {
-	// HeartbeatAge is the time since the upstream's last heartbeat, 0 for none.
+	// HeartbeatAge is the time since the upstream's last heartbeat, 0 if there was none.
 	HeartbeatAge                  time.Duration
 	Flows, Open, Running, Waiting int
 }
 
-// Counts returns the sizes of the state.
+// Counts returns the current sizes of the state.
 func (g *Gate) Counts(now time.Duration) Counts {
 	c := Counts{Flows: len(g.flows), Open: g.open, Running: g.running, Waiting: g.queue.Len()}
-	if g.upstream.heard > 0 {
-		c.HeartbeatAge = now - g.upstream.heard
+	if g.upstream.lastHeartbeat > 0 {
+		c.HeartbeatAge = now - g.upstream.lastHeartbeat
 	}
 	return c
 }
--- a/internal/packetface/gate/idle.go
+++ b/internal/packetface/gate/idle.go
@@ -8,37 +8,42 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// An agent that no balancer calls may be missing in the store, so that none knows it. It
-// asks a balancer, which answers with a poll; so does each of thousands of idle agents,
-// and the store hears of none of them. Only where no balancer answers is the store asked.
+// An agent that gets no datagrams from balancers may be missing in the store, so that no
+// balancer knows it. It sends a check to a balancer, which answers with a poll. There may
+// be thousands of idle agents, and these checks keep them from querying the store. The
+// agent queries the store only if no balancer answers.
 
 const (
-	// idleCheck is the time without a word of any balancer after which one is asked.
-	idleCheck = 2 * time.Second
-	// checkPatience is how long its answer is waited for, checksMost how many are asked.
-	checkPatience = 300 * time.Millisecond
-	checksMost    = 2
-	// maxRecent bounds the balancers that are remembered to be asked.
+	// idleTimeout is the time without a datagram from any balancer after which a check is
+	// sent.
+	idleTimeout = 2 * time.Second
+	// checkTimeout is the time to wait for the answer to a check, maxChecks how many checks
+	// are sent before the agent queries the store.
+	checkTimeout = 300 * time.Millisecond
+	maxChecks    = 2
+	// maxRecent bounds the recent balancers that are kept as receivers of checks.
 	maxRecent = 8
 )
 
-// idle is what an agent knows of its being called.
+// idle tracks whether balancers use the agent, and which of them to send a check to.
 type idle struct {
-	// recent are balancers that have called lately, seeds those that the settings name.
+	// recent are balancers that have recently sent datagrams, seeds are those named in the
+	// settings.
 	recent, seeds []netip.AddrPort
-	// heard and turn count balancers that were remembered and that were asked: each
-	// replaces the oldest, each is asked in its turn.
-	heard, turn int
-	// checked is when one was asked last, asked how many were since one has called.
-	checked time.Duration
-	asked   int
-	// alone tells that none has answered.
-	alone bool
+	// replaced and turns are round-robin counters: replaced selects the entry of recent to
+	// overwrite next, turns the balancer to send the next check to.
+	replaced, turns int
+	// lastCheck is when the last check was sent; unanswered is the number of checks sent
+	// since a balancer last sent a datagram.
+	lastCheck  time.Duration
+	unanswered int
+	// allSilent is true if no balancer has answered the checks.
+	allSilent bool
 }
 
-// called notes that a balancer has called.
-func (i *idle) called(from netip.AddrPort) {
-	i.asked = 0
+// noteDatagram records that a balancer has sent a datagram.
+func (i *idle) noteDatagram(from netip.AddrPort) {
+	i.unanswered = 0
 	if slices.Contains(i.recent, from) {
 		return
 	}
@@ -46,59 +51,62 @@
 		i.recent = append(i.recent, from)
 		return
 	}
-	i.recent[i.heard%maxRecent] = from
-	i.heard++
+	i.recent[i.replaced%maxRecent] = from
+	i.replaced++
 }
 
-// next returns the balancer to ask; ok is false where none is known.
+// next returns the balancer to send the next check to; ok is false if none is known.
 func (i *idle) next() (to netip.AddrPort, ok bool) {
 	known := i.recent
-	if len(known) == 0 || i.asked > 0 && len(i.seeds) > 0 {
+	if len(known) == 0 || i.unanswered > 0 && len(i.seeds) > 0 {
 		known = i.seeds
 	}
 	if len(known) == 0 {
 		return netip.AddrPort{}, false
 	}
-	i.turn++
-	return known[i.turn%len(known)], true
+	i.turns++
+	return known[i.turns%len(known)], true
 }
 
-// SetSeeds names where balancers take datagrams that the settings name; they may be gone.
+// SetSeeds sets the addresses of the balancers named in the settings. They may no longer
+// exist.
 func (g *Gate) SetSeeds(seeds []netip.AddrPort) { g.idle.seeds = seeds }
 
-// CheckListed asks a balancer whether the store lists this agent, if none has called for
-// a while. written tells that nothing is left to be written: an entry that has only just
-// been is not known to balancers yet. TakeAlone tells when none answers.
+// CheckListed sends a check to a balancer, asking whether the store lists this agent, if no
+// balancer has sent a datagram for idleTimeout. written reports that no write to the store
+// is pending: balancers do not know an entry yet that has just been written. If no balancer
+// answers, TakeAlone returns true.
 func (g *Gate) CheckListed(now time.Duration, written bool) *Result {
 	g.begin()
 	i := &g.idle
 	if !written {
-		i.checked, i.asked = now, 0
+		i.lastCheck, i.unanswered = now, 0
 		return &g.out
 	}
-	wait := idleCheck
-	if i.asked > 0 {
-		wait = checkPatience
+	wait := idleTimeout
+	if i.unanswered > 0 {
+		wait = checkTimeout
 	}
-	if now-max(g.asked, i.checked) < wait {
+	if now-max(g.lastDatagram, i.lastCheck) < wait {
 		return &g.out
 	}
-	i.checked = now
+	i.lastCheck = now
 	to, ok := i.next()
-	if !ok || i.asked >= checksMost {
-		i.asked, i.alone = 0, true
+	if !ok || i.unanswered >= maxChecks {
+		i.unanswered, i.allSilent = 0, true
 		return &g.out
 	}
-	i.asked++
+	i.unanswered++
 	start := len(g.buffer)
 	g.buffer = inner.AppendCheck(g.buffer)
 	g.sendBuffer(ToBalancer, to, start)
 	return &g.out
 }
 
-// TakeAlone reports whether no balancer has answered since the last call.
+// TakeAlone reports whether checks have been left unanswered by all balancers since the
+// last call of TakeAlone.
 func (g *Gate) TakeAlone() bool {
-	alone := g.idle.alone
-	g.idle.alone = false
-	return alone
+	allSilent := g.idle.allSilent
+	g.idle.allSilent = false
+	return allSilent
 }
--- a/internal/packetface/gate/life.go
+++ b/internal/packetface/gate/life.go
@@ -9,62 +9,63 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// The life of an upstream is its id and its start: it may begin again under the id that
-// it had, and holds nothing of before then.
+// An instance of the upstream is identified by its id and its start time (platform.Life).
+// The upstream may restart under the same id; the new instance does not hold the flows of
+// the earlier one.
 //
-// A heartbeat may arrive after its sender has crashed and a new life has
-// reported at the same address. Such a heartbeat must not bring the ended life
-// back: the flows of the living one would be reset, and an opening packet would
-// be let in for the service of the other.
+// A heartbeat may arrive after its sender has crashed and a new instance has reported from
+// the same address. Such a heartbeat must not make the agent switch back to the ended
+// instance: the flows of the running one would be reset, and an opening packet would be
+// admitted for the ended instance's service.
 
 const (
-	// maxEnded bounds the lives that are remembered as ended.
+	// maxEnded bounds the ended instances that are remembered.
 	maxEnded = 16
-	// confirmPart is the part of the time between two heartbeats that must lie
-	// between two of a life that is taken over on their word alone: late ones
-	// arrive together.
-	confirmPart = 2
-	// overdueHeartbeats is the number of heartbeats after whose absence an unknown
-	// life takes over at once.
+	// confirmDivisor divides the heartbeat interval into the least time that must lie
+	// between two heartbeats that confirm an instance. Delayed heartbeats arrive together.
+	confirmDivisor = 2
+	// overdueHeartbeats is the number of missing heartbeats after which another instance is
+	// adopted without confirmation.
 	overdueHeartbeats = 2
 )
 
-// claim is a life that has reported once while another one was believed in.
-type claim struct {
-	life     platform.Life
+// candidate is an instance that has reported once while another one was current.
+type candidate struct {
+	instance platform.Life
 	sequence uint64
 	since    time.Duration
 }
 
-// succession says how a life follows the one before.
+// succession is the way in which an instance follows the current one.
 type succession uint8
 
 const (
-	// successionNone: the heartbeat is outdated, or is to be confirmed.
+	// successionNone: the instance is not adopted, because its heartbeat is outdated or has
+	// yet to be confirmed.
 	successionNone succession = iota
-	// successionCertain: the life before has ended.
+	// successionCertain: the instance is adopted, and the current one has certainly ended.
 	successionCertain
-	// successionLikely: the life is to be believed in, but the one before may
-	// live.
+	// successionLikely: the instance is adopted, but the current one may still be running.
 	successionLikely
 )
 
-// succeeds decides on a heartbeat of another life than the one believed in.
-func (g *Gate) succeeds(now time.Duration, beat platform.Heartbeat) succession {
+// classifySuccessor decides on a heartbeat of an instance other than the current one.
+func (g *Gate) classifySuccessor(now time.Duration, beat platform.Heartbeat) succession {
 	switch {
 	case slices.Contains(g.ended, beat.Life):
 		return g.confirm(now, beat)
-	case beat.ID == g.upstream.life.ID && beat.Born < g.upstream.life.Born:
-		// A late heartbeat, or the host's clock was set back between two starts.
-		// Nothing is reset on that.
+	case beat.ID == g.upstream.instance.ID && beat.Born < g.upstream.instance.Born:
+		// Either a delayed heartbeat, or the host's clock was set back between two starts.
+		// Confirmation is required, and no flow is reset.
 		return g.confirm(now, beat)
 	case beat.Sequence <= firstHeartbeat:
-		return g.restarted()
+		return g.successionOfRestart()
 	case !g.sameService(beat):
 		return g.confirm(now, beat)
-	case beat.ID == g.upstream.life.ID:
-		// A later start whose first heartbeat was lost; or, if the clock was set back, a
-		// late one of a life before. So the upstream has to tell of its flows.
+	case beat.ID == g.upstream.instance.ID:
+		// Either a later start whose first heartbeat was lost or, if the clock was set
+		// back, a delayed heartbeat of an earlier instance. So the end of the current one
+		// is not certain, and only the upstream knows its flows.
 		return successionLikely
 	case g.upstream.unknown() || g.overdue(now):
 		return successionLikely
@@ -72,101 +73,103 @@
 	return g.confirm(now, beat)
 }
 
-// restarted says how a life follows that has certainly started after the one before,
-// which has ended then. But if only one heartbeat of that was heard, it may have come
-// late, and flows before it may be of the new life.
-func (g *Gate) restarted() succession {
+// successionOfRestart returns the succession for an instance that has certainly started
+// after the current one. The current one has then ended, unless it is known from a single
+// heartbeat: that heartbeat may have been delayed, and flows seen since may belong to the
+// new instance.
+func (g *Gate) successionOfRestart() succession {
 	if g.upstream.confirmed {
 		return successionCertain
 	}
 	return successionLikely
 }
 
-// Contest takes the heartbeat of a life whose service no configuration could be asked
-// for. While the life believed in reports, the other may be anybody's word; but if the
-// address has been used again, a request for the service before must not run there. So
-// the upstream gets no new flow until either reports again. Contested is false where the
-// life believed in has ended or is overdue: the heartbeat is to be taken.
+// Contest handles a heartbeat of an instance of another service that could not be checked
+// against the configuration. As long as the current instance reports, the other's heartbeat
+// may be wrong. But if the address has been reused, a request for the current service must
+// not run there, so the upstream gets no new flow until either instance reports again.
+// contested is false if the current instance has ended or is overdue; the caller must then
+// process the heartbeat as usual.
 func (g *Gate) Contest(now time.Duration, beat platform.Heartbeat) (result *Result, contested bool) {
 	g.begin()
 	if g.upstream.unknown() || g.overdue(now) {
 		return &g.out, false
 	}
-	if !g.contested && !beat.Life.Same(g.upstream.life) {
+	if !g.contested && !beat.Life.Same(g.upstream.instance) {
 		g.contested = true
-		g.note(now, Note{Kind: KindUpstream, Reason: "contested by " + beat.Life.String() + " of " + beat.Service})
+		g.note(now, Note{Kind: KindUpstream, Reason: "contested by " + beat.Life.String() + " of service " + beat.Service})
 	}
 	return &g.out, true
 }
 
-// sameService reports whether a heartbeat is of the service that the agent
-// serves; one that names none is.
+// sameService reports whether a heartbeat comes from the service that the agent serves; a
+// heartbeat without a service is assumed to.
 func (g *Gate) sameService(beat platform.Heartbeat) bool {
 	return beat.Service == "" || inner.ServiceID(beat.Service) == g.service
 }
 
-// overdue reports whether the life believed in has ended or has missed
-// heartbeats.
+// overdue reports whether the current instance has ended or has missed heartbeats.
 func (g *Gate) overdue(now time.Duration) bool {
 	u := &g.upstream
-	return u.down || u.left || u.silent || now-u.heard >= overdueHeartbeats*g.settings.HeartbeatEvery
+	return u.down || u.left || u.silent || now-u.lastHeartbeat >= overdueHeartbeats*g.settings.HeartbeatEvery
 }
 
-// confirm asks for a second, later heartbeat of a life before it is believed in.
+// confirm requires a second, later heartbeat of an instance before the instance is adopted.
 func (g *Gate) confirm(now time.Duration, beat platform.Heartbeat) succession {
-	first := g.claim
-	if first.life != beat.Life {
-		g.claim = claim{life: beat.Life, sequence: beat.Sequence, since: now}
+	earlier := g.candidate
+	if earlier.instance != beat.Life {
+		g.candidate = candidate{instance: beat.Life, sequence: beat.Sequence, since: now}
 		return successionNone
 	}
-	if beat.Sequence <= first.sequence || now-first.since < g.settings.HeartbeatEvery/confirmPart {
+	if beat.Sequence <= earlier.sequence || now-earlier.since < g.settings.HeartbeatEvery/confirmDivisor {
 		return successionNone
 	}
 	return successionLikely
 }
 
-// newLife takes over a new life of the upstream. Flows that are older than the
-// last heartbeat of the life before are gone with it, if it has certainly ended;
-// of the others only the upstream can tell.
-func (g *Gate) newLife(now time.Duration, beat platform.Heartbeat, s succession) {
+// adoptInstance makes the sender of a heartbeat the current instance. If the previous
+// instance has certainly ended, flows opened before its last heartbeat are reset; for the
+// others only the upstream knows whether it holds them.
+func (g *Gate) adoptInstance(now time.Duration, beat platform.Heartbeat, s succession) {
 	before := g.upstream
 	if !before.unknown() {
-		ended := before.heard
+		ended := before.lastHeartbeat
 		if s != successionCertain {
 			ended = 0
 		}
 		g.resetBefore(now, ended, "upstream-replaced")
-		g.remembered(before.life)
+		g.rememberEnded(before.instance)
 	}
-	g.ended = slices.DeleteFunc(g.ended, func(life platform.Life) bool { return life == beat.Life })
-	g.claim, g.contested = claim{}, false
+	g.ended = slices.DeleteFunc(g.ended, func(instance platform.Life) bool { return instance == beat.Life })
+	g.candidate, g.contested = candidate{}, false
 	if !g.sameService(beat) {
 		g.note(now, Note{Kind: KindUpstream, Reason: "serves " + beat.Service})
 		g.service = inner.ServiceID(beat.Service)
 		g.settings.Service = beat.Service
 		g.cold = cold{}
 	}
-	// Every packet of this life went through this process.
+	// The agent has seen every packet of an instance whose first heartbeat it receives.
 	seenAll := beat.Sequence <= firstHeartbeat
-	g.upstream = upstream{life: beat.Life, dataCentre: beat.DataCentre, whole: seenAll, confirmed: seenAll}
+	g.upstream = upstream{instance: beat.Life, dataCentre: beat.DataCentre, fullyObserved: seenAll, confirmed: seenAll}
 	if before.unknown() {
-		g.upstream.firstCold = beat.ColdFor
+		g.upstream.initialColdFor = beat.ColdFor
 		g.estimateWarmup(beat)
-		g.upstream.whole = seenAll || g.beganUnseen()
+		g.upstream.fullyObserved = seenAll || g.startedUnobserved()
 	}
-	g.learnWarmup(beat)
+	g.recordWarmup(beat)
 	g.judge.Begin(now)
 	g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("ready %s heartbeat %d", beat.Life, beat.Sequence)})
 	g.announce(now)
 }
 
-// unknown reports whether no life has reported yet.
-func (u *upstream) unknown() bool { return u.life.ID == "" }
+// unknown reports whether no instance has reported since the agent's start.
+func (u *upstream) unknown() bool { return u.instance.ID == "" }
 
-// remembered keeps a life that has ended.
-func (g *Gate) remembered(life platform.Life) {
+// rememberEnded adds an instance to those that have ended, and drops the oldest of them if
+// there are too many.
+func (g *Gate) rememberEnded(instance platform.Life) {
 	if len(g.ended) >= maxEnded {
 		g.ended = slices.Delete(g.ended, 0, 1)
 	}
-	g.ended = append(g.ended, life)
+	g.ended = append(g.ended, instance)
 }
--- a/internal/packetface/gate/queue.go
+++ b/internal/packetface/gate/queue.go
@@ -11,21 +11,22 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// While all slots of the upstream are taken, requests wait here and not in the
-// upstream's queue, which is short, knows no order and refuses what is over.
-// Package admission has the order.
+// While all slots of the upstream are in use, requests wait here rather than in the
+// upstream's own queue, which is short, has no priorities and refuses requests beyond its
+// length. Package admission determines the order.
 
 const (
-	// maxHeldPackets bounds the packets that wait for one flow: a caller has at
-	// most 16 on their way.
+	// maxHeldPackets bounds the packets held for one flow: a caller has at most 16 in
+	// flight.
 	maxHeldPackets = 16
-	// maxHeldFlows bounds the flows that wait.
+	// maxHeldFlows bounds the flows whose requests wait.
 	maxHeldFlows = 1024
-	// callerClosed is why the end of a flow is handed on whose request has not run.
+	// callerClosed is the reason for forwarding a request from the queue without a free
+	// slot because its caller has closed the flow.
 	callerClosed admission.Choice = "caller-closed"
 )
 
-// waiting is a request that waits for a slot.
+// waiting is a request that waits for a slot, with the packets held for it.
 type waiting struct {
 	id      platform.Flow
 	flow    *flow
@@ -33,8 +34,8 @@
 	packets [][]byte
 }
 
-// request returns what the order goes by. The first request of a flow is at least
-// as old as the copy of the opening packet that was let in.
+// request returns the properties of the request that determine its order. The first request
+// of a flow is at least as old as the admitted copy of the opening packet.
 func (w *waiting) request() admission.Request {
 	f := w.flow
 	r := admission.Request{
@@ -42,15 +43,16 @@
 		Aim: f.terms.Aim, Timeout: f.terms.Timeout, FirstTry: f.served,
 	}
 	if !f.served {
-		r.Asked -= f.openedLate
-		r.Suspected = r.Asked - f.repeatedAfter
+		r.Asked -= f.openingAge
+		r.Suspected = r.Asked - f.retryOffset
 	}
 	return r
 }
 
-// slots returns how many slots the upstream has, 0 where that is not known. Before its
-// first heartbeat the balancers' word is taken: after a common loss of power a rush
-// comes before the heartbeats, and an upstream refuses what goes beyond its queue.
+// slots returns the number of slots of the upstream, 0 if unknown. Before the first
+// heartbeat the number reported by balancers is used: after a common power loss a burst of
+// requests arrives before the heartbeats, and an upstream refuses requests beyond its
+// queue.
 func (g *Gate) slots() int {
 	if g.upstream.slots > 0 || !g.settings.Policies.On(policy.ListedSlots) {
 		return g.upstream.slots
@@ -58,23 +60,22 @@
 	return g.listedSlots
 }
 
-// abandoned notes that a caller gave up while its request waited. What it asked has
-// not run.
-func (g *Gate) abandoned(now time.Duration, id platform.Flow, f *flow) {
+// noteAbandoned records that a caller gave up while its request waited. The request has not
+// run.
+func (g *Gate) noteAbandoned(now time.Duration, id platform.Flow, f *flow) {
 	reason := "first-try"
-	if f.repeatedAfter > 0 {
+	if f.retryOffset > 0 {
 		reason = "may-be-repetition"
 	}
 	g.note(now, Note{Kind: KindAbandoned, Flow: id, Reason: reason, Took: now - f.waiting.since})
 }
 
-// full reports whether all slots of the upstream are taken.
+// full reports whether all slots of the upstream are in use.
 func (g *Gate) full() bool {
 	return g.slots() > 0 && g.running >= g.slots()
 }
 
-// hold keeps a packet back if its request has to wait; it reports whether it
-// did.
+// hold queues a packet if its request has to wait for a slot, and reports whether it did.
 func (g *Gate) hold(now time.Duration, id platform.Flow, f *flow, p *platform.Packet, packet []byte) bool {
 	if f.waiting == nil {
 		begins := f.isNew(p) && f.state == flowOpen && !f.running
@@ -85,38 +86,39 @@
 		g.queue.Add(f.waiting.request(), f.waiting)
 	}
 	if p.Length == 0 && !p.Flags.Has(platform.FlagFIN) {
-		return false // an acknowledgement carries no work
+		return false // a pure acknowledgement needs no slot
 	}
-	f.waiting.keep(p, packet)
+	f.waiting.addPacket(p, packet)
 	if f.callerDone {
-		g.handOn(now, f.waiting, callerClosed) // the upstream ends such a flow
+		g.sendWaiting(now, f.waiting, callerClosed) // the upstream closes its side, too
 	}
 	return true
 }
 
-// keep stores a packet once; a caller repeats what is not acknowledged.
-func (w *waiting) keep(p *platform.Packet, packet []byte) {
-	same := func(kept []byte) bool {
-		return binary.BigEndian.Uint32(kept) == p.Sequence && len(kept) == len(packet)
+// addPacket holds a packet, unless it is a retransmission of one that is already held: a
+// caller retransmits data until it is acknowledged.
+func (w *waiting) addPacket(p *platform.Packet, packet []byte) {
+	same := func(stored []byte) bool {
+		return binary.BigEndian.Uint32(stored) == p.Sequence && len(stored) == len(packet)
 	}
 	if len(w.packets) < maxHeldPackets && !slices.ContainsFunc(w.packets, same) {
 		w.packets = append(w.packets, slices.Clone(packet))
 	}
 }
 
-// release hands waiting requests to the upstream while it has free slots, and
-// those that have waited for too long.
+// release forwards waiting requests to the upstream while it has free slots, and those
+// whose maximum wait is over.
 func (g *Gate) release(now time.Duration) {
 	for g.queue.Len() > 0 {
 		w, why := g.next(now)
 		if why == admission.None {
 			return
 		}
-		g.handOn(now, w, why)
+		g.sendWaiting(now, w, why)
 	}
 }
 
-// next returns the request that is to run now, and why.
+// next returns the request to forward now, and the reason.
 func (g *Gate) next(now time.Duration) (w *waiting, why admission.Choice) {
 	if w, why = g.queue.Overdue(now); why != admission.None || g.full() {
 		return w, why
@@ -128,10 +130,10 @@
 	return admission.Pace{Slots: g.slots(), Answer: g.latency}
 }
 
-// handOn hands a request that has waited to the upstream.
-func (g *Gate) handOn(now time.Duration, w *waiting, why admission.Choice) {
-	g.drop(w.flow)
-	w.flow.asked = now
+// sendWaiting forwards a request from the queue to the upstream.
+func (g *Gate) sendWaiting(now time.Duration, w *waiting, why admission.Choice) {
+	g.dequeue(w.flow)
+	w.flow.requestedAt = now
 	g.out.Waited = append(g.out.Waited, now-w.since)
 	if now-w.since >= longWait {
 		g.note(now, Note{Kind: KindWaited, Flow: w.id, Reason: string(why), Took: now - w.since})
@@ -142,16 +144,17 @@
 	}
 }
 
-// sendHeld hands on a packet that has waited.
+// sendHeld forwards a held packet to the upstream.
 func (g *Gate) sendHeld(f *flow, packet []byte) {
-	if p, err := platform.ParsePacket(packet); err == nil && f.isNew(&p) { // it was read before
+	if p, err := platform.ParsePacket(packet); err == nil && f.isNew(&p) { // parsed successfully before, so err is nil
 		f.sent, f.sentKnown = p.Sequence+uint32(p.Length), true
 	}
 	g.send(ToUpstream, netip.AddrPort{}, packet)
 }
 
-// drop takes a flow that is closed or forgotten out of the queue.
-func (g *Gate) drop(f *flow) {
+// dequeue removes the request of a flow that is closed or removed, or that is being
+// forwarded, from the queue.
+func (g *Gate) dequeue(f *flow) {
 	if f.waiting == nil {
 		return
 	}
--- a/internal/packetface/gate/reply.go
+++ b/internal/packetface/gate/reply.go
@@ -8,14 +8,15 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// FromUpstream decides on a packet that the upstream sent or returned.
+// FromUpstream handles a packet that the upstream sent, or one that it returned without
+// accepting it (FlagBounced).
 func (g *Gate) FromUpstream(now time.Duration, b []byte) (*Result, error) {
 	g.begin()
 	p, err := platform.ParsePacket(b)
 	if err != nil {
 		return &g.out, err
 	}
-	g.upstream.refused, g.swallowed = 0, swallowed{}
+	g.upstream.refused, g.unansweredOpenings = 0, unansweredOpenings{}
 	if p.Flags.Has(platform.FlagBounced) {
 		platform.ClearBounced(b)
 		g.bounced(now, &p, b)
@@ -26,7 +27,8 @@
 	return &g.out, nil
 }
 
-// bounced gives a packet that the upstream does not take back to the balancer.
+// bounced returns a packet that the upstream did not accept to the balancer that forwarded
+// it.
 func (g *Gate) bounced(now time.Duration, p *platform.Packet, b []byte) {
 	id := p.FromCaller()
 	f := g.flows[id]
@@ -35,15 +37,15 @@
 		return
 	}
 	g.note(now, Note{Kind: KindBounced, Flow: id, Peer: f.balancer})
-	reason := g.unknown()
+	reason := g.notHeldReason()
 	if p.IsOpening() {
 		reason = inner.ReasonBounced
-		change, changed := g.judge.ReturnedOpening(now, f.began, id)
-		g.judged(now, change, changed)
+		change, changed := g.judge.ReturnedOpening(now, f.openedAt, id)
+		g.applyVerdictChange(now, change, changed)
 	}
 	balancer := f.balancer
-	g.forget(id, f)
-	g.giveBack(now, balancer, id, reason, b)
+	g.removeFlow(id, f)
+	g.returnPacket(now, balancer, id, reason, b)
 }
 
 // reply sends a packet of the upstream to its caller.
@@ -51,24 +53,25 @@
 	id := p.FromUpstream()
 	f := g.flows[id]
 	if f == nil {
-		f = g.remember(id, now, stateOfUnknown(p))
+		f = g.addFlow(id, now, stateOfUnknown(p))
 	}
-	f.seen = now
-	g.upstream.spoke = g.upstream.spoke || showsLife(p)
+	f.lastPacket = now
+	g.upstream.sentPacket = g.upstream.sentPacket || provesAlive(p)
 	g.judge.Heard(now)
 	if f.probing {
 		f.probing = false
 		g.setState(f, flowOpen)
-		g.tellHeld(f, id)
+		g.sendHeldVerdict(f, id)
 	}
 	if p.Flags.Has(platform.FlagSYN) {
-		f.answered, f.accepted, f.began, f.opening = true, p.Sequence, now, nil
+		f.answered, f.acceptedSequence, f.openedAt, f.opening = true, p.Sequence, now, nil
 		g.judge.Accepted(now)
 	}
 	if p.Flags.Has(platform.FlagRST) {
 		g.resetByUpstream(now, id, f)
 	}
-	// The end of a flow may overtake the answer before it on the way to this socket.
+	// Packets may be reordered on the way to this socket, so that the end of a flow arrives
+	// before the answer. It then counts as the answer.
 	if f.running && (p.Length > 0 || p.Flags.Has(platform.FlagFIN)) {
 		g.answered(now, id, f)
 	}
@@ -79,15 +82,16 @@
 	g.send(ToCaller, g.caller(id), b)
 }
 
-// showsLife reports whether only an upstream that lives sends such a packet. One that has
-// ended is answered for on its host: packets come back, the end of a flow is
-// acknowledged, data is reset.
-func showsLife(p *platform.Packet) bool {
+// provesAlive reports whether only a running upstream sends such a packet. For an upstream
+// that has ended, its host replies: it returns packets, acknowledges the end of a flow and
+// answers data with a reset.
+func provesAlive(p *platform.Packet) bool {
 	return p.Length > 0 || p.Flags.Has(platform.FlagSYN) || p.Flags.Has(platform.FlagFIN)
 }
 
-// stateOfUnknown returns the state of a flow that is older than the agent. One whose
-// opening is only answered now may be opened elsewhere by a copy.
+// stateOfUnknown returns the initial state for a flow that the agent first sees by a reply
+// of the upstream, as it is older than the agent. A flow whose opening packet is only now
+// answered may have been opened at another upstream by a retransmission.
 func stateOfUnknown(p *platform.Packet) flowState {
 	if p.Flags.Has(platform.FlagSYN) {
 		return flowOpening
@@ -95,20 +99,21 @@
 	return flowOpen
 }
 
-// answered notes that the upstream answers the request that runs on a flow.
+// answered records that the upstream answers the running request of a flow.
 func (g *Gate) answered(now time.Duration, id platform.Flow, f *flow) {
 	g.setRunning(f, false)
 	f.served = true
-	g.addLatency(now, now-f.asked)
-	change, changed := g.judge.Answered(now, f.asked, now-f.asked, id)
-	g.judged(now, change, changed)
-	if now-f.asked >= slowAnswer {
-		g.note(now, Note{Kind: KindSlow, Flow: id, Took: now - f.asked})
+	g.addLatency(now, now-f.requestedAt)
+	change, changed := g.judge.Answered(now, f.requestedAt, now-f.requestedAt, id)
+	g.applyVerdictChange(now, change, changed)
+	if now-f.requestedAt >= slowAnswer {
+		g.note(now, Note{Kind: KindSlow, Flow: id, Took: now - f.requestedAt})
 	}
 }
 
-// tellHeld tells the balancer that asked that its flow is held here.
-func (g *Gate) tellHeld(f *flow, id platform.Flow) {
+// sendHeldVerdict reports to the balancer that forwarded the flow's last packet that the
+// upstream holds the flow.
+func (g *Gate) sendHeldVerdict(f *flow, id platform.Flow) {
 	if !f.balancer.IsValid() {
 		return
 	}
@@ -120,19 +125,19 @@
 
 func (g *Gate) addLatency(now, latency time.Duration) {
 	g.out.Answered = append(g.out.Answered, latency)
-	outdated := now-g.answeredAt > latencyTime
+	outdated := now-g.answeredAt > latencyMaxAge
 	g.answeredAt = now
 	if g.latency == 0 || outdated {
 		g.latency = latency
 		return
 	}
-	g.latency += time.Duration(latencyShare * float64(latency-g.latency))
+	g.latency += time.Duration(latencyWeight * float64(latency-g.latency))
 }
 
-// answerTime returns the time that the upstream lately took for an answer, 0 where it has
-// given none.
+// answerTime returns the upstream's mean response time, 0 if it has answered no request
+// within latencyMaxAge.
 func (g *Gate) answerTime(now time.Duration) time.Duration {
-	if now-g.answeredAt > latencyTime {
+	if now-g.answeredAt > latencyMaxAge {
 		return 0
 	}
 	return g.latency
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -7,86 +7,90 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Registration is what the store is to list about the agent.
+// Registration is the desired content of the agent's entry in the store.
 type Registration struct {
-	// Listed tells whether it is to be listed at all, Ended that no entry is to be at
-	// its address whoever wrote it. Neither is known before the first heartbeat.
+	// Listed is true if the agent is to be listed. Ended is true if there must be no entry
+	// for its address, whoever wrote it. Both are false before the first heartbeat unless
+	// the upstream is known to have ended.
 	Listed, Ended bool
-	// Upstream names the life of the upstream, empty before the first heartbeat.
+	// Upstream identifies the instance of the upstream; it is empty before the first
+	// heartbeat.
 	Upstream string
-	// Service and DataCentre are as the upstream reports them; DataCentre is
-	// empty where it reports none.
+	// Service and DataCentre are those reported by the upstream; DataCentre is empty if it
+	// reports none.
 	Service, DataCentre string
 	Slots               int
-	// Warmup is how long upstreams of the service were seen to be cold after their start,
-	// 0 for never.
+	// Warmup is the longest time for which upstreams of the service have reported to be
+	// cold after their start, 0 if none has.
 	Warmup time.Duration
 }
 
-// Heartbeat takes a heartbeat of the upstream. One that is outdated is
-// acknowledged, too: its sender need not send it again.
+// Heartbeat handles a heartbeat of the upstream. An outdated one is acknowledged, too, so
+// that its sender does not repeat it.
 func (g *Gate) Heartbeat(now time.Duration, beat platform.Heartbeat) (result *Result, ok bool) {
 	g.begin()
 	u := &g.upstream
-	same := beat.Life.Same(u.life)
+	same := beat.Life.Same(u.instance)
 	if same && beat.Sequence <= u.sequence {
-		return &g.out, true // a late call: what it says is outdated
+		return &g.out, true // delayed: a newer heartbeat has been received
 	}
 	if same {
-		g.claim, g.contested = claim{}, false // no other life is here
-		u.life.Born = max(u.life.Born, beat.Born)
+		g.candidate, g.contested = candidate{}, false // the current instance is still running
+		u.instance.Born = max(u.instance.Born, beat.Born)
 	} else {
-		how := g.succeeds(now, beat)
-		if how == successionNone {
-			g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("outdated %s heartbeat %d", beat.Life, beat.Sequence)})
+		s := g.classifySuccessor(now, beat)
+		if s == successionNone {
+			g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("ignored outdated or unconfirmed %s heartbeat %d", beat.Life, beat.Sequence)})
 			return &g.out, true
 		}
-		g.newLife(now, beat, how)
+		g.adoptInstance(now, beat, s)
 	}
-	if u.heard != 0 && now-u.heard >= g.settings.HeartbeatEvery/confirmPart {
+	if u.lastHeartbeat != 0 && now-u.lastHeartbeat >= g.settings.HeartbeatEvery/confirmDivisor {
 		u.confirmed = true
 	}
 	g.judge.Heard(now)
-	revived, heardAgain := u.down && !u.left, u.silent
-	u.heard, u.sequence, u.slots, u.down, u.silent = now, beat.Sequence, beat.Slots, false, false
+	revived, resumed := u.down && !u.left, u.silent
+	u.lastHeartbeat, u.sequence, u.slots, u.down, u.silent = now, beat.Sequence, beat.Slots, false, false
 	u.coldEnd = now + beat.ColdFor
 	if revived {
-		u.whole, u.firstCold = false, 0 // it was held for gone: it may hold flows
-		g.note(now, Note{Kind: KindUpstream, Reason: "back " + u.life.String()})
+		u.fullyObserved, u.initialColdFor = false, 0 // it may have opened flows unobserved while it counted as down
+		g.note(now, Note{Kind: KindUpstream, Reason: "back " + u.instance.String()})
 		g.announce(now)
 	}
-	if heardAgain {
-		g.note(now, Note{Kind: KindUpstream, Reason: "heard again " + u.life.String()})
+	if resumed {
+		g.note(now, Note{Kind: KindUpstream, Reason: "heartbeats resumed " + u.instance.String()})
 		g.announce(now)
 	}
 	if beat.Draining && !u.draining {
-		u.draining, u.drained = true, now
-		g.note(now, Note{Kind: KindUpstream, Reason: "draining " + u.life.String()})
+		u.draining, u.drainingSince = true, now
+		g.note(now, Note{Kind: KindUpstream, Reason: "draining " + u.instance.String()})
 		g.announce(now)
 	}
 	return &g.out, true
 }
 
-// Left takes the upstream's word that it ends.
-func (g *Gate) Left(now time.Duration, life platform.Life) (result *Result, ok bool) {
+// Left handles the announcement of an instance of the upstream that it ends.
+func (g *Gate) Left(now time.Duration, instance platform.Life) (result *Result, ok bool) {
 	g.begin()
-	if !g.upstream.endsWith(life) {
-		g.note(now, Note{Kind: KindUpstream, Reason: "outdated leave of " + life.String()})
+	if !g.upstream.endedBy(instance) {
+		g.note(now, Note{Kind: KindUpstream, Reason: "ignored outdated leave of " + instance.String()})
 		return &g.out, true
 	}
 	g.upstream.left, g.upstream.leftAt, g.upstream.draining = true, now, true
-	g.note(now, Note{Kind: KindUpstream, Reason: "left " + life.String()})
+	g.note(now, Note{Kind: KindUpstream, Reason: "left " + instance.String()})
 	g.announce(now)
 	return &g.out, true
 }
 
-// endsWith reports whether the upstream has ended if a life has: it is that life, or one
-// that began before it under the same id. The word of an earlier life comes late.
-func (u *upstream) endsWith(life platform.Life) bool {
-	return life.Same(u.life) || life.ID == u.life.ID && life.Born > u.life.Born
+// endedBy reports whether the announcement of an instance that it ends applies to the
+// current upstream: it does if it comes from that instance, or from one with the same id
+// that started later. An announcement of an earlier instance is outdated.
+func (u *upstream) endedBy(instance platform.Life) bool {
+	return instance.Same(u.instance) || instance.ID == u.instance.ID && instance.Born > u.instance.Born
 }
 
-// Refused notes that no socket took a packet for the upstream.
+// Refused handles a packet to the upstream that was refused because no socket listened.
+// Several in a row, refusalSpan apart, show that the upstream has ended.
 func (g *Gate) Refused(now time.Duration) *Result {
 	g.begin()
 	u := &g.upstream
@@ -94,113 +98,114 @@
 		u.refusedAt = now
 	}
 	u.refused++
-	if u.refused >= refusals && now-u.refusedAt >= refusalTime {
-		g.goDown(now, u.refusedAt, "refuses-packets")
+	if u.refused >= refusals && now-u.refusedAt >= refusalSpan {
+		g.markDown(now, u.refusedAt, "refuses-packets")
 	}
 	return &g.out
 }
 
-// checkUpstream notices an upstream that has ended as it announced, and one that
-// has fallen silent. The last may still live, so its flows are not reset.
+// checkUpstream detects an upstream that has ended as announced, and one whose heartbeats
+// have stopped. The latter may still be running, so its flows are not reset.
 func (g *Gate) checkUpstream(now time.Duration) {
 	u := &g.upstream
-	patience := missedHeartbeats * g.settings.HeartbeatEvery
+	timeout := missedHeartbeats * g.settings.HeartbeatEvery
 	switch {
 	case u.down:
-	case g.stopping && g.neverHeard(now):
-		g.goDown(now, now, "never-heard")
+	case g.stopping && g.noSignSinceStart(now):
+		g.markDown(now, now, "never-heard")
 	case u.left:
-		if now-u.leftAt >= leaveTime {
-			g.goDown(now, u.leftAt, "left")
+		if now-u.leftAt >= leaveDelay {
+			g.markDown(now, u.leftAt, "left")
 		}
-	case !u.silent && u.heard != 0 && now-u.heard >= patience:
+	case !u.silent && u.lastHeartbeat != 0 && now-u.lastHeartbeat >= timeout:
 		u.silent = true
-		g.note(now, Note{Kind: KindUpstream, Reason: "silent " + u.life.String()})
+		g.note(now, Note{Kind: KindUpstream, Reason: "silent " + u.instance.String()})
 		g.announce(now)
 	}
 }
 
-// goDown notes that the upstream has certainly ended at the time, and its flows
-// with it.
-func (g *Gate) goDown(now, ended time.Duration, reason string) {
+// markDown records that the upstream has certainly ended at the given time, and resets its
+// flows.
+func (g *Gate) markDown(now, ended time.Duration, reason string) {
 	if g.upstream.down {
 		return
 	}
 	g.upstream.down = true
-	g.note(now, Note{Kind: KindUpstream, Reason: reason + " " + g.upstream.life.String()})
+	g.note(now, Note{Kind: KindUpstream, Reason: reason + " " + g.upstream.instance.String()})
 	g.resetBefore(now, ended, reason)
 	g.announce(now)
 }
 
-// resetBefore tells the callers of all flows that began before the time that
-// they are gone, so that they may ask again at once. Of the others the upstream
-// has to tell.
+// resetBefore resets all flows that were opened before the given time, so that their
+// callers can retry at once. For the others only the upstream knows whether it holds them.
 func (g *Gate) resetBefore(now, ended time.Duration, reason string) {
 	for id, f := range g.flows {
-		if f.began >= ended {
+		if f.openedAt >= ended {
 			g.setRunning(f, false)
 			f.probing = true
 			continue
 		}
-		// One that is still opening may have been opened elsewhere by a copy of
-		// its first packet.
+		// A flow that is still opening is not reset: a retransmission of its first packet
+		// may have opened it at another upstream.
 		if f.state == flowOpen && !f.probing {
 			g.note(now, Note{Kind: KindReset, Flow: id, Reason: reason})
 			start := len(g.buffer)
 			g.buffer = platform.AppendReset(g.buffer, id, f.acknowledged)
 			g.sendBuffer(ToCaller, g.caller(id), start)
 		}
-		g.forget(id, f)
+		g.removeFlow(id, f)
 	}
 }
 
-// Stop notes that the process has been told to stop: no new flows come, those
-// that are open go on.
+// Stop begins the shutdown of the agent: no new flows are admitted, open flows continue.
 func (g *Gate) Stop(now time.Duration) *Result {
 	g.begin()
 	g.stopping = true
 	g.announce(now)
 	if g.upstream.left {
-		g.goDown(now, now, "left")
+		g.markDown(now, now, "left")
 	}
 	g.checkUpstream(now)
 	return &g.out
 }
 
-// neverHeard reports whether the upstream has given no sign of life since the
-// process's start, for longer than it takes to miss its heartbeats: it ended while the
-// process was away. An entry of an earlier life would stay in every balancer's list
-// until its lease lapses, and each search for a flow would wait for an agent that
-// has left (13 s after a loss of power, from logs of a fleet of 140 agents).
-func (g *Gate) neverHeard(now time.Duration) bool {
+// noSignSinceStart reports whether the upstream has sent neither heartbeats nor packets
+// that prove it alive since the process's start, for longer than missedHeartbeats
+// intervals: it has ended while no agent process ran. If the agent left the entry of an
+// earlier instance in the store, the entry would stay in every balancer's list until its
+// lease expires, and each search for a flow would wait for an agent that has left (13 s
+// after a power loss, from logs of a fleet of 140 agents).
+func (g *Gate) noSignSinceStart(now time.Duration) bool {
 	u := &g.upstream
-	return u.unknown() && !u.spoke && now-g.resumed >= missedHeartbeats*g.settings.HeartbeatEvery
+	return u.unknown() && !u.sentPacket && now-g.resumed >= missedHeartbeats*g.settings.HeartbeatEvery
 }
 
-// Finished reports whether a process that was told to stop has nothing left to
-// do for its upstream. One that has not heard of it waits for its next heartbeat, or
-// for so many missed ones that it has ended: it answers searches meanwhile, and knows
-// then whether its entry is to stay for the process after it.
+// Finished reports whether a process that is shutting down has nothing left to do for its
+// upstream. If the upstream has not reported since the process's start, the process waits
+// for its next heartbeat, or until enough are missing to show that it has ended. In that
+// time the process answers searches for flows, and it learns whether its entry must stay
+// for its successor.
 func (g *Gate) Finished() bool {
 	u := &g.upstream
-	if u.unknown() && !u.spoke {
+	if u.unknown() && !u.sentPacket {
 		return u.down
 	}
 	return u.down || u.left || g.running == 0
 }
 
-// Registration returns what the store is to list.
+// Registration returns the desired content of the agent's entry in the store.
 func (g *Gate) Registration() Registration {
 	u := &g.upstream
 	ended := u.down || u.left
 	return Registration{
 		Listed: !u.unknown() && !ended, Ended: ended,
-		Upstream: u.life.String(), Service: g.settings.Service, DataCentre: u.dataCentre, Slots: u.slots,
+		Upstream: u.instance.String(), Service: g.settings.Service, DataCentre: u.dataCentre, Slots: u.slots,
 		Warmup: g.cold.reported,
 	}
 }
 
-// announce tells all balancers that use this agent of a change at once.
+// announce sends the status to all balancers that use this agent, and records when the
+// state changed.
 func (g *Gate) announce(now time.Duration) {
 	if state := g.state(now); state != g.announced {
 		g.announced, g.stateSince = state, now
--- a/internal/packetface/gate/verdict.go
+++ b/internal/packetface/gate/verdict.go
@@ -10,29 +10,30 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// The agent sees what becomes of each flow and request of its upstream. Package
-// outcome judges by that; here outcomes are told from packets, and the verdict is put
-// into effect.
+// The agent observes the outcome of each flow and request of its upstream, such as an
+// answer or a reset. Package outcome derives a verdict on the upstream from them. This file
+// recognizes outcomes by the packets of the upstream and applies the verdict.
 
 const (
-	// trialTime is the time after which a flow that was let in to try the upstream no
-	// longer keeps out the next one: its caller may have gone.
-	trialTime = time.Second
-	// pauseTime is the time between two calls after which the process counts as
-	// paused, and what came meanwhile as not read yet: ticks come every 200 ms.
-	pauseTime = 400 * time.Millisecond
+	// trialTimeout is the time after which a flow admitted to test the upstream no longer
+	// blocks the next such flow, as its caller may have given up.
+	trialTimeout = time.Second
+	// pauseThreshold is the time between two calls from which on the process counts as
+	// paused. Packets that arrived during a pause may be unread, so missing answers prove
+	// nothing. Ticks come every 200 ms.
+	pauseThreshold = 400 * time.Millisecond
 )
 
-// swallowed holds the callers whose opening packets the upstream has got since its
-// last packet, the first at the time since.
-type swallowed struct {
+// unansweredOpenings holds the callers whose opening packets were forwarded to the upstream
+// since its last packet; the first of them was forwarded at since.
+type unansweredOpenings struct {
 	callers [outcome.SilentOpenings][4]byte
 	count   int
 	since   time.Duration
 }
 
-// add notes an opening packet.
-func (s *swallowed) add(now time.Duration, caller [4]byte) {
+// add records an opening packet.
+func (s *unansweredOpenings) add(now time.Duration, caller [4]byte) {
 	if s.count == 0 {
 		s.since = now
 	}
@@ -42,90 +43,94 @@
 	}
 }
 
-// silent reports whether so many callers have waited for so long that the upstream
-// is silent.
-func (s *swallowed) silent(now time.Duration) bool {
+// silent reports whether enough different callers have waited for long enough that the
+// upstream counts as silent.
+func (s *unansweredOpenings) silent(now time.Duration) bool {
 	return s.count >= outcome.SilentOpenings && now-s.since >= outcome.SilentFor
 }
 
-func (g *Gate) judges() bool { return g.settings.Policies.On(policy.Outcomes) }
+func (g *Gate) outcomesEnabled() bool { return g.settings.Policies.On(policy.Outcomes) }
 
 // upstreamVerdict returns the verdict on the upstream.
 func (g *Gate) upstreamVerdict(now time.Duration) outcome.Verdict {
-	if !g.judges() {
+	if !g.outcomesEnabled() {
 		return outcome.Takes
 	}
 	return g.judge.Verdict(now)
 }
 
-// refusedByVerdict reports whether the verdict keeps an opening packet out.
+// refusedByVerdict reports whether an opening packet is refused because of the verdict on
+// the upstream.
 func (g *Gate) refusedByVerdict(now time.Duration) bool {
 	switch g.upstreamVerdict(now) {
 	case outcome.Shut:
 		return true
 	case outcome.Probation:
-		return g.trial != 0 && now-g.trial < trialTime
+		return g.trial != 0 && now-g.trial < trialTimeout
 	}
 	return false
 }
 
-// letIn notes that the upstream gets an opening packet.
-func (g *Gate) letIn(now time.Duration, caller [4]byte) {
+// noteAdmitted records that an opening packet is forwarded to the upstream.
+func (g *Gate) noteAdmitted(now time.Duration, caller [4]byte) {
 	if g.upstreamVerdict(now) == outcome.Probation {
 		g.trial = now
 	}
-	g.swallowed.add(now, caller)
+	g.unansweredOpenings.add(now, caller)
 }
 
-// judged puts a change of the verdict into effect. Every outcome ends a trial.
-func (g *Gate) judged(now time.Duration, c outcome.Change, changed bool) {
+// applyVerdictChange logs and announces a change of the verdict. Every outcome ends a
+// trial.
+func (g *Gate) applyVerdictChange(now time.Duration, c outcome.Change, changed bool) {
 	g.trial = 0
-	if !changed || !g.judges() {
+	if !changed || !g.outcomesEnabled() {
 		return
 	}
 	g.note(now, Note{Kind: KindVerdict, Reason: c.Verdict.String() + "-" + string(c.Cause), Took: c.For})
 	g.announce(now)
 }
 
-// checkVerdict notices an upstream that swallows opening packets, and tells balancers
-// of verdicts that time has changed.
+// checkVerdict detects an upstream that does not answer opening packets, and announces
+// changes of the verdict that are due to elapsed time.
 func (g *Gate) checkVerdict(now time.Duration) {
-	if g.called != 0 && now-g.called > pauseTime {
+	if g.lastCall != 0 && now-g.lastCall > pauseThreshold {
 		g.resumed = now
-		g.swallowed = swallowed{}
+		g.unansweredOpenings = unansweredOpenings{}
 	}
-	g.called = now
-	if g.swallowed.silent(now) && g.judges() {
-		g.giveUpOpenings(now)
+	g.lastCall = now
+	if g.unansweredOpenings.silent(now) && g.outcomesEnabled() {
+		g.returnUnansweredOpenings(now)
 	}
 	if g.state(now) != g.announced && g.announced != 0 {
 		g.announce(now)
 	}
 }
 
-// giveUpOpenings returns the opening packets that the upstream has swallowed: others
-// may answer them long before the callers send copies.
-func (g *Gate) giveUpOpenings(now time.Duration) {
-	g.swallowed = swallowed{}
+// returnUnansweredOpenings returns the opening packets that the upstream has not answered
+// to their balancers, so that other upstreams can answer them long before the callers
+// retransmit.
+func (g *Gate) returnUnansweredOpenings(now time.Duration) {
+	g.unansweredOpenings = unansweredOpenings{}
 	change, changed := g.judge.SwallowedOpenings(now)
-	g.judged(now, change, changed)
+	g.applyVerdictChange(now, change, changed)
 	for id, f := range g.flows {
 		if f.state != flowOpening || f.answered || f.opening == nil {
 			continue
 		}
-		// The flow stays: the upstream may wake and answer, though its caller goes on
-		// with another by then.
+		// The flow is kept, as the upstream may recover and still answer. The caller will
+		// be using another upstream by then.
 		packet := f.opening
 		f.opening = nil
-		g.giveBack(now, f.balancer, id, inner.ReasonFailing, packet)
+		g.returnPacket(now, f.balancer, id, inner.ReasonFailing, packet)
 	}
 }
 
-// resetByUpstream judges a flow that the upstream reset.
+// resetByUpstream reports a reset by the upstream of a flow with a running request to the
+// judge.
 func (g *Gate) resetByUpstream(now time.Duration, id platform.Flow, f *flow) {
 	if !f.running {
-		return // nothing was asked of it
+		return // the flow had no running request
 	}
-	change, changed := g.judge.ResetBy(now, f.asked, id)
-	g.judged(now, change, changed)
+	change, changed := g.judge.ResetBy(now, f.requestedAt, id)
+	g.applyVerdictChange(now, change, changed)
 }
