--- a/internal/packetface/gate/cold_test.go
+++ b/internal/packetface/gate/cold_test.go
@@ -13,8 +13,9 @@
 
 const coldRate = 4
 
-// arrive opens flows, one each 20 ms, and returns how many the upstream got.
-func (b *bench) arrive(first, count int, flags inner.Flags) (taken int) {
+// openFlows opens flows, one every 20 ms, and returns how many the upstream got. The others
+// must be returned with inner.ReasonCold.
+func (b *bench) openFlows(first, count int, flags inner.Flags) (taken int) {
 	for n := range count {
 		b.now += 20 * time.Millisecond
 		head := inner.Open{Cold: inner.Cold{Rate: coldRate}, Hops: inner.MaxBusyHops, Flags: flags, Known: inner.Known{Version: 3}}
@@ -28,34 +29,37 @@
 	return taken
 }
 
-// All balancers see an idle upstream that has just started, and send it their flows.
-func TestAColdUpstreamGetsWhatItBears(t *testing.T) {
+// A cold upstream looks idle to all balancers, so that each sends its flows there. The
+// agent limits them to the cold rate in each second, or to ColdOverage times that for flows
+// that no other upstream accepts.
+func TestColdUpstreamGetsNoMoreFlowsThanItsBound(t *testing.T) {
 	b := newBench(t)
 	b.beat = 1
 	r, _ := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: "i-1"}, Slots: 50, Sequence: 1, ColdFor: 5 * second})
 	b.last = r
-	b.Expect(b.arrive(1, 40, 0)).To(Equal(coldRate))
-	b.Expect(b.arrive(100, 20, 0)).To(Equal(coldRate), "the next second has begun")
+	b.Expect(b.openFlows(1, 40, 0)).To(Equal(coldRate))
+	b.Expect(b.openFlows(100, 20, 0)).To(Equal(coldRate), "the bound applies anew to the next second")
 	b.gate.SetTimes(gate.Times{HeartbeatEvery: second, ColdOverage: 2})
 	b.now += second
-	b.Expect(b.arrive(150, 40, inner.FlagMust)).To(Equal(7), "nobody else takes them")
+	b.Expect(b.openFlows(150, 40, inner.FlagMust)).To(Equal(7), "flows that no other upstream accepts")
 	b.now += 3 * second
-	b.Expect(b.arrive(200, 40, 0)).To(Equal(40), "it is warm")
+	b.Expect(b.openFlows(200, 40, 0)).To(Equal(40), "the upstream is warm")
 }
 
-// An agent that has only just started can't know that its upstream has not.
-func TestAnUnknownUpstreamCountsAsCold(t *testing.T) {
+// An agent that has just started cannot know yet whether its upstream is warm.
+func TestUpstreamWithoutHeartbeatCountsAsCold(t *testing.T) {
 	b := newBench(t)
-	b.Expect(b.arrive(1, 40, 0)).To(Equal(coldRate))
+	b.Expect(b.openFlows(1, 40, 0)).To(Equal(coldRate))
 	b.beat = 7
 	b.heartbeat("i-1", false)
-	b.Expect(b.arrive(100, 4, 0)).To(Equal(4))
+	b.Expect(b.openFlows(100, 4, 0)).To(Equal(4))
 }
 
-// A balancer with an older configuration changes nothing.
-func TestTheNewestColdRateCounts(t *testing.T) {
+// An opening packet from a balancer with an older configuration, which has no cold rate,
+// does not change the bound.
+func TestColdRateOfOlderConfigurationIsIgnored(t *testing.T) {
 	b := newBench(t)
-	b.Expect(b.arrive(1, 10, 0)).To(Equal(coldRate))
+	b.Expect(b.openFlows(1, 10, 0)).To(Equal(coldRate))
 	b.opening(flow(50), inner.Open{Known: inner.Known{Version: 2}})
 	b.Expect(b.returned()).To(Equal(inner.ReasonCold))
 }
--- a/internal/packetface/gate/evacuated_test.go
+++ b/internal/packetface/gate/evacuated_test.go
@@ -20,30 +20,32 @@
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Evacuation: word}))
 }
 
-// toldStatus returns the status that a balancer was told last.
-func (b *bench) toldStatus() inner.Status {
-	var told inner.Status
+// lastStatus returns the status that was last sent to a balancer.
+func (b *bench) lastStatus() inner.Status {
+	var status inner.Status
 	for _, a := range b.last.Actions {
 		if s, err := inner.ParseStatus(a.Bytes); a.Target == gate.ToBalancer && err == nil {
-			told = s
+			status = s
 		}
 	}
-	return told
+	return status
 }
 
-// A balancer that knows less, even one that has nobody else left, is stopped.
-func TestAnEvacuatedDataCentreTakesNoNewFlow(t *testing.T) {
+// A balancer that does not know of the evacuation is stopped, even if it has no other
+// upstream left.
+func TestEvacuatedDataCentreRefusesNewFlows(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.poll(evacuated(20))
 	b.opening(flow(1), inner.Open{Flags: inner.FlagMust, Evacuation: evacuation.Word{AsOf: 10}})
 	b.Expect(b.toUpstream()).To(BeZero())
 	b.Expect(b.returned()).To(Equal(inner.ReasonEvacuated))
-	b.Expect(b.toldStatus().Evacuation).To(Equal(evacuated(20)), "the balancer learns why")
+	b.Expect(b.lastStatus().Evacuation).To(Equal(evacuated(20)), "the balancer receives the evacuation")
 }
 
-// Flows that the upstream has taken go on, and so do copies of their openings.
-func TestAnEvacuationLeavesOpenFlows(t *testing.T) {
+// Flows that the upstream has accepted continue, and retransmissions of their opening
+// packets are forwarded.
+func TestOpenFlowsContinueDuringEvacuation(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.open(flow(1))
@@ -54,27 +56,27 @@
 	b.opening(flow(1), inner.Open{})
 	b.Expect(b.toUpstream()).To(Equal(1))
 	b.opening(flow(2), inner.Open{})
-	b.Expect(b.returned()).To(Equal(inner.ReasonEvacuated), "the upstream has not answered it")
+	b.Expect(b.returned()).To(Equal(inner.ReasonEvacuated), "the upstream has not accepted the flow yet")
 }
 
-func TestADataCentreThatIsTakenBackTakesFlows(t *testing.T) {
+func TestDataCentreTakenBackAcceptsFlows(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.poll(evacuated(20))
 	b.opening(flow(1), inner.Open{Evacuation: evacuation.Word{AsOf: 30}})
-	b.Expect(b.toUpstream()).To(Equal(1), "the one that opens it knows that it is over")
+	b.Expect(b.toUpstream()).To(Equal(1), "the opening packet carries the withdrawal")
 	b.poll(evacuated(20))
 	b.opening(flow(2), inner.Open{Evacuation: evacuation.Word{AsOf: 30}})
-	b.Expect(b.toUpstream()).To(Equal(1), "an older word brings nothing back")
+	b.Expect(b.toUpstream()).To(Equal(1), "an older evacuation state is ignored")
 }
 
-// All balancers that use the agent hear of it at once.
-func TestAnEvacuationIsAnnounced(t *testing.T) {
+// The agent sends an evacuation to all balancers that use it at once, and records a note.
+func TestEvacuationIsSentToBalancers(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.poll(evacuation.Word{})
 	b.poll(evacuated(20))
-	b.Expect(b.toldStatus().Evacuation).To(Equal(evacuated(20)))
+	b.Expect(b.lastStatus().Evacuation).To(Equal(evacuated(20)))
 	var notes []gate.Note
 	for _, n := range b.last.Notes {
 		if n.Kind == gate.KindEvacuation {
--- a/internal/packetface/gate/gate_test.go
+++ b/internal/packetface/gate/gate_test.go
@@ -22,7 +22,7 @@
 
 var balancer = netip.MustParseAddrPort("10.0.0.1:7000")
 
-// bench drives one gate.
+// bench drives one Gate with a simulated clock and holds the result of the last call.
 type bench struct {
 	*WithT
 	gate *gate.Gate
@@ -33,7 +33,7 @@
 
 func newBench(t *testing.T) *bench { return newBenchWithout(t, nil) }
 
-// newBenchWithout returns a bench whose agent does not make some decisions.
+// newBenchWithout returns a bench whose Gate has the given policies disabled.
 func newBenchWithout(t *testing.T, off []string) *bench {
 	b := &bench{WithT: NewWithT(t), now: time.Millisecond}
 	policies, unknown := policy.Without(off)
@@ -45,7 +45,7 @@
 	return b
 }
 
-// heartbeat reports the upstream's life.
+// heartbeat delivers the next heartbeat of an instance of the upstream.
 func (b *bench) heartbeat(id string, draining bool) {
 	b.beat++
 	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: id}, Slots: slots, Sequence: b.beat, Draining: draining})
@@ -53,7 +53,7 @@
 	b.last = r
 }
 
-// begin reports a new life from its first heartbeat.
+// begin delivers the first heartbeat of a new instance.
 func (b *bench) begin(id string) {
 	b.beat = 0
 	b.heartbeat(id, false)
@@ -103,7 +103,7 @@
 	b.balancerSends(inner.AppendOpen(nil, head, fromCaller(id, 1, 0, platform.FlagSYN, 0)))
 }
 
-// open opens a flow whose upstream answers with sequence 100.
+// open opens a flow, which the upstream accepts with sequence number 100.
 func (b *bench) open(id platform.Flow) {
 	b.opening(id, inner.Open{})
 	b.Expect(b.toUpstream()).To(Equal(1))
@@ -133,7 +133,7 @@
 
 func (b *bench) toUpstream() int { return b.count(gate.ToUpstream) }
 
-// returned returns the reason of the packet that was given back, 0 for none.
+// returned returns the reason of the packet that was returned to the balancer, 0 for none.
 func (b *bench) returned() inner.Reason {
 	for _, a := range b.last.Actions {
 		if inner.KindOf(a.Bytes) == inner.KindReturned && a.Target == gate.ToBalancer {
@@ -152,12 +152,12 @@
 	return answers[0].Verdict
 }
 
-func (b *bench) settle() {
+func (b *bench) setListing() {
 	b.gate.SetSeen(b.now, 5)
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 5}}))
 }
 
-func TestOpeningPacketsAreRefusedAtTheLastGate(t *testing.T) {
+func TestAgentRefusesOpeningPacketsByState(t *testing.T) {
 	other := inner.Open{Service: inner.ServiceID("other"), Flags: inner.FlagMust}
 	cases := []struct {
 		name    string
@@ -168,8 +168,8 @@
 		{"ready", func(b *bench) {}, inner.Open{}, 0},
 		{"another service", func(b *bench) {}, other, inner.ReasonService},
 		{"draining", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{}, inner.ReasonDraining},
-		{"draining, none else is left", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{Flags: inner.FlagMust}, 0},
-		{"draining for long, none else is left", func(b *bench) {
+		{"draining, no other upstream is left", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{Flags: inner.FlagMust}, 0},
+		{"draining for nearly DrainWithin, no other upstream is left", func(b *bench) {
 			b.heartbeat("i-1", true)
 			b.now += 2500 * time.Millisecond
 		}, inner.Open{Flags: inner.FlagMust}, inner.ReasonDraining},
@@ -178,13 +178,13 @@
 			b.now += 5 * second
 			b.gate.Tick(b.now)
 		}, inner.Open{Flags: inner.FlagMust}, inner.ReasonDown},
-		{"back after silence", func(b *bench) {
+		{"heartbeats resumed after silence", func(b *bench) {
 			b.now += 5 * second
 			b.gate.Tick(b.now)
 			b.heartbeat("i-1", false)
 		}, inner.Open{}, 0},
 		{"stopping", func(b *bench) { b.gate.Stop(b.now) }, inner.Open{}, inner.ReasonDraining},
-		{"stopping, none else is left", func(b *bench) { b.gate.Stop(b.now) }, inner.Open{Flags: inner.FlagMust}, 0},
+		{"stopping, no other upstream is left", func(b *bench) { b.gate.Stop(b.now) }, inner.Open{Flags: inner.FlagMust}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestABusyUpstreamGivesAnOpeningBackThreeTimes(t *testing.T) {
+func TestBusyUpstreamReturnsAnOpeningPacketAtMostThreeTimes(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	for n := range slots {
@@ -213,7 +213,7 @@
 	b.Expect(b.returned()).To(BeZero())
 }
 
-func TestRepliesGoStraightToTheCaller(t *testing.T) {
+func TestRepliesAreSentDirectlyToTheCaller(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.open(flow(1))
@@ -224,7 +224,7 @@
 	b.Expect(b.last.Actions[0].To.String()).To(Equal("100.64.0.1:9000"))
 }
 
-func TestABouncedOpeningGoesBackWhole(t *testing.T) {
+func TestBouncedOpeningPacketIsReturnedUnchanged(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.opening(flow(1), inner.Open{})
@@ -236,24 +236,24 @@
 	b.Expect(packet).To(Equal(fromCaller(flow(1), 1, 0, platform.FlagSYN, 0)))
 }
 
-func TestVerdicts(t *testing.T) {
+func TestVerdictsOnFlows(t *testing.T) {
 	b := newBench(t)
-	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictMaybe)) // nothing is known of the upstream
+	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictMaybe)) // the upstream has not reported
 	b.begin("i-1")
-	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictUnsure)) // no balancer has told of its list
-	b.settle()
+	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictUnsure)) // no position of the store is known
+	b.setListing()
 	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictNone))
 	b.opening(flow(1), inner.Open{})
 	b.upstreamSends(fromUpstream(flow(1), 100, 2, platform.FlagSYN|platform.FlagACK, 0))
 	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictHeld))
-	b.Expect(b.verdict(flow(1), 1<<30)).To(Equal(inner.VerdictNone)) // the caller went on with another's answer
+	b.Expect(b.verdict(flow(1), 1<<30)).To(Equal(inner.VerdictNone)) // the caller has acknowledged another upstream's answer
 }
 
-func TestAnAgentThatBeganAfterItsUpstreamLetsItTell(t *testing.T) {
+func TestAgentStartedAfterItsUpstreamProbesForUnknownFlows(t *testing.T) {
 	b := newBench(t)
 	b.beat = 6
 	b.heartbeat("i-1", false)
-	b.settle()
+	b.setListing()
 	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictMaybe))
 	b.send(flow(1), 2, platform.FlagACK, 30)
 	b.Expect(b.toUpstream()).To(Equal(1))
@@ -280,24 +280,24 @@
 	return out
 }
 
-func TestFlowsOfALifeThatEndedAreReset(t *testing.T) {
+func TestFlowsOfAnEndedInstanceAreReset(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.open(flow(1))
 	b.now += second
 	b.heartbeat("i-1", false)
 	b.now += 100 * time.Millisecond
-	b.open(flow(2)) // after the last heartbeat: it may be of the next life
+	b.open(flow(2)) // opened after the last heartbeat: may belong to the next instance
 	b.now += 100 * time.Millisecond
-	b.opening(flow(3), inner.Open{}) // still opening: a copy may have opened it elsewhere
+	b.opening(flow(3), inner.Open{}) // still opening: a retransmission may have opened it elsewhere
 	b.begin("i-2")
 	b.Expect(resets(b)).To(Equal([]platform.Flow{flow(1)}))
-	b.settle()
+	b.setListing()
 	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictNone))
 	b.Expect(b.verdict(flow(2), 101)).To(Equal(inner.VerdictMaybe))
 }
 
-func TestRefusedPacketsShowThatTheUpstreamIsGone(t *testing.T) {
+func TestUpstreamIsDownAfterRefusedPackets(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.open(flow(1))
@@ -311,7 +311,7 @@
 	b.Expect(b.gate.Registration().Listed).To(BeFalse())
 }
 
-func TestAnUpstreamThatLeftHoldsNothingSoonAfter(t *testing.T) {
+func TestFlowsAreResetShortlyAfterUpstreamLeaves(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.open(flow(1))
@@ -324,7 +324,7 @@
 	b.Expect(resets(b)).To(Equal([]platform.Flow{flow(1)}))
 }
 
-func TestALateHeartbeatSaysNothing(t *testing.T) {
+func TestDelayedHeartbeatIsIgnored(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.heartbeat("i-1", true)
@@ -333,7 +333,7 @@
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateDraining))
 }
 
-func TestBadDatagramsAreRefused(t *testing.T) {
+func TestMalformedDatagramsAreRejected(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	for _, datagram := range [][]byte{nil, {0}, {99}, {byte(inner.KindOpen)}, inner.AppendForward(nil, inner.Forward{}, []byte("short")), {byte(inner.KindAsk)}} {
@@ -344,9 +344,9 @@
 	b.Expect(err).To(HaveOccurred())
 }
 
-// The packets of an answer may change places: where the end of the flow comes first,
-// it is the answer that the upstream's pace is measured by, once.
-func TestTheEndOfAFlowThatOvertakesItsAnswerCountsAsTheAnswer(t *testing.T) {
+// The packets of an answer may be reordered. If the end of the flow arrives first, it
+// counts as the answer, so that the response time is recorded once.
+func TestEndOfFlowBeforeItsAnswerCountsAsTheAnswer(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.open(flow(1))
--- a/internal/packetface/gate/idle_test.go
+++ b/internal/packetface/gate/idle_test.go
@@ -10,9 +10,10 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// checks returns the balancers that an agent asks in a time, in steps of its ticks; poll
-// tells whether one answers.
-func checks(t *testing.T, g *Gate, from, to time.Duration, poll func(netip.AddrPort) bool) (asked []netip.AddrPort, alone int) {
+// runChecks lets time pass in steps of the agent's ticks. It returns the balancers that the
+// agent sent checks to, and how often it found that none had answered. poll reports whether
+// a balancer answers with a poll.
+func runChecks(t *testing.T, g *Gate, from, to time.Duration, poll func(netip.AddrPort) bool) (asked []netip.AddrPort, alone int) {
 	const tick = 200 * time.Millisecond
 	for now := from; now < to; now += tick {
 		for _, a := range g.CheckListed(now, true).Actions {
@@ -35,8 +36,8 @@
 	seedA     = netip.MustParseAddrPort("10.0.0.2:7000")
 )
 
-// called returns an agent that a balancer has called at its start.
-func called(t *testing.T) *Gate {
+// usedAgent returns an agent that a balancer has polled at its start.
+func usedAgent(t *testing.T) *Gate {
 	g := New(Settings{Service: "s"})
 	g.SetSeeds([]netip.AddrPort{seedA})
 	_, err := g.FromBalancer(time.Millisecond, balancerA, inner.AppendPoll(nil, inner.Poll{Flags: inner.FlagStatus}))
@@ -44,32 +45,32 @@
 	return g
 }
 
-func TestAnIdleAgentAsksABalancerAndNotTheStore(t *testing.T) {
+func TestIdleAgentChecksWithABalancerRatherThanTheStore(t *testing.T) {
 	g := NewWithT(t)
-	asked, alone := checks(t, called(t), 0, 21*time.Second, func(netip.AddrPort) bool { return true })
+	asked, alone := runChecks(t, usedAgent(t), 0, 21*time.Second, func(netip.AddrPort) bool { return true })
 	g.Expect(alone).To(Equal(0))
-	g.Expect(len(asked)).To(BeNumerically("~", 10, 1), "one in two seconds")
+	g.Expect(len(asked)).To(BeNumerically("~", 10, 1), "one check in two seconds")
 	g.Expect(asked).To(HaveEach(balancerA))
 }
 
-// One that does not answer, as it is gone or has not heard the store, keeps the agent
-// from asking the store for 600 ms.
-func TestAnIdleAgentAsksTheStoreWhenNoBalancerAnswers(t *testing.T) {
+// If neither its balancer nor a seed answers, because they are gone or cannot read the
+// store, the agent falls back to the store after another 600 ms.
+func TestIdleAgentFallsBackToTheStoreIfNoBalancerAnswers(t *testing.T) {
 	g := NewWithT(t)
-	asked, alone := checks(t, called(t), 0, 3200*time.Millisecond, func(netip.AddrPort) bool { return false })
+	asked, alone := runChecks(t, usedAgent(t), 0, 3200*time.Millisecond, func(netip.AddrPort) bool { return false })
 	g.Expect(alone).To(Equal(1))
 	g.Expect(asked).To(Equal([]netip.AddrPort{balancerA, seedA}))
 }
 
-func TestAnIdleAgentAsksASeedWhenItsBalancerIsGone(t *testing.T) {
+func TestIdleAgentChecksWithASeedIfItsBalancerIsGone(t *testing.T) {
 	g := NewWithT(t)
-	_, alone := checks(t, called(t), 0, 10*time.Second, func(to netip.AddrPort) bool { return to == seedA })
+	_, alone := runChecks(t, usedAgent(t), 0, 10*time.Second, func(to netip.AddrPort) bool { return to == seedA })
 	g.Expect(alone).To(Equal(0))
 }
 
-func TestAnAgentThatIsCalledAsksNobody(t *testing.T) {
+func TestPolledAgentSendsNoChecks(t *testing.T) {
 	g := NewWithT(t)
-	agent := called(t)
+	agent := usedAgent(t)
 	for now := time.Second; now < 20*time.Second; now += time.Second {
 		_, err := agent.FromBalancer(now, balancerA, inner.AppendPoll(nil, inner.Poll{}))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -77,21 +78,22 @@
 	}
 }
 
-// An agent that knows no balancer at all asks the store.
-func TestAnAgentWithoutBalancersIsAlone(t *testing.T) {
+// An agent that knows no balancer at all falls back to the store each time.
+func TestAgentWithoutBalancersFallsBackToTheStore(t *testing.T) {
 	g := NewWithT(t)
-	_, alone := checks(t, New(Settings{Service: "s"}), 0, 9*time.Second, func(netip.AddrPort) bool { return false })
+	_, alone := runChecks(t, New(Settings{Service: "s"}), 0, 9*time.Second, func(netip.AddrPort) bool { return false })
 	g.Expect(alone).To(BeNumerically("~", 4, 1))
 }
 
-// An entry that is on its way is not in the lists of balancers: their word that it is
-// missing would cost a reading.
-func TestAnAgentWaitsForItsEntryBeforeItAsks(t *testing.T) {
+// An entry that is being written is not yet in the balancers' lists. If the agent sent a
+// check then, the balancers would report it as missing, which would cost a needless read of
+// the store.
+func TestNoCheckWhileAWriteOfTheEntryIsPending(t *testing.T) {
 	g := NewWithT(t)
-	agent := called(t)
+	agent := usedAgent(t)
 	for now := time.Duration(0); now < 5*time.Second; now += 200 * time.Millisecond {
 		g.Expect(agent.CheckListed(now, false).Actions).To(BeEmpty())
 	}
-	asked, _ := checks(t, agent, 5*time.Second, 6500*time.Millisecond, func(netip.AddrPort) bool { return true })
+	asked, _ := runChecks(t, agent, 5*time.Second, 6500*time.Millisecond, func(netip.AddrPort) bool { return true })
 	g.Expect(asked).To(BeEmpty())
 }
--- a/internal/packetface/gate/latency_test.go
+++ b/internal/packetface/gate/latency_test.go
@@ -9,9 +9,9 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// What an upstream took for its answers is told while it is new, so that one that was
-// slow is tried again.
-func TestTheTimeOfAnswersIsToldWhileItIsNew(t *testing.T) {
+// The response time in the status expires, so that balancers try an upstream again that was
+// slow.
+func TestResponseTimeInStatusExpires(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.open(flow(1))
--- a/internal/packetface/gate/life_test.go
+++ b/internal/packetface/gate/life_test.go
@@ -10,8 +10,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// beatOf delivers one heartbeat of any life.
-func (b *bench) beatOf(id string, sequence uint64, service string) {
+// heartbeatOf delivers one heartbeat of any instance.
+func (b *bench) heartbeatOf(id string, sequence uint64, service string) {
 	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: id}, Service: service, Slots: slots, Sequence: sequence})
 	b.Expect(ok).To(BeTrue())
 	b.last = r
@@ -19,101 +19,101 @@
 
 func (b *bench) upstreamID() string { return b.gate.Registration().Upstream }
 
-// A heartbeat that was delayed until after its sender's crash must not bring the
-// ended life back.
-func TestAHeartbeatOfAnEndedLifeIsOutdated(t *testing.T) {
+// A heartbeat that arrives after its sender has crashed must not replace the new instance.
+func TestHeartbeatOfAnEndedInstanceIsIgnored(t *testing.T) {
 	b := newBench(t)
-	b.beatOf("a", 1, "")
+	b.heartbeatOf("a", 1, "")
 	b.now += second
-	b.beatOf("a", 2, "")
+	b.heartbeatOf("a", 2, "")
 	b.now += second
-	b.beatOf("b", 1, "")
+	b.heartbeatOf("b", 1, "")
 	b.now += 200 * time.Millisecond
 	b.open(flow(1))
 	b.now += second
-	b.beatOf("b", 2, "")
-	b.beatOf("a", 3, "")
+	b.heartbeatOf("b", 2, "")
+	b.heartbeatOf("a", 3, "")
 	b.Expect(resets(b)).To(BeEmpty())
 	b.Expect(b.upstreamID()).To(Equal("b"))
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateReady))
 }
 
-// The same where the agent began after the first life.
-func TestALateHeartbeatOfAnUnknownLifeIsOutdated(t *testing.T) {
+// The same if the agent started after the first instance had ended.
+func TestDelayedHeartbeatsOfAnUnknownInstanceAreIgnored(t *testing.T) {
 	b := newBench(t)
-	b.beatOf("b", 1, "")
+	b.heartbeatOf("b", 1, "")
 	b.open(flow(1))
 	b.now += second
-	b.beatOf("b", 2, "")
+	b.heartbeatOf("b", 2, "")
 	for sequence := range uint64(3) { // several were delayed, and arrive together
-		b.beatOf("a", 17+sequence, "")
+		b.heartbeatOf("a", 17+sequence, "")
 		b.Expect(resets(b)).To(BeEmpty())
 		b.Expect(b.upstreamID()).To(Equal("b"))
 	}
 }
 
-// A life that goes on reporting is believed in in the end, whatever was thought
-// of it; nothing is reset on that.
-func TestALifeThatGoesOnReportingIsBelievedIn(t *testing.T) {
+// An instance that keeps reporting is adopted in the end, even if it had counted as ended.
+// No flow is reset because of that.
+func TestInstanceThatKeepsReportingIsAdopted(t *testing.T) {
 	b := newBench(t)
-	b.beatOf("a", 1, "")
-	b.beatOf("b", 1, "")
+	b.heartbeatOf("a", 1, "")
+	b.heartbeatOf("b", 1, "")
 	b.open(flow(1))
 	b.now += second
-	b.beatOf("a", 2, "")
+	b.heartbeatOf("a", 2, "")
 	b.Expect(b.upstreamID()).To(Equal("b"))
 	b.now += second
-	b.beatOf("a", 3, "")
+	b.heartbeatOf("a", 3, "")
 	b.Expect(b.upstreamID()).To(Equal("a"))
 	b.Expect(resets(b)).To(BeEmpty())
 }
 
-// A first heartbeat that was lost does not keep a new life out.
-func TestALifeWhoseFirstHeartbeatWasLostTakesOver(t *testing.T) {
+// An instance whose first heartbeat was lost is adopted once the previous one is overdue.
+func TestInstanceIsAdoptedAfterItsFirstHeartbeatWasLost(t *testing.T) {
 	b := newBench(t)
-	b.beatOf("a", 1, "")
+	b.heartbeatOf("a", 1, "")
 	b.open(flow(1))
 	b.now += 3 * second
-	b.beatOf("b", 2, "")
+	b.heartbeatOf("b", 2, "")
 	b.Expect(b.upstreamID()).To(Equal("b"))
 }
 
-// An address whose upstream is of another service now: opening packets for the
-// service before are refused.
-func TestALifeOfAnotherServiceChangesTheService(t *testing.T) {
+// If an upstream of another service starts at the address, opening packets for the previous
+// service are refused.
+func TestInstanceOfAnotherServiceChangesTheService(t *testing.T) {
 	b := newBench(t)
-	b.beatOf("a", 1, service)
+	b.heartbeatOf("a", 1, service)
 	b.now += second
-	b.beatOf("b", 1, "other")
+	b.heartbeatOf("b", 1, "other")
 	b.Expect(b.gate.Registration().Service).To(Equal("other"))
 	b.opening(flow(1), inner.Open{Service: inner.ServiceID(service)})
 	b.Expect(b.returned()).To(Equal(inner.ReasonService))
 }
 
-// A late heartbeat of the service before must not make a new process serve it.
-func TestALateHeartbeatOfAnotherServiceIsNotBelieved(t *testing.T) {
+// A delayed heartbeat of the address's previous service must not make a new agent process
+// serve it.
+func TestDelayedHeartbeatOfAnotherServiceIsIgnored(t *testing.T) {
 	b := newBench(t)
-	b.beatOf("old", 17, "other")
+	b.heartbeatOf("old", 17, "other")
 	b.Expect(b.gate.Registration().Listed).To(BeFalse())
-	b.beatOf("new", 1, service)
+	b.heartbeatOf("new", 1, service)
 	b.Expect(b.gate.Registration().Service).To(Equal(service))
 }
 
-// The entry names the data centre that the upstream reports: a life that begins
-// elsewhere moves it.
-func TestTheEntryFollowsTheUpstreamsDataCentre(t *testing.T) {
+// The entry contains the data centre reported by the upstream, and follows an instance that
+// starts in another one.
+func TestEntryFollowsTheUpstreamsDataCentre(t *testing.T) {
 	b := newBench(t)
 	for i, dataCentre := range []string{"a", "b"} {
 		b.now += second
 		_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: dataCentre}, DataCentre: dataCentre, Slots: slots, Sequence: 1})
 		b.Expect(ok).To(BeTrue())
-		b.Expect(b.gate.Registration().DataCentre).To(Equal(dataCentre), "life %d", i)
+		b.Expect(b.gate.Registration().DataCentre).To(Equal(dataCentre), "instance %d", i)
 	}
 }
 
-// Balancers place no flows at an upstream whose heartbeats have stopped, so they
-// would not hear that they are back unless they are told.
-func TestHeartbeatsThatAreBackAreAnnounced(t *testing.T) {
+// Balancers place no flows on an upstream whose heartbeats have stopped, so no packet would
+// show them that the heartbeats have resumed: the agent must send a status.
+func TestResumedHeartbeatsAreAnnounced(t *testing.T) {
 	b := newBench(t)
 	b.begin("a")
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{}}))
@@ -127,7 +127,7 @@
 	b.Expect(b.gate.Status(b.now).StateFor).To(Equal(300 * time.Millisecond))
 }
 
-// states returns the states that the last result tells balancers.
+// states returns the states in the statuses that the last call sent to balancers.
 func (b *bench) states() (out []inner.State) {
 	for _, a := range b.last.Actions {
 		if s, err := inner.ParseStatus(a.Bytes); err == nil {
@@ -137,26 +137,26 @@
 	return out
 }
 
-// Where no configuration can be asked whether there is such a service, neither service
-// gets a flow until it is clear who lives there.
-func TestAContestedAddressTakesNoFlow(t *testing.T) {
+// If another service reports from the address and no configuration is available to check
+// it, neither service gets a flow until one of the two instances reports again.
+func TestContestedAddressRefusesFlows(t *testing.T) {
 	b := newBench(t)
-	b.beatOf("a", 1, service)
+	b.heartbeatOf("a", 1, service)
 	b.now += second
-	b.beatOf("a", 2, service)
-	stranger := platform.Heartbeat{Life: platform.Life{ID: "b"}, Service: "other", Slots: slots, Sequence: 1}
-	_, contested := b.gate.Contest(b.now, stranger)
+	b.heartbeatOf("a", 2, service)
+	other := platform.Heartbeat{Life: platform.Life{ID: "b"}, Service: "other", Slots: slots, Sequence: 1}
+	_, contested := b.gate.Contest(b.now, other)
 	b.Expect(contested).To(BeTrue())
 	for _, name := range []string{service, "other"} {
 		b.opening(flow(1), inner.Open{Service: inner.ServiceID(name), Flags: inner.FlagMust})
 		b.Expect(b.toUpstream()).To(BeZero())
 	}
 	b.now += second
-	b.beatOf("a", 3, service)
-	b.open(flow(2)) // it lives
+	b.heartbeatOf("a", 3, service)
+	b.open(flow(2)) // the instance has reported again
 	b.Expect(b.upstreamID()).To(Equal("a"))
 
 	b.now += 2 * second
-	_, contested = b.gate.Contest(b.now, stranger)
-	b.Expect(contested).To(BeFalse(), "the life before is overdue")
+	_, contested = b.gate.Contest(b.now, other)
+	b.Expect(contested).To(BeFalse(), "the current instance is overdue")
 }
