--- a/internal/packetface/gate/queue_test.go
+++ b/internal/packetface/gate/queue_test.go
@@ -14,28 +14,28 @@
 
 const urgent, ordinary = 1, 2
 
-// request sends a request of a rank.
+// request sends a request with the given rank.
 func (b *bench) request(n int, seq uint32, rank int) {
 	b.requestOn(n, seq, inner.Terms{Rank: uint8(rank)})
 }
 
-// requestOn sends a request on a route with the terms.
+// requestOn sends a request on a route with the given terms.
 func (b *bench) requestOn(n int, seq uint32, terms inner.Terms) {
 	b.balancerSends(inner.AppendForward(nil, inner.Forward{Terms: terms}, fromCaller(flow(n), seq, 101, platform.FlagACK, 30)))
 }
 
-// settledAfter is an age of a process from which on flows count for first tries.
-const settledAfter = 10 * second
+// longUptime is an uptime after which flows count as first tries.
+const longUptime = 10 * second
 
-// filled returns a bench with open flows, whose first ones take all slots. The
-// process has run for a while.
+// filled returns a bench whose process has run for longUptime, with open flows of which the
+// first ones occupy all slots.
 func filled(t *testing.T, flows int) *bench {
 	b := newBench(t)
-	b.now = settledAfter
+	b.now = longUptime
 	return b.fill(flows)
 }
 
-// fill opens flows, whose first ones take all slots.
+// fill opens flows of which the first ones occupy all slots.
 func (b *bench) fill(flows int) *bench {
 	b.begin("i-1")
 	for n := range flows {
@@ -48,7 +48,8 @@
 	return b
 }
 
-// openLate opens a flow by a copy of its opening packet, though all slots are taken.
+// openLate opens a flow by a retransmission of its opening packet, although all slots are
+// in use.
 func (b *bench) openLate(id platform.Flow, copies uint32) { b.openFlagged(id, copies, 0) }
 
 func (b *bench) openFlagged(id platform.Flow, copies uint32, flags inner.Flags) {
@@ -57,7 +58,8 @@
 	b.upstreamSends(fromUpstream(id, 100, 2, platform.FlagSYN|platform.FlagACK, 0))
 }
 
-// ran returns the flows whose packets went to the upstream at last.
+// ran returns the caller ports of the flows whose packets the last call forwarded to the
+// upstream.
 func (b *bench) ran() []uint16 {
 	var out []uint16
 	for _, a := range b.last.Actions {
@@ -68,9 +70,9 @@
 	return out
 }
 
-func TestRequestsWaitForASlotInTheirOrder(t *testing.T) {
+func TestRequestsWaitingForASlotRunInPriorityOrder(t *testing.T) {
 	b := filled(t, 8)
-	b.answer(flow(0)) // frees a slot; the flow has been served
+	b.answer(flow(0)) // frees a slot; the flow counts as served from now on
 	b.request(0, 32, ordinary)
 	b.request(5, 2, ordinary)
 	b.request(4, 2, ordinary)
@@ -78,7 +80,7 @@
 	b.Expect(b.gate.Counts(b.now).Waiting).To(Equal(3))
 	b.answer(flow(0))
 	b.Expect(b.ran()).To(Equal([]uint16{6}))
-	b.request(0, 62, ordinary) // a first try: its flow was served before
+	b.request(0, 62, ordinary) // a first try, because the flow has been served before
 	b.answer(flow(1))
 	b.Expect(b.ran()).To(Equal([]uint16{0}))
 	b.answer(flow(6))
@@ -87,7 +89,7 @@
 	b.Expect(b.ran()).To(Equal([]uint16{4}))
 }
 
-func TestNoRequestWaitsForLong(t *testing.T) {
+func TestRequestIsForwardedAfterTheMaximumWait(t *testing.T) {
 	b := filled(t, 3)
 	b.request(2, 2, ordinary)
 	b.Expect(b.toUpstream()).To(BeZero())
@@ -100,9 +102,9 @@
 	b.Expect(b.last.Notes).To(ContainElement(And(HaveField("Kind", gate.KindWaited), HaveField("Reason", "overdue"))))
 }
 
-// A caller repeats what is not acknowledged: that is no second request, neither
-// while the first waits nor once it was answered.
-func TestRepeatedDataIsNoNewRequest(t *testing.T) {
+// A caller retransmits data that is not acknowledged. The retransmission is not a second
+// request, neither while the first waits nor once it has been answered.
+func TestRetransmittedDataIsNotANewRequest(t *testing.T) {
 	b := filled(t, 3)
 	b.request(2, 2, ordinary)
 	b.request(2, 2, ordinary)
@@ -114,8 +116,8 @@
 	b.Expect(b.gate.Counts(b.now).Running).To(BeZero())
 }
 
-// A flow that either end has closed runs nothing more.
-func TestClosedFlowsHoldNoSlot(t *testing.T) {
+// A flow that either end has closed has no running request.
+func TestClosedFlowsReleaseTheirSlots(t *testing.T) {
 	b := filled(t, 3)
 	b.request(2, 2, ordinary)
 	b.send(flow(2), 32, platform.FlagACK|platform.FlagFIN, 0) // the caller has given up
@@ -127,7 +129,7 @@
 	b.Expect(b.gate.Counts(b.now).Running).To(BeZero())
 }
 
-func TestAResetDropsWhatWaits(t *testing.T) {
+func TestResetRemovesTheWaitingRequest(t *testing.T) {
 	b := filled(t, 3)
 	b.request(2, 2, ordinary)
 	b.now += 300 * time.Millisecond
@@ -138,16 +140,16 @@
 	)))
 }
 
-func TestAcknowledgementsDoNotWait(t *testing.T) {
+func TestAcknowledgementsAreForwardedWithoutWaiting(t *testing.T) {
 	b := filled(t, 3)
 	b.request(2, 2, ordinary)
 	b.send(flow(2), 2, platform.FlagACK, 0)
 	b.Expect(b.ran()).To(Equal([]uint16{2}))
 }
 
-// What has waited for too long is late already and lets through what is not, but
-// for more urgent routes.
-func TestLateRequestsLetOthersPass(t *testing.T) {
+// A request that has missed its aim lets requests pass that can still meet theirs, and
+// those of more urgent routes.
+func TestLateRequestsRunAfterThoseInTime(t *testing.T) {
 	b := filled(t, 8)
 	b.request(4, 2, ordinary)
 	b.request(5, 2, urgent)
@@ -161,16 +163,16 @@
 	b.Expect(b.ran()).To(Equal([]uint16{4}))
 }
 
-// What counts as late depends on the route's aim and on how long answers take.
-func TestLateIsWhatMissesTheRoutesAim(t *testing.T) {
+// Whether a request is late depends on the route's aim and on the mean response time.
+func TestRequestIsLateIfItMissesTheRoutesAim(t *testing.T) {
 	patient := inner.Terms{Aim: 400 * time.Millisecond, Timeout: 4 * time.Second}
 	cases := []struct {
 		name string
 		wait time.Duration
 		want uint16
 	}{
-		{"in time yet, the first goes first", 150 * time.Millisecond, 2},
-		{"late, the one that can be in time goes first", 450 * time.Millisecond, 3},
+		{"still in time: the first request runs first", 150 * time.Millisecond, 2},
+		{"late: the request that can meet its aim runs first", 450 * time.Millisecond, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -184,8 +186,8 @@
 	}
 }
 
-// A flow that was opened by a late copy is for a request that has waited already.
-func TestARequestIsAsOldAsItsOpeningPacket(t *testing.T) {
+// The request of a flow that was opened by a late retransmission has already waited.
+func TestRequestAgeIncludesAgeOfItsOpeningPacket(t *testing.T) {
 	b := filled(t, 2)
 	b.openLate(flow(2), 2)
 	b.openLate(flow(3), 0)
@@ -196,8 +198,8 @@
 	b.Expect(b.ran()).To(Equal([]uint16{3}))
 }
 
-// A request is kept for as long as its caller waits.
-func TestARequestIsKeptForItsTimeout(t *testing.T) {
+// A request waits until its caller's timeout, and is then forwarded.
+func TestRequestWaitsUntilItsTimeout(t *testing.T) {
 	b := filled(t, 3)
 	b.requestOn(2, 2, inner.Terms{Timeout: 4032 * time.Millisecond})
 	b.now += 4 * second
@@ -208,20 +210,20 @@
 	b.Expect(b.ran()).To(Equal([]uint16{2}))
 }
 
-// A flow that its balancer takes for a repetition runs before one that looks as old
-// and began earlier, though both are late.
-func TestRepetitionsHaveLessTimeLeft(t *testing.T) {
-	for name, want := range map[inner.Flags]uint16{0: 2, inner.FlagRepeated: 4} {
+// A request that its balancer flagged as a possible retry runs before one that looks
+// equally old and arrived earlier, although both are late.
+func TestPossibleRetryRunsBeforeAFirstTryOfTheSameAge(t *testing.T) {
+	for flags, want := range map[inner.Flags]uint16{0: 2, inner.FlagRepeated: 4} {
 		b := filled(t, 2)
 		terms := inner.Terms{Aim: 152 * time.Millisecond, Timeout: 2496 * time.Millisecond}
-		b.openLate(flow(2), 2) // its caller's attempt began 0.6 s before
+		b.openLate(flow(2), 2) // the caller's attempt began 0.6 s ago
 		b.requestOn(2, 2, terms)
 		b.openLate(flow(3), 0)
 		b.requestOn(3, 2, terms)
 		b.now += 30 * time.Millisecond
 		b.answer(flow(0))
-		b.Expect(b.ran()).To(Equal([]uint16{3})) // it can be in its aim
-		b.openFlagged(flow(4), 0, name)          // it may have asked first 1.5 s ago
+		b.Expect(b.ran()).To(Equal([]uint16{3})) // it can meet its aim
+		b.openFlagged(flow(4), 0, flags)         // its caller may have made a first attempt 1.5 s ago
 		b.requestOn(4, 2, terms)
 		b.now += 550 * time.Millisecond
 		b.answer(flow(1))
@@ -229,9 +231,9 @@
 	}
 }
 
-// A rush comes before the first heartbeat: the upstream gets as many requests as the
-// store lists slots for it, and the others wait.
-func TestRequestsWaitBeforeTheFirstHeartbeat(t *testing.T) {
+// A burst of requests may arrive before the first heartbeat. The upstream then gets as many
+// requests as the store lists slots for it, and the others wait.
+func TestListedSlotsApplyBeforeTheFirstHeartbeat(t *testing.T) {
 	cases := []struct {
 		name string
 		off  []string
@@ -249,7 +251,7 @@
 				b.request(n, 2, ordinary)
 			}
 			b.Expect(b.gate.Counts(b.now).Waiting).To(Equal(c.want))
-			b.begin("i-1") // the upstream's own word goes before
+			b.begin("i-1") // the number of slots that the upstream reports takes precedence
 			b.Expect(b.gate.Counts(b.now).Waiting).To(Equal(c.want))
 		})
 	}
--- a/internal/packetface/gate/restart_test.go
+++ b/internal/packetface/gate/restart_test.go
@@ -10,47 +10,47 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// An upstream may begin again under the id that it had; its start tells the lives apart.
+// An upstream may restart under the same id; its start time distinguishes the instances.
 
 const born = 1_764_000_000_000
 
-func (b *bench) beatBorn(at int64, sequence uint64) {
+func (b *bench) heartbeatBorn(at int64, sequence uint64) {
 	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: "i-1", Born: at}, Slots: slots, Sequence: sequence})
 	b.Expect(ok).To(BeTrue())
 	b.last = r
 }
 
-// running returns a bench whose upstream has reported 40 times and holds flow 1.
+// running returns a bench whose upstream has sent 41 heartbeats and holds flow 1.
 func running(t *testing.T) *bench {
 	b := newBench(t)
-	b.beatBorn(born, 1)
-	b.settle()
+	b.heartbeatBorn(born, 1)
+	b.setListing()
 	b.open(flow(1))
 	for sequence := range uint64(40) {
 		b.now += second
-		b.beatBorn(born, 2+sequence)
+		b.heartbeatBorn(born, 2+sequence)
 	}
 	return b
 }
 
-func TestARestartUnderTheSameIDBeginsAnew(t *testing.T) {
+func TestRestartUnderTheSameIDResetsFlows(t *testing.T) {
 	b := running(t)
 	b.now += 300 * time.Millisecond
-	b.beatBorn(born+45_000, 1)
-	b.Expect(resets(b)).To(ConsistOf(flow(1)), "it holds nothing of before")
-	b.Expect(b.verdict(flow(2), 0)).To(Equal(inner.VerdictNone), "the agent has seen all of this life")
+	b.heartbeatBorn(born+45_000, 1)
+	b.Expect(resets(b)).To(ConsistOf(flow(1)), "the new instance does not hold the flow")
+	b.Expect(b.verdict(flow(2), 0)).To(Equal(inner.VerdictNone), "the agent has seen every packet of this instance")
 	b.now += second
-	b.beatBorn(born+45_000, 2)
-	b.Expect(b.gate.Counts(b.now).HeartbeatAge).To(BeZero(), "its sequence begins anew")
+	b.heartbeatBorn(born+45_000, 2)
+	b.Expect(b.gate.Counts(b.now).HeartbeatAge).To(BeZero(), "sequence numbers restart with the instance")
 	b.open(flow(3))
 }
 
-// Without its first heartbeat the upstream has to tell: its caller's next packet comes
-// back, and the flow is held by none.
-func TestARestartWhoseFirstHeartbeatWasLost(t *testing.T) {
+// If the first heartbeat of the new instance was lost, the agent probes the upstream: it
+// returns the caller's next packet, which shows that it does not hold the flow.
+func TestRestartIsProbedIfItsFirstHeartbeatWasLost(t *testing.T) {
 	b := running(t)
 	b.now += 300 * time.Millisecond
-	b.beatBorn(born+45_000, 2)
+	b.heartbeatBorn(born+45_000, 2)
 	b.Expect(b.upstreamID()).To(Equal("i-1@1764000045000"))
 	b.Expect(resets(b)).To(BeEmpty())
 	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
@@ -60,22 +60,22 @@
 	b.open(flow(3))
 }
 
-func TestAHeartbeatOfAnEarlierStartIsLate(t *testing.T) {
+func TestHeartbeatOfAnEarlierStartIsIgnored(t *testing.T) {
 	b := running(t)
-	b.beatBorn(born+45_000, 1)
+	b.heartbeatBorn(born+45_000, 1)
 	b.open(flow(2))
 	for sequence := range uint64(3) {
 		b.now += second
-		b.beatBorn(born+45_000, 2+sequence)
-		b.beatBorn(born, 100+sequence)
+		b.heartbeatBorn(born+45_000, 2+sequence)
+		b.heartbeatBorn(born, 100+sequence)
 		b.Expect(resets(b)).To(BeEmpty())
 		b.Expect(b.upstreamID()).To(Equal("i-1@1764000045000"))
 	}
 }
 
-func TestALeaveOfAnEarlierStartIsLate(t *testing.T) {
+func TestLeaveOfAnEarlierStartIsIgnored(t *testing.T) {
 	b := running(t)
-	b.beatBorn(born+45_000, 1)
+	b.heartbeatBorn(born+45_000, 1)
 	b.open(flow(2))
 	b.gate.Left(b.now, platform.Life{ID: "i-1", Born: born})
 	b.now += second
@@ -86,32 +86,33 @@
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateDown))
 }
 
-// The host's clock is set back between two starts: the life of now looks earlier. It is
-// believed in once it has reported twice and nothing else has; nothing is reset on that.
-func TestAClockThatIsSetBackKeepsNoLifeOut(t *testing.T) {
+// If the host's clock is set back between two starts, the new instance looks like an
+// earlier one. It is adopted once it has sent two heartbeats and the other instance none;
+// no flow is reset because of that.
+func TestInstanceIsAdoptedAfterTheClockWasSetBack(t *testing.T) {
 	b := running(t)
 	b.now += second
-	b.beatBorn(born-10_000, 1)
+	b.heartbeatBorn(born-10_000, 1)
 	b.Expect(b.upstreamID()).To(Equal("i-1@1764000000000"))
 	b.now += second
-	b.beatBorn(born-10_000, 2)
+	b.heartbeatBorn(born-10_000, 2)
 	b.Expect(b.upstreamID()).To(Equal("i-1@1763999990000"))
 	b.Expect(resets(b)).To(BeEmpty())
 	b.open(flow(2))
-	b.beatBorn(born, 60) // the life before, late
-	b.Expect(b.upstreamID()).To(Equal("i-1@1763999990000"), "a later start is no proof where that life has ended")
+	b.heartbeatBorn(born, 60) // a delayed heartbeat of the previous instance
+	b.Expect(b.upstreamID()).To(Equal("i-1@1763999990000"), "a later start time does not suffice for an instance that has ended")
 	b.Expect(resets(b)).To(BeEmpty())
 }
 
-// An upstream of before does not tell its start.
-func TestAHeartbeatWithoutAStartGoesByItsSequence(t *testing.T) {
+// Upstreams of an older version do not report their start time.
+func TestHeartbeatWithoutStartTimeIsOrderedBySequence(t *testing.T) {
 	b := newBench(t)
-	b.beatBorn(0, 1)
+	b.heartbeatBorn(0, 1)
 	b.open(flow(1))
 	b.now += second
-	b.beatBorn(born, 2)
+	b.heartbeatBorn(born, 2)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.now += second
-	b.beatBorn(0, 3)
+	b.heartbeatBorn(0, 3)
 	b.Expect(b.gate.Counts(b.now).HeartbeatAge).To(BeZero())
 }
--- a/internal/packetface/gate/start_test.go
+++ b/internal/packetface/gate/start_test.go
@@ -10,11 +10,12 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Tests of what an agent knows right after its start.
+// Tests of an agent's state right after its start.
 
-// After a common loss of power a search waits for every agent. One that has seen the
-// store since its start need not wait until balancers have heard of it.
-func TestAnAgentThatHasSeenTheStoreIsSure(t *testing.T) {
+// After a common power loss a search for a flow waits for every agent. An agent that has
+// read the store since its start can give a definite answer; it need not wait until
+// balancers have read its new entry.
+func TestAgentThatHasReadTheStoreGivesDefiniteVerdicts(t *testing.T) {
 	b := newBench(t)
 	b.heartbeat("i-1", false)
 	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnsure))
@@ -23,12 +24,12 @@
 	answers, listing, err := inner.ParseAnswers(nil, b.last.Actions[0].Bytes)
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(answers[0].Verdict).To(Equal(inner.VerdictNone))
-	b.Expect(listing).To(BeEquivalentTo(30), "a balancer with an older list may lack the owner")
+	b.Expect(listing).To(BeEquivalentTo(30), "a balancer detects by the position that its list may lack the flow's agent")
 }
 
-// What a process has seen itself is in all that it tells, and so is what it hears of
-// later.
-func TestTheNewestRevisionIsTold(t *testing.T) {
+// The status contains the newest store position, whether the process read it itself or a
+// balancer reported it later.
+func TestStatusContainsTheNewestStorePosition(t *testing.T) {
 	b := newBench(t)
 	b.gate.SetSeen(b.now, 30)
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 20, Version: 4}}))
@@ -37,23 +38,24 @@
 	b.Expect(b.gate.Status(b.now).Known.Listing).To(BeEquivalentTo(40))
 }
 
-// An upstream that was draining when the power went never reports again. Its agent
-// ends the entry when it leaves; one that is told to stop before it can know waits.
-func TestAnAgentThatStopsBesideASilentUpstreamLeaves(t *testing.T) {
+// An upstream that was draining at a power loss never reports again. Its agent must remove
+// the entry when it stops; if it is stopped before it can tell whether the upstream has
+// ended, it waits.
+func TestStoppingAgentRemovesEntryOfAnEndedUpstream(t *testing.T) {
 	cases := []struct {
 		name    string
 		prepare func(*bench)
-		// ended and finished are wanted at the stop, later 4 s after it.
+		// ended and finished are expected at the stop, endedLater 4.2 s after it.
 		ended, finished, endedLater bool
 	}{
-		{"nothing was heard for five heartbeats", func(b *bench) { b.now += 6 * time.Second }, true, true, true},
-		{"the process is young", func(b *bench) { b.now += time.Second }, false, false, true},
-		{"it reported", func(b *bench) { b.heartbeat("i-1", false); b.now += 6 * time.Second }, false, true, false},
-		{"it sent a packet", func(b *bench) {
+		{"no heartbeat for 6 s", func(b *bench) { b.now += 6 * time.Second }, true, true, true},
+		{"the process has only just started", func(b *bench) { b.now += time.Second }, false, false, true},
+		{"the upstream sent a heartbeat", func(b *bench) { b.heartbeat("i-1", false); b.now += 6 * time.Second }, false, true, false},
+		{"the upstream sent a packet", func(b *bench) {
 			b.upstreamSends(fromUpstream(flow(1), 100, 2, platform.FlagACK, 20))
 			b.now += 6 * time.Second
 		}, false, true, false},
-		{"it returned and reset what it got", func(b *bench) { // as the host of one that has ended does
+		{"packets were returned and reset", func(b *bench) { // as by the host of an upstream that has ended
 			for range 3 {
 				b.upstreamSends(fromUpstream(flow(1), 100, 2, platform.FlagRST|platform.FlagACK, 0))
 				b.upstreamSends(fromUpstream(flow(3), 100, 2, platform.FlagACK, 0))
@@ -85,9 +87,9 @@
 	}
 }
 
-// A heartbeat tells an agent that stops that its upstream lives: the entry stays for
-// the process that comes after it.
-func TestAnAgentThatStopsLeavesALivingUpstreamsEntry(t *testing.T) {
+// A heartbeat shows a stopping agent that its upstream is running: the entry stays for the
+// next agent process.
+func TestStoppingAgentKeepsEntryOfARunningUpstream(t *testing.T) {
 	b := newBench(t)
 	b.now += time.Second
 	b.gate.Stop(b.now)
@@ -98,9 +100,9 @@
 	b.Expect(b.gate.Registration().Ended).To(BeFalse())
 }
 
-// A balancer that knows the agent by another service has that from an entry which is old,
-// or which another writer wrote over the agent's: the agent looks.
-func TestAnAgentThatIsKnownByAnotherServiceLooksForItsEntry(t *testing.T) {
+// A balancer that polls the agent for another service has an outdated entry, or one that
+// another writer put in place of the agent's. The agent must check its entry.
+func TestPollForAnotherServiceReportsTheAgentAsUnlisted(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Service: inner.ServiceID(service)}))
--- a/internal/packetface/gate/unseen_test.go
+++ b/internal/packetface/gate/unseen_test.go
@@ -12,8 +12,8 @@
 
 const warmup = 2 * second
 
-// reports delivers a heartbeat of an upstream that began some time ago.
-func (b *bench) reports(sequence uint64, age time.Duration) {
+// heartbeatAtAge delivers a heartbeat of an upstream that started the given time ago.
+func (b *bench) heartbeatAtAge(sequence uint64, age time.Duration) {
 	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{
 		Life: platform.Life{ID: "i-1"}, Slots: slots, Sequence: sequence, ColdFor: max(0, warmup-age),
 	})
@@ -21,24 +21,25 @@
 	b.last = r
 }
 
-func (b *bench) hearWarmup() {
+func (b *bench) pollWithWarmup() {
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Service: inner.ServiceID(service), Known: inner.Known{Listing: 5}, Cold: inner.Cold{Warmup: warmup}}))
 }
 
-// After a common loss of power upstreams start a moment before their agents, and their
-// first reports find nobody. No process before this one has led a flow to them.
-func TestAnUpstreamThatBeganAMomentAgoHoldsNoOtherFlow(t *testing.T) {
+// After a common power loss upstreams start shortly before their agents, and their first
+// heartbeats get no answer. No earlier agent process has forwarded a flow to them, so flows
+// that the agent does not know are not held.
+func TestUpstreamThatHasJustStartedHoldsNoUnknownFlow(t *testing.T) {
 	for _, warmupFirst := range []bool{true, false} {
 		b := newBench(t)
 		b.gate.SetSeen(b.now, 5)
 		if warmupFirst {
-			b.hearWarmup()
+			b.pollWithWarmup()
 		}
-		b.reports(3, 90*time.Millisecond)
+		b.heartbeatAtAge(3, 90*time.Millisecond)
 		if !warmupFirst {
 			b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
-			b.hearWarmup()
-			b.Expect(b.toldStatus().State).To(Equal(inner.StateReady), "balancers ask again")
+			b.pollWithWarmup()
+			b.Expect(b.lastStatus().State).To(Equal(inner.StateReady), "balancers are notified and ask again")
 		}
 		b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictNone))
 		b.open(flow(2))
@@ -46,13 +47,14 @@
 	}
 }
 
-// Balancers with lists of different age tell different warm-ups, in turn: what the agent
-// knows already it does not announce again, to all balancers with each opening packet.
-func TestADifferentWarmUpIsNoNews(t *testing.T) {
+// Balancers with lists of different age report different warm-ups in turn. If the agent
+// announced each difference, it would send a status to all balancers for each opening
+// packet.
+func TestDifferentWarmUpIsNotAnnouncedAgain(t *testing.T) {
 	b := newBench(t)
 	b.gate.SetSeen(b.now, 5)
-	b.hearWarmup()
-	b.reports(3, 90*time.Millisecond)
+	b.pollWithWarmup()
+	b.heartbeatAtAge(3, 90*time.Millisecond)
 	for n := range 6 {
 		cold := inner.Cold{Warmup: warmup + time.Duration(n%2)*50*time.Millisecond}
 		b.opening(flow(1+n), inner.Open{Cold: cold})
@@ -60,26 +62,27 @@
 	}
 }
 
-// One that has lived for longer may have been heard by the process before.
-func TestAnUpstreamThatHasLivedForLongerTellsItself(t *testing.T) {
+// If the upstream may have been running for longer, an earlier agent process may have
+// received its heartbeats and forwarded flows to it; only the upstream itself knows them.
+func TestUpstreamThatMayHaveRunForLongerIsProbed(t *testing.T) {
 	cases := []struct {
 		name    string
 		prepare func(*bench)
 	}{
-		{"half of a heartbeat's time", func(b *bench) { b.hearWarmup(); b.reports(2, 500*time.Millisecond) }},
-		{"it is warm", func(b *bench) { b.hearWarmup(); b.reports(40, time.Minute) }},
-		{"the warm-up is not known", func(b *bench) { b.reports(2, 10*time.Millisecond) }},
-		{"the warm-up is another service's", func(b *bench) {
+		{"started half a heartbeat interval ago", func(b *bench) { b.pollWithWarmup(); b.heartbeatAtAge(2, 500*time.Millisecond) }},
+		{"the upstream is warm", func(b *bench) { b.pollWithWarmup(); b.heartbeatAtAge(40, time.Minute) }},
+		{"the warm-up is not known", func(b *bench) { b.heartbeatAtAge(2, 10*time.Millisecond) }},
+		{"the warm-up is that of another service", func(b *bench) {
 			b.balancerSends(inner.AppendPoll(nil, inner.Poll{Service: inner.ServiceID("other"), Cold: inner.Cold{Warmup: warmup}}))
-			b.reports(2, 10*time.Millisecond)
+			b.heartbeatAtAge(2, 10*time.Millisecond)
 		}},
-		{"it was held for gone", func(b *bench) {
-			b.reports(2, 10*time.Millisecond)
+		{"the upstream had counted as down", func(b *bench) {
+			b.heartbeatAtAge(2, 10*time.Millisecond)
 			b.gate.Refused(b.now)
 			b.now += 100 * time.Millisecond
 			b.gate.Refused(b.now)
-			b.reports(3, 110*time.Millisecond)
-			b.hearWarmup()
+			b.heartbeatAtAge(3, 110*time.Millisecond)
+			b.pollWithWarmup()
 		}},
 	}
 	for _, c := range cases {
@@ -92,34 +95,34 @@
 	}
 }
 
-// Not every configuration tells the warm-up; an upstream shows it as it starts, and the
-// entry in the store keeps it.
-func TestTheWarmUpIsLearnedFromAStart(t *testing.T) {
+// Not every configuration contains the warm-up. It is taken from an upstream's first
+// heartbeat and stored in the entry.
+func TestWarmUpIsTakenFromTheFirstHeartbeat(t *testing.T) {
 	b := newBench(t)
-	b.reports(2, 10*time.Millisecond)
-	b.Expect(b.gate.Registration().Warmup).To(BeZero(), "an earlier report may have been longer ago")
+	b.heartbeatAtAge(2, 10*time.Millisecond)
+	b.Expect(b.gate.Registration().Warmup).To(BeZero(), "an earlier heartbeat may have been lost")
 	b = newBench(t)
-	b.reports(1, 12*time.Millisecond)
+	b.heartbeatAtAge(1, 12*time.Millisecond)
 	b.Expect(b.gate.Registration().Warmup).To(Equal(warmup))
 	b.now += second
-	b.reports(2, second)
+	b.heartbeatAtAge(2, second)
 	b.Expect(b.gate.Registration().Warmup).To(Equal(warmup))
 }
 
-// An upstream began 0.9 s before the process, which has led flows to it, ended; the host's
-// clock was set back by 0.8 s meanwhile. By that clock alone the upstream would have begun
-// a moment ago, and its flows would be taken for dead.
-func TestAHostsOwnClockProvesNothing(t *testing.T) {
+// The upstream started 0.9 s ago and an earlier agent process has forwarded flows to it,
+// but the host's clock has since been set back by 0.8 s. By that clock alone the upstream
+// would count as just started, and its flows as dead.
+func TestHostClockAloneDoesNotProveARecentStart(t *testing.T) {
 	b := newBench(t)
 	b.gate.SetSeen(b.now, 5)
-	const lives, byClock = 900 * time.Millisecond, 100 * time.Millisecond
+	const actualAge, ageByClock = 900 * time.Millisecond, 100 * time.Millisecond
 	_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{
-		Life: platform.Life{ID: "i-1"}, Slots: slots, Sequence: 2, ColdFor: warmup - lives, Age: byClock,
+		Life: platform.Life{ID: "i-1"}, Slots: slots, Sequence: 2, ColdFor: warmup - actualAge, Age: ageByClock,
 	})
 	b.Expect(ok).To(BeTrue())
 	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
-	b.Expect(b.gate.Status(b.now).Warmup).To(Equal(warmup-lives+byClock), "what it tells")
-	b.hearWarmup() // what most others have told
+	b.Expect(b.gate.Status(b.now).Warmup).To(Equal(warmup-actualAge+ageByClock), "the estimate by the host's clock is only reported to balancers")
+	b.pollWithWarmup() // the warm-up that most hosts have reported
 	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
 	b.Expect(b.gate.Status(b.now).Whole).To(BeFalse())
 }
--- a/internal/packetface/gate/verdict_test.go
+++ b/internal/packetface/gate/verdict_test.go
@@ -14,7 +14,7 @@
 
 const withoutOutcomes = string(policy.Outcomes)
 
-// callerAt returns a flow of another caller.
+// callerAt returns flow n from a caller address of its own.
 func callerAt(n int) platform.Flow {
 	id := flow(n)
 	id.Caller[3] = byte(n)
@@ -23,44 +23,45 @@
 
 func (b *bench) state() inner.State { return b.gate.Status(b.now).State }
 
-// resetOf opens a flow, whose request the upstream resets.
+// resetOf opens a flow and sends a request on it, which the upstream resets.
 func (b *bench) resetOf(id platform.Flow) {
 	b.open(id)
 	b.send(id, 2, platform.FlagACK, 30)
 	b.upstreamSends(fromUpstream(id, 101, 32, platform.FlagRST|platform.FlagACK, 0))
 }
 
-// returnedBy lets the upstream return an opening packet.
+// returnedBy forwards an opening packet, which the upstream returns.
 func (b *bench) returnedBy(id platform.Flow) {
 	b.opening(id, inner.Open{})
 	b.upstreamSends(fromCaller(id, 1, 0, platform.FlagSYN|platform.FlagBounced, 0))
 }
 
-// An upstream that resets what it accepts is done with each request in a millisecond
-// and looks idle. Its agent lets no more flows in, and says so.
-func TestAFailingUpstreamGetsNoFlows(t *testing.T) {
+// An upstream that resets the requests it accepts completes each within a millisecond, so
+// it looks idle and attracts more flows. The agent must stop admitting flows and report the
+// state.
+func TestFailingUpstreamGetsNoFlows(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
-	b.opening(flow(9), inner.Open{}) // a balancer that is told of changes
+	b.opening(flow(9), inner.Open{}) // registers the balancer that receives changes of the status
 	b.resetOf(callerAt(1))
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 	b.resetOf(callerAt(2))
 	b.Expect(b.state()).To(Equal(inner.StateFailing))
 	b.Expect(b.last.Notes).To(ContainElement(HaveField("Kind", gate.KindVerdict)))
 	b.Expect(b.last.Notes).To(ContainElement(HaveField("Reason", "shut-reset")))
-	told := false
+	reported := false
 	for _, a := range b.last.Actions {
 		s, err := inner.ParseStatus(a.Bytes)
-		told = told || (err == nil && s.State == inner.StateFailing)
+		reported = reported || (err == nil && s.State == inner.StateFailing)
 	}
-	b.Expect(told).To(BeTrue())
+	b.Expect(reported).To(BeTrue())
 	b.opening(callerAt(3), inner.Open{})
 	b.Expect(b.returned()).To(Equal(inner.ReasonFailing))
-	b.opening(callerAt(4), inner.Open{Flags: inner.FlagMust}) // nobody else is left
+	b.opening(callerAt(4), inner.Open{Flags: inner.FlagMust}) // no other upstream is left
 	b.Expect(b.toUpstream()).To(Equal(1))
 }
 
-func TestNoVerdictWithoutThePolicy(t *testing.T) {
+func TestNoVerdictIfThePolicyIsDisabled(t *testing.T) {
 	b := newBenchWithout(t, []string{withoutOutcomes})
 	b.begin("i-1")
 	for n := range 5 {
@@ -69,8 +70,9 @@
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 }
 
-// After a while one flow at a time shows whether the upstream works again.
-func TestAFailedUpstreamIsTriedWithOneFlowAtATime(t *testing.T) {
+// After an exclusion, flows are admitted one at a time to test whether the upstream works
+// again.
+func TestUpstreamOnProbationGetsOneFlowAtATime(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.resetOf(callerAt(1))
@@ -91,30 +93,33 @@
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 }
 
-// An agent that starts beside an upstream that no longer runs: opening packets come
-// back at once. The first is enough, and the state before it is not "ready".
-func TestAnAgentBesideNoUpstreamIsABlackHoleForOneFlow(t *testing.T) {
+// If the upstream does not run when its agent starts, opening packets are returned at once.
+// A single one must suffice to shut the upstream out, and until then the state must not be
+// "ready".
+func TestUnprovenUpstreamIsShutOutAfterOneReturnedOpening(t *testing.T) {
 	b := newBench(t)
 	b.Expect(b.state()).To(Equal(inner.StateUnproven))
 	b.returnedBy(callerAt(1))
 	b.Expect(b.returned()).To(Equal(inner.ReasonBounced))
 	b.Expect(b.state()).To(Equal(inner.StateFailing))
-	b.begin("i-1") // it has started after all
+	b.begin("i-1") // the upstream has started
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 }
 
-// An agent that restarts beside a living upstream is ready with its first packet.
-func TestAnyPacketOfTheUpstreamProvesIt(t *testing.T) {
+// An agent that restarts while its upstream runs reports it as ready with the upstream's
+// first packet.
+func TestUpstreamIsReadyAfterItsFirstReply(t *testing.T) {
 	b := newBench(t)
 	b.opening(flow(1), inner.Open{})
 	b.upstreamSends(fromUpstream(flow(1), 100, 2, platform.FlagSYN|platform.FlagACK, 0))
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 }
 
-// A dark upstream swallows opening packets. A living one answers each within a
-// millisecond, so some tens of them tell; what it swallowed goes back and is answered
-// by others before the callers send copies.
-func TestSwallowedOpeningsGoBack(t *testing.T) {
+// An upstream that hangs does not answer opening packets, while a working one answers each
+// within a millisecond; so some tens of milliseconds without any answer suffice to detect
+// it. The unanswered packets are returned, so that other upstreams answer them before the
+// callers retransmit.
+func TestUnansweredOpeningsAreReturned(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	for n := range 3 {
@@ -137,10 +142,11 @@
 	b.Expect(returned).To(Equal(3))
 }
 
-// An upstream that wakes answers what it had swallowed, while the callers have gone on
-// with others: it does not hold their flows.
-func TestALateAnswerToASwallowedOpeningHoldsNoFlow(t *testing.T) {
-	for _, started := range []bool{false, true} { // the agent may have started meanwhile
+// An upstream that recovers answers opening packets that it had left unanswered, although
+// their callers are using other upstreams by then. The agent must not report that it holds
+// those flows.
+func TestLateAnswerToAnOpeningDoesNotHoldTheFlow(t *testing.T) {
+	for _, started := range []bool{false, true} { // whether the agent has started in the meantime
 		b := newBench(t)
 		b.begin("i-1")
 		if !started {
@@ -159,8 +165,9 @@
 	}
 }
 
-// Answers that came while the process was paused have not been read yet.
-func TestAPausedAgentHoldsNoUpstreamForDark(t *testing.T) {
+// Answers that arrived while the process was paused have not been read yet, so their
+// absence must not shut the upstream out.
+func TestPauseOfTheAgentDoesNotShutTheUpstreamOut(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	b.last = b.gate.Tick(b.now)
@@ -172,16 +179,17 @@
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 }
 
-// An agent that restarts beside a living upstream hears of it by the flows that are
-// open there.
-func TestAPacketOfAnOldFlowProvesTheUpstream(t *testing.T) {
+// An agent that restarts while its upstream runs recognizes it by the packets of open
+// flows.
+func TestUpstreamIsReadyAfterAPacketOfAnOldFlow(t *testing.T) {
 	b := newBench(t)
 	b.upstreamSends(fromUpstream(flow(1), 500, 60, platform.FlagACK, 20))
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 }
 
-// An upstream does not answer an opening packet with a wrong sum.
-func TestOneCallersUnansweredOpeningsShutNobodyOut(t *testing.T) {
+// An upstream does not answer opening packets with a wrong checksum, so unanswered ones
+// from a single caller must not shut it out.
+func TestUnansweredOpeningsOfOneCallerDoNotShutTheUpstreamOut(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	for n := range 9 {
@@ -192,8 +200,8 @@
 	b.Expect(b.state()).To(Equal(inner.StateReady))
 }
 
-// One caller, whatever it sends, does not make an upstream look bad.
-func TestOneCallerShutsNobodyOut(t *testing.T) {
+// Failures of requests of a single caller must not shut an upstream out.
+func TestResetsOfOneCallerDoNotShutTheUpstreamOut(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
 	for n := range 20 {
