--- a/internal/packetface/gate/life.go
+++ b/internal/packetface/gate/life.go
@@ -157,7 +157,7 @@
 		g.upstream.fullyObserved = seenAll || g.startedUnobserved()
 	}
 	g.recordWarmup(beat)
-	g.judge.Begin(now)
+	g.judge.BeginInstance(now)
 	g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("ready %s heartbeat %d", beat.Life, beat.Sequence)})
 	g.announce(now)
 }
--- a/internal/packetface/gate/reply.go
+++ b/internal/packetface/gate/reply.go
@@ -57,7 +57,7 @@
 	}
 	f.lastPacket = now
 	g.upstream.sentPacket = g.upstream.sentPacket || provesAlive(p)
-	g.judge.Heard(now)
+	g.judge.NoteAlive(now)
 	if f.probing {
 		f.probing = false
 		g.setState(f, flowOpen)
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -48,7 +48,7 @@
 	if u.lastHeartbeat != 0 && now-u.lastHeartbeat >= g.settings.HeartbeatEvery/confirmDivisor {
 		u.confirmed = true
 	}
-	g.judge.Heard(now)
+	g.judge.NoteAlive(now)
 	revived, resumed := u.down && !u.left, u.silent
 	u.lastHeartbeat, u.sequence, u.slots, u.down, u.silent = now, beat.Sequence, beat.Slots, false, false
 	u.coldEnd = now + beat.ColdFor
--- a/internal/packetface/gate/verdict.go
+++ b/internal/packetface/gate/verdict.go
@@ -111,7 +111,7 @@
 // retransmit.
 func (g *Gate) returnUnansweredOpenings(now time.Duration) {
 	g.unansweredOpenings = unansweredOpenings{}
-	change, changed := g.judge.SwallowedOpenings(now)
+	change, changed := g.judge.UnansweredOpenings(now)
 	g.applyVerdictChange(now, change, changed)
 	for id, f := range g.flows {
 		if f.state != flowOpening || f.answered || f.opening == nil {
--- a/internal/packetface/outcome/outcome.go
+++ b/internal/packetface/outcome/outcome.go
@@ -1,17 +1,17 @@
-// Package outcome judges an upstream by what became of the flows and requests that it
-// got. It is pure: outcomes and times come in, a verdict goes out.
+// Package outcome judges an upstream by the outcomes of the flows and requests that were
+// sent to it. It does no I/O: outcomes and times are passed in, a verdict is returned.
 //
-// The load that it answers is a black hole: an upstream that returns opening packets,
-// resets the requests that it accepts, or answers at once with a failure is done with
-// each in a millisecond, looks idle and draws the flows of all balancers, while
-// others have slots free. One that swallows opening packets takes them for as long as
-// its heartbeats are not missed. What counts is sizes, times and flags of packets;
-// nobody reads what callers and upstreams say.
+// It guards against black holes. An upstream that returns opening packets, resets the
+// requests that it accepts, or answers at once with a failure completes each within a
+// millisecond. It looks idle and attracts the flows of all balancers, while others have
+// free slots. An upstream that does not answer opening packets at all attracts them until
+// its heartbeats are missed. Outcomes are derived from the sizes, times and flags of
+// packets only; the contents of requests and answers are not read.
 //
-// Two failures shut an upstream out for a while. Then it is tried with one flow at a
-// time, and takes flows again after some successes; each time that it fails again it
-// is shut out for twice as long. Failures that a caller can bring about count only
-// from different callers, so that none can make an upstream look bad by itself.
+// Two failures shut an upstream out for a while. It is then on probation: it gets one flow
+// at a time, and gets flows as usual after some successes. Each time that it fails again it
+// is shut out for twice as long. Failures that a caller can cause count only if they come
+// from different callers, so that no single caller can have an upstream shut out.
 package outcome
 
 import (
@@ -21,19 +21,19 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Verdict says what an upstream is to get.
+// Verdict determines which flows an upstream gets.
 type Verdict uint8
 
-// Verdicts.
+// The verdicts.
 const (
-	// Unproven: nothing has been heard of it since the process started. It gets
-	// flows, though others do rather.
+	// Unproven: nothing has been received from the upstream since the process started. It
+	// gets flows, but others are preferred.
 	Unproven Verdict = iota
-	// Takes: flows as its load allows.
+	// Takes: the upstream gets flows as its load allows.
 	Takes
-	// Probation: one flow at a time, to see whether it works again.
+	// Probation: the upstream gets one flow at a time, to test whether it works again.
 	Probation
-	// Shut: none, if there is any other.
+	// Shut: the upstream gets no flows as long as there is any other.
 	Shut
 )
 
@@ -50,106 +50,110 @@
 	return "shut"
 }
 
-// Failure names what an upstream did wrong.
+// Failure is a kind of failure of an upstream.
 type Failure string
 
-// Failures.
+// The failures.
 const (
-	// Returned: it gave an opening packet back.
+	// Returned: the upstream returned an opening packet.
 	Returned Failure = "returned"
-	// Silent: it answered no opening packet of several.
+	// Silent: the upstream answered none of several opening packets.
 	Silent Failure = "silent"
-	// Reset: it reset a flow whose request it had not answered.
+	// Reset: the upstream reset a flow with an unanswered request.
 	Reset Failure = "reset"
-	// Fast: it answered in a small part of its usual time.
+	// Fast: the upstream answered in a small fraction of its usual time.
 	Fast Failure = "fast"
 )
 
-// Limits and times of the judgement.
+// Limits and timeouts.
 const (
-	// window is the number of last outcomes that count, failures how many of them
-	// shut an upstream out: one may be a caller's fault or the end of a life.
+	// window is the number of most recent outcomes that count, failures the number of
+	// failures among them that shut an upstream out. A single failure may be a caller's
+	// fault or come from the end of an instance of the upstream.
 	window   = 8
 	failures = 2
-	// shutLeast is the first time for which an upstream is shut out: some answers'
-	// time, so that a flaw that passes costs little. It doubles up to shutMost, after
-	// which a fleet that is alive again is tried within a few seconds.
-	shutLeast = 400 * time.Millisecond
-	shutMost  = 6400 * time.Millisecond
-	// successes in a row end the probation. An upstream that fails three requests in
-	// ten passes that once in four times.
-	successes = 4
-	// forgiveAfter is the time without being shut out after which the next one is
-	// as short as the first: longer than an upstream takes to go down and up by turns.
-	forgiveAfter = 20 * time.Second
-	// SilentOpenings is the number of different callers whose opening packets met no
-	// sign of the upstream, and SilentFor the time since the first of them, after which
-	// it counts as silent: one caller may send packets that no upstream answers. A living one answers within a
-	// millisecond; a host whose share of the processor is used up for the moment goes on
+	// minShut is the first duration for which an upstream is shut out: several response
+	// times, so that a transient fault costs little. It doubles each time up to maxShut,
+	// which is short enough for a fleet that has recovered to be tried again within a few
+	// seconds.
+	minShut = 400 * time.Millisecond
+	maxShut = 6400 * time.Millisecond
+	// probationSuccesses is the number of consecutive successes that end a probation. An
+	// upstream that fails three of ten requests passes it one time in four.
+	probationSuccesses = 4
+	// shutResetAfter is the time without an exclusion after which the next one is as short
+	// as the first: longer than one cycle of an upstream that keeps failing and recovering.
+	shutResetAfter = 20 * time.Second
+	// SilentOpenings is the number of different callers whose opening packets must be left
+	// without any packet from the upstream, and SilentFor the time since the first of them,
+	// for the upstream to count as silent. Several callers are required because one caller
+	// may send packets that no upstream answers. A working upstream answers within a
+	// millisecond; a host that has temporarily used up its share of the processor continues
 	// within a tenth of a second.
 	SilentOpenings = 3
 	SilentFor      = 80 * time.Millisecond
 )
 
-// Judge holds what is known of one upstream. The zero value knows nothing. It has one
-// owner at a time.
+// Judge derives the verdict on one upstream. The zero value has recorded no outcomes. A
+// Judge is not safe for concurrent use.
 type Judge struct {
 	verdict Verdict
-	// since is when the verdict began, until when it ends if it is Shut.
+	// since is when the verdict began, until is when it ends if it is Shut.
 	since, until time.Duration
-	// shut is how long the last exclusion lasted, 0 for none.
-	shut time.Duration
-	// passed counts successes in a row during the probation.
-	passed int
-	recent recent
-	// paces are those of the faces whose requests the upstream answers: requests of
-	// one service may take 1 ms on one face and 40 ms on another.
-	paces map[netip.AddrPort]*pace
-	cause Failure
+	// shutFor is the duration of the last exclusion, 0 if there was none.
+	shutFor time.Duration
+	// passed counts consecutive successes during the probation.
+	passed         int
+	recentOutcomes recentOutcomes
+	// byFace holds the usual response times for each face whose requests the upstream
+	// answers: requests of one service may take 1 ms on one face and 40 ms on another.
+	byFace map[netip.AddrPort]*responseTimes
+	cause  Failure
 }
 
-// Change tells that a verdict has changed, for the log.
+// Change describes a change of the verdict, for the log.
 type Change struct {
 	Verdict Verdict
-	// Cause is the last failure, For how long the upstream is shut out.
+	// Cause is the last failure, For is how long the upstream is shut out.
 	Cause Failure
 	For   time.Duration
 }
 
-// Verdict returns the verdict of now. It changes by time alone from Shut to
-// Probation.
+// Verdict returns the current verdict. Only the change from Shut to Probation is due to
+// elapsed time alone.
 func (j *Judge) Verdict(now time.Duration) Verdict {
 	if j.verdict == Shut && now >= j.until {
 		j.verdict, j.since, j.passed = Probation, j.until, 0
-		j.recent.clear()
+		j.recentOutcomes.clear()
 	}
 	return j.verdict
 }
 
-// Begin trusts a new life of the upstream, which is not to be judged by the one
-// before. How often that had failed is kept: an upstream that goes down and up by
-// turns begins a life each time.
-func (j *Judge) Begin(now time.Duration) {
+// BeginInstance resets the verdict to Takes for a new instance of the upstream, which is
+// not judged by the outcomes of the previous one. The duration of the last exclusion is
+// kept, because an upstream that keeps failing and restarting begins a new instance each
+// time.
+func (j *Judge) BeginInstance(now time.Duration) {
 	j.verdict, j.since, j.passed = Takes, now, 0
-	j.recent.clear()
+	j.recentOutcomes.clear()
 }
 
-// Accepted notes that the upstream accepted a flow.
+// Accepted records that the upstream accepted a flow.
 func (j *Judge) Accepted(now time.Duration) {
-	j.recent.returned = returned{}
-	j.Heard(now)
+	j.recentOutcomes.returnedOpening = returnedOpening{}
+	j.NoteAlive(now)
 }
 
-// Heard notes any sign of life. It proves that the upstream is there, not that it
-// works.
-func (j *Judge) Heard(now time.Duration) {
+// NoteAlive records a packet or heartbeat of the upstream. It proves that the upstream is
+// running, not that it works.
+func (j *Judge) NoteAlive(now time.Duration) {
 	if j.verdict == Unproven {
 		j.verdict, j.since = Takes, now
 	}
 }
 
-// Answered notes an answer on a flow, the time that it took, and when its request was
-// let in. It reports whether the verdict has changed.
+// Answered records an answer on a flow, its response time, and when its request was
+// admitted. It reports whether the verdict has changed.
 func (j *Judge) Answered(now, admitted, took time.Duration, flow platform.Flow) (Change, bool) {
 	if j.fast(flow.FaceAddr(), took) {
 		return j.failed(now, admitted, Fast, flow.Caller)
@@ -158,63 +162,62 @@
 	if admitted < j.since {
 		return Change{}, false
 	}
-	j.recent.add(false, flow.Caller)
+	j.recentOutcomes.add(false, flow.Caller)
 	if verdict != Probation {
 		return Change{}, false
 	}
-	if j.passed++; j.passed < successes {
+	if j.passed++; j.passed < probationSuccesses {
 		return Change{}, false
 	}
 	j.verdict, j.since = Takes, now
 	return Change{Verdict: Takes, Cause: j.cause}, true
 }
 
-// ResetBy notes that the upstream reset a flow whose request it had not answered.
+// ResetBy records that the upstream reset a flow with an unanswered request.
 func (j *Judge) ResetBy(now, admitted time.Duration, flow platform.Flow) (Change, bool) {
 	return j.failed(now, admitted, Reset, flow.Caller)
 }
 
-// ReturnedOpening notes that the upstream gave an opening packet back.
+// ReturnedOpening records that the upstream returned an opening packet.
 func (j *Judge) ReturnedOpening(now, admitted time.Duration, flow platform.Flow) (Change, bool) {
 	if j.Verdict(now) == Shut || admitted < j.since {
 		return Change{}, false
 	}
-	enough := j.recent.returned.by(flow.Caller)
+	enough := j.recentOutcomes.returnedOpening.addCaller(flow.Caller)
 	if j.verdict == Takes && !enough {
 		return Change{}, false
 	}
 	return j.shutOut(now, Returned), true
 }
 
-// SwallowedOpenings notes that the upstream gave no sign of life after several
-// opening packets.
-func (j *Judge) SwallowedOpenings(now time.Duration) (Change, bool) {
+// UnansweredOpenings records that the upstream sent nothing after several opening packets.
+func (j *Judge) UnansweredOpenings(now time.Duration) (Change, bool) {
 	if j.Verdict(now) == Shut {
 		return Change{}, false
 	}
 	return j.shutOut(now, Silent), true
 }
 
-// failed notes a failure that a caller may have brought about. Outcomes of flows that
-// were let in under an earlier verdict say nothing about this one.
+// failed records a failure that a caller may have caused. Outcomes of flows that were
+// admitted before the current verdict are ignored.
 func (j *Judge) failed(now, admitted time.Duration, what Failure, caller [4]byte) (Change, bool) {
 	if j.Verdict(now) == Shut || admitted < j.since {
 		return Change{}, false
 	}
-	j.recent.add(true, caller)
-	if j.verdict == Takes && j.recent.callers() < failures {
+	j.recentOutcomes.add(true, caller)
+	if j.verdict == Takes && j.recentOutcomes.failedCallers() < failures {
 		return Change{}, false
 	}
 	return j.shutOut(now, what), true
 }
 
 func (j *Judge) shutOut(now time.Duration, what Failure) Change {
-	if j.shut > 0 && now-j.until < forgiveAfter {
-		j.shut = min(2*j.shut, shutMost)
+	if j.shutFor > 0 && now-j.until < shutResetAfter {
+		j.shutFor = min(2*j.shutFor, maxShut)
 	} else {
-		j.shut = shutLeast
+		j.shutFor = minShut
 	}
-	j.verdict, j.since, j.until, j.cause = Shut, now, now+j.shut, what
-	j.recent.clear()
-	return Change{Verdict: Shut, Cause: what, For: j.shut}
+	j.verdict, j.since, j.until, j.cause = Shut, now, now+j.shutFor, what
+	j.recentOutcomes.clear()
+	return Change{Verdict: Shut, Cause: what, For: j.shutFor}
 }
--- a/internal/packetface/outcome/outcome_test.go
+++ b/internal/packetface/outcome/outcome_test.go
@@ -14,12 +14,12 @@
 
 const ms = time.Millisecond
 
-// caller returns a flow of one of many callers at one face.
+// caller returns a flow of the n-th caller to a fixed face.
 func caller(n int) platform.Flow {
 	return platform.Flow{Caller: [4]byte{100, 64, byte(n >> 8), byte(n)}, Face: [4]byte{198, 18, 0, 1}, FacePort: 443}
 }
 
-// upstream drives a Judge with outcomes in steps of 10 ms.
+// upstream records outcomes in a Judge, in steps of 10 ms.
 type upstream struct {
 	*WithT
 	judge outcome.Judge
@@ -28,11 +28,11 @@
 
 func newUpstream(t *testing.T) *upstream {
 	u := &upstream{WithT: NewWithT(t), now: time.Second}
-	u.judge.Begin(u.now)
+	u.judge.BeginInstance(u.now)
 	return u
 }
 
-// answer notes an answer of a flow that was let in just before.
+// answer records an answer to a request that was admitted just before.
 func (u *upstream) answer(took time.Duration, flow platform.Flow) {
 	u.now += 10 * ms
 	u.judge.Answered(u.now, u.now, took, flow)
@@ -45,8 +45,8 @@
 
 func (u *upstream) verdict() outcome.Verdict { return u.judge.Verdict(u.now) }
 
-// learn lets the upstream answer as usual.
-func (u *upstream) learn() {
+// answerAsUsual records 100 answers with the usual response time.
+func (u *upstream) answerAsUsual() {
 	for n := range 100 {
 		u.answer(30*ms, caller(n))
 	}
@@ -58,17 +58,17 @@
 		do   func(u *upstream)
 		want outcome.Verdict
 	}{
-		{"answers as usual", func(u *upstream) { u.learn() }, outcome.Takes},
+		{"answers as usual", func(u *upstream) { u.answerAsUsual() }, outcome.Takes},
 		{"one reset", func(u *upstream) { u.reset(caller(1)) }, outcome.Takes},
 		{"resets of one caller", func(u *upstream) { u.reset(caller(1)); u.reset(caller(1)); u.reset(caller(1)) }, outcome.Takes},
 		{"resets of two callers", func(u *upstream) { u.reset(caller(1)); u.reset(caller(2)) }, outcome.Shut},
 		{"resets far apart", func(u *upstream) {
 			u.reset(caller(1))
-			u.learn()
+			u.answerAsUsual()
 			u.reset(caller(2))
 		}, outcome.Takes},
 		{"fast answers to two callers", func(u *upstream) {
-			u.learn()
+			u.answerAsUsual()
 			u.answer(ms, caller(1))
 			u.answer(30*ms, caller(3))
 			u.answer(ms, caller(2))
@@ -89,14 +89,14 @@
 			u.judge.Accepted(u.now)
 			u.judge.ReturnedOpening(u.now, u.now, caller(2))
 		}, outcome.Takes},
-		{"openings swallowed", func(u *upstream) { u.judge.SwallowedOpenings(u.now) }, outcome.Shut},
-		{"another life after that", func(u *upstream) {
-			u.judge.SwallowedOpenings(u.now)
-			u.judge.Begin(u.now)
+		{"openings unanswered", func(u *upstream) { u.judge.UnansweredOpenings(u.now) }, outcome.Shut},
+		{"another instance after unanswered openings", func(u *upstream) {
+			u.judge.UnansweredOpenings(u.now)
+			u.judge.BeginInstance(u.now)
 		}, outcome.Takes},
-		{"a heartbeat after that", func(u *upstream) {
-			u.judge.SwallowedOpenings(u.now)
-			u.judge.Heard(u.now)
+		{"a heartbeat after unanswered openings", func(u *upstream) {
+			u.judge.UnansweredOpenings(u.now)
+			u.judge.NoteAlive(u.now)
 		}, outcome.Shut},
 	}
 	for _, c := range cases {
@@ -108,9 +108,9 @@
 	}
 }
 
-// A process that has just started knows nothing of its upstream: the first opening
-// packet that comes back is enough.
-func TestAnUpstreamThatWasNeverHeardIsShutAtOnce(t *testing.T) {
+// A process that has just started has received nothing from its upstream: a single returned
+// opening packet must suffice to shut the upstream out.
+func TestUnprovenUpstreamIsShutAfterOneReturnedOpening(t *testing.T) {
 	g := NewWithT(t)
 	var j outcome.Judge
 	g.Expect(j.Verdict(ms)).To(Equal(outcome.Unproven))
@@ -118,13 +118,14 @@
 	g.Expect(changed).To(BeTrue())
 	g.Expect(change).To(Equal(outcome.Change{Verdict: outcome.Shut, Cause: outcome.Returned, For: 400 * ms}))
 	var other outcome.Judge
-	other.Heard(ms)
+	other.NoteAlive(ms)
 	g.Expect(other.Verdict(ms)).To(Equal(outcome.Takes))
 }
 
-// The way back: some successes after a while. Each time that it fails again the while
-// is twice as long.
-func TestTheWayBackGetsLonger(t *testing.T) {
+// A probation begins after the exclusion and ends after some successes. Each further
+// exclusion is twice as long, up to the maximum; after a time without one the first
+// duration applies again.
+func TestExclusionsDoubleUpToTheMaximum(t *testing.T) {
 	u := newUpstream(t)
 	for _, shut := range []time.Duration{400 * ms, 800 * ms, 1600 * ms, 3200 * ms, 6400 * ms, 6400 * ms} {
 		u.reset(caller(1))
@@ -147,20 +148,20 @@
 	u.Expect(u.verdict()).To(Equal(outcome.Probation))
 }
 
-func TestOneFailureEndsAProbation(t *testing.T) {
+func TestOneFailureDuringProbationShutsTheUpstreamOut(t *testing.T) {
 	u := newUpstream(t)
-	u.judge.SwallowedOpenings(u.now)
+	u.judge.UnansweredOpenings(u.now)
 	u.now += 400 * ms
 	u.Expect(u.verdict()).To(Equal(outcome.Probation))
 	u.reset(caller(1))
 	u.Expect(u.verdict()).To(Equal(outcome.Shut))
 }
 
-// What was let in under an earlier verdict says nothing about the present one.
-func TestLateOutcomesDoNotCount(t *testing.T) {
+// Outcomes of flows that were admitted before the current verdict must not affect it.
+func TestOutcomesOfEarlierVerdictsAreIgnored(t *testing.T) {
 	u := newUpstream(t)
 	before := u.now
-	u.judge.SwallowedOpenings(u.now)
+	u.judge.UnansweredOpenings(u.now)
 	u.now += 500 * ms
 	u.judge.ResetBy(u.now, before, caller(1))
 	u.Expect(u.verdict()).To(Equal(outcome.Probation))
@@ -170,12 +171,12 @@
 	u.Expect(u.verdict()).To(Equal(outcome.Probation))
 }
 
-// A service may stand behind several faces, with requests that take 1 ms on one and 30
-// ms on another. Seen on the own day kigali-1, where an upstream was shut out for
-// that in the middle of a burst.
-func TestEachFaceHasItsOwnPace(t *testing.T) {
+// A service may use several faces, with requests that take 1 ms on one and 30 ms on
+// another. With a common average an upstream was shut out for that in the middle of a
+// burst, as seen in the run kigali-1.
+func TestResponseTimesAreTrackedPerFace(t *testing.T) {
 	u := newUpstream(t)
-	u.learn()
+	u.answerAsUsual()
 	for n := range 300 {
 		quick := caller(n)
 		quick.FacePort = 80
@@ -185,22 +186,22 @@
 	}
 }
 
-// Callers can't make an agent learn of faces without bound.
-func TestFacesAreBounded(t *testing.T) {
+// Callers must not be able to make an agent track an unbounded number of faces.
+func TestNumberOfTrackedFacesIsBounded(t *testing.T) {
 	u := newUpstream(t)
 	for n := range 10_000 {
 		f := caller(n)
 		f.FacePort = uint16(n)
 		u.answer(30*ms, f)
 	}
-	u.learn() // one more, which is not learned
+	u.answerAsUsual() // one more face, which is not tracked
 	u.answer(ms, caller(1))
 	u.answer(ms, caller(2))
 	u.Expect(u.verdict()).To(Equal(outcome.Takes))
 }
 
-// Answers that are fast by the nature of the service say nothing.
-func TestAServiceMayHaveFastAnswers(t *testing.T) {
+// Fast answers that are frequent for a service must not count as failures.
+func TestFrequentFastAnswersAreNotFailures(t *testing.T) {
 	u := newUpstream(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	shut := 0
@@ -218,30 +219,32 @@
 	u.Expect(shut).To(BeZero())
 }
 
-// load is what became of the requests of an upstream, one every 20 ms while it takes
-// flows, in the order in which grown scale-1 showed them.
-type load struct {
+// failurePattern is a pattern of failures of an upstream that gets one request every 20 ms
+// while it accepts flows. The patterns are in the order in which the run scale-1, on a
+// larger scale, showed them.
+type failurePattern struct {
 	name string
-	// fails reports whether a request at the time fails, by a reset or a fast answer.
+	// fails reports whether a request at the given time fails; fast selects a fast answer
+	// instead of a reset.
 	fails func(at time.Duration, random *rand.Rand) bool
 	fast  bool
-	// lost bounds the requests that fail in ten seconds.
+	// lost is the upper bound of the requests that fail in ten seconds.
 	lost int
 }
 
-// TestFailingUpstreamsGetFewRequests replays upstreams that fail as those of the
-// users' deployments did. Without a verdict each would get, and fail, hundreds: it
-// looks idle.
+// TestFailingUpstreamsGetFewRequests simulates upstreams that fail as observed in the
+// users' deployments. Without a verdict each of them would get, and fail, hundreds of
+// requests, because it looks idle.
 func TestFailingUpstreamsGetFewRequests(t *testing.T) {
-	loads := []load{
-		{"down and up by turns", func(at time.Duration, _ *rand.Rand) bool { return at/(410*ms)%2 == 0 }, false, 14},
-		{"fails three in ten at once", func(_ time.Duration, random *rand.Rand) bool { return random.IntN(10) < 3 }, true, 16},
-		{"resets all", func(time.Duration, *rand.Rand) bool { return true }, false, 8},
+	loads := []failurePattern{
+		{"fails and recovers by turns", func(at time.Duration, _ *rand.Rand) bool { return at/(410*ms)%2 == 0 }, false, 14},
+		{"answers three in ten at once with a failure", func(_ time.Duration, random *rand.Rand) bool { return random.IntN(10) < 3 }, true, 16},
+		{"resets all requests", func(time.Duration, *rand.Rand) bool { return true }, false, 8},
 	}
 	for _, l := range loads {
 		t.Run(l.name, func(t *testing.T) {
 			u := newUpstream(t)
-			u.learn()
+			u.answerAsUsual()
 			random := rand.New(rand.NewPCG(3, 4))
 			lost, sent := 0, 0
 			began := u.now
@@ -268,9 +271,9 @@
 	}
 }
 
-// Whatever came before, an upstream that works gets work again within a bound: the
-// longest exclusion and the successes of a probation.
-func TestAWorkingUpstreamComesBack(t *testing.T) {
+// After any sequence of outcomes, an upstream that works must get flows as usual again
+// within a bound: the longest exclusion and the successes of a probation.
+func TestWorkingUpstreamGetsFlowsAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var j outcome.Judge
@@ -289,17 +292,17 @@
 			case 3:
 				j.ReturnedOpening(now, admitted, from)
 			case 4:
-				j.SwallowedOpenings(now)
+				j.UnansweredOpenings(now)
 			case 5:
-				j.Begin(now)
+				j.BeginInstance(now)
 			case 6:
-				j.Heard(now)
+				j.NoteAlive(now)
 			}
 		}
 		const bound = 6400 * ms
 		end := now + bound
 		for ; now <= end+4*20*ms; now += 20 * ms {
-			j.Heard(now)
+			j.NoteAlive(now)
 			if j.Verdict(now) != outcome.Shut {
 				j.Answered(now, now, 40*ms, caller(9))
 			}
@@ -308,7 +311,7 @@
 	})
 }
 
-// BenchmarkAnswered measures the judgement of an answer.
+// BenchmarkAnswered measures the recording of an answer.
 func BenchmarkAnswered(b *testing.B) {
 	var j outcome.Judge
 	b.ReportAllocs()
--- a/internal/packetface/outcome/pace.go
+++ b/internal/packetface/outcome/pace.go
@@ -6,67 +6,71 @@
 )
 
 const (
-	// fastPart is the part of the usual time below which an answer counts as fast:
-	// of work that is spread as widely as its mean, one in some thousands is.
-	fastPart = 6
-	// learned is the number of answers before which none counts as fast.
-	learned = 64
-	// fastShare is the share of fast answers, as one in so many, from which on they
-	// belong to the service and say nothing.
-	fastShare = 16
-	// remembered is the number of answers after which the older ones count half.
-	remembered = 4096
-	// usualWeight is the part of a new answer in the usual time, as one in so many.
-	usualWeight = 32
-	// maxFaces bounds the faces whose pace is learned; an answer on any other is never
-	// fast. A service stands behind a few.
+	// fastDivisor divides the usual response time into the time below which an answer
+	// counts as fast. For work that varies as widely as its mean, one answer in some
+	// thousands takes less.
+	fastDivisor = 6
+	// minSamples is the number of answers below which none counts as fast.
+	minSamples = 64
+	// fastLimitDivisor gives the share of fast answers, as one in that many, above which
+	// they are normal for the service and prove no failure.
+	fastLimitDivisor = 16
+	// maxSamples is the number of answers at which the counts are halved, so that older
+	// answers weigh less.
+	maxSamples = 4096
+	// averageDivisor gives the weight of a new answer in the moving average of the response
+	// time, as one in that many.
+	averageDivisor = 32
+	// maxFaces bounds the faces whose response times are tracked; an answer on any other
+	// face never counts as fast. A service uses only a few faces.
 	maxFaces = 64
 )
 
-// fast learns from an answer and reports whether it took too little time to be one.
+// fast records the response time of an answer and reports whether it is too short for a
+// regular answer.
 func (j *Judge) fast(face netip.AddrPort, took time.Duration) bool {
-	p := j.paces[face]
+	p := j.byFace[face]
 	if p == nil {
-		if len(j.paces) >= maxFaces {
+		if len(j.byFace) >= maxFaces {
 			return false
 		}
-		if j.paces == nil {
-			j.paces = make(map[netip.AddrPort]*pace)
+		if j.byFace == nil {
+			j.byFace = make(map[netip.AddrPort]*responseTimes)
 		}
-		p = &pace{}
-		j.paces[face] = p
+		p = &responseTimes{}
+		j.byFace[face] = p
 	}
 	fast := p.fast(took)
 	p.add(took)
 	return fast
 }
 
-// pace is how long the upstream's answers on one face usually take.
-type pace struct {
-	usual          time.Duration
-	answers, quick int
+// responseTimes tracks how long the upstream's answers on one face usually take.
+type responseTimes struct {
+	average            time.Duration
+	answers, fastCount int
 }
 
-// fast reports whether an answer took too little time to be one.
-func (p *pace) fast(took time.Duration) bool {
-	if p.answers < learned || p.quick*fastShare > p.answers {
+// fast reports whether a response time is too short for a regular answer.
+func (p *responseTimes) fast(took time.Duration) bool {
+	if p.answers < minSamples || p.fastCount*fastLimitDivisor > p.answers {
 		return false
 	}
-	return took < p.usual/fastPart
+	return took < p.average/fastDivisor
 }
 
-// add learns from an answer.
-func (p *pace) add(took time.Duration) {
-	if p.answers >= remembered {
-		p.answers, p.quick = p.answers/2, p.quick/2
+// add records the response time of an answer.
+func (p *responseTimes) add(took time.Duration) {
+	if p.answers >= maxSamples {
+		p.answers, p.fastCount = p.answers/2, p.fastCount/2
 	}
 	p.answers++
 	switch {
-	case took < p.usual/fastPart:
-		p.quick++
-	case p.usual == 0:
-		p.usual = took
+	case took < p.average/fastDivisor:
+		p.fastCount++
+	case p.average == 0:
+		p.average = took
 	default:
-		p.usual += (took - p.usual) / usualWeight
+		p.average += (took - p.average) / averageDivisor
 	}
 }
--- a/internal/packetface/outcome/recent.go
+++ b/internal/packetface/outcome/recent.go
@@ -1,50 +1,51 @@
 package outcome
 
-// recent holds the last outcomes.
-type recent struct {
-	failed   [window]bool
-	caller   [window][4]byte
-	next     int
-	returned returned
+// recentOutcomes is a ring buffer of the last outcomes.
+type recentOutcomes struct {
+	failed          [window]bool
+	caller          [window][4]byte
+	next            int
+	returnedOpening returnedOpening
 }
 
-// returned holds the caller of an opening packet that was given back since one was
-// accepted.
-type returned struct {
+// returnedOpening holds the caller of the first opening packet that the upstream has
+// returned since it last accepted one.
+type returnedOpening struct {
 	any    bool
 	caller [4]byte
 }
 
-// by notes an opening packet of a caller that was given back; it reports whether one
-// of another caller was before.
-func (r *returned) by(caller [4]byte) bool {
+// addCaller records that an opening packet of a caller was returned, and reports whether
+// one of another caller had been before.
+func (r *returnedOpening) addCaller(caller [4]byte) bool {
 	if r.any {
 		return r.caller != caller
 	}
-	*r = returned{any: true, caller: caller}
+	*r = returnedOpening{any: true, caller: caller}
 	return false
 }
 
-func (r *recent) clear() { *r = recent{} }
+func (r *recentOutcomes) clear() { *r = recentOutcomes{} }
 
-func (r *recent) add(failed bool, caller [4]byte) {
+func (r *recentOutcomes) add(failed bool, caller [4]byte) {
 	r.failed[r.next], r.caller[r.next] = failed, caller
 	r.next = (r.next + 1) % window
 }
 
-// callers returns how many different callers met a failure.
-func (r *recent) callers() int {
+// failedCallers returns the number of different callers with a failure.
+func (r *recentOutcomes) failedCallers() int {
 	n := 0
 	for i := range r.failed {
-		if r.failed[i] && !r.metBefore(i) {
+		if r.failed[i] && !r.countedBefore(i) {
 			n++
 		}
 	}
 	return n
 }
 
-// metBefore reports whether the caller of a failure stands at an earlier place.
-func (r *recent) metBefore(at int) bool {
+// countedBefore reports whether the caller of the failure at an index has another failure
+// at a lower index.
+func (r *recentOutcomes) countedBefore(at int) bool {
 	for i := range at {
 		if r.failed[i] && r.caller[i] == r.caller[at] {
 			return true
