--- a/internal/packetface/admission/admission.go
+++ b/internal/packetface/admission/admission.go
@@ -1,70 +1,75 @@
-// Package admission decides in which order the requests run that wait for a slot
-// of an upstream. It is pure: times come in, a choice goes out.
+// Package admission decides in which order requests run that wait for a slot of an
+// upstream: an upstream processes as many requests at a time as it has slots. The package
+// does no I/O: times are passed in, a choice is returned.
 //
-// The load that it answers is a rush: hosts were away for a second or two, their
-// callers have waited or ask again all at once, and the upstreams are slow at
-// first. What has waited is past its aim and worth less than what comes now, but a
-// request that is never answered is worth nothing and harms its caller most. So
-// what can still be answered within its aim runs first, and what cannot waits, but
-// no longer than it may: once it could miss its caller's deadline otherwise, it
-// runs before all others.
+// It is designed for a burst of requests. When hosts have been unavailable for a second or
+// two, their callers have been waiting or retry all at once, and the upstreams are slow at
+// first. A request that has waited has missed its aim, the response time wanted for its
+// route, and is worth less than one that arrives now. But a request that is never answered
+// is worth nothing and harms its caller most. So requests that can still meet their aim run
+// first and the others wait, until one of them might miss its caller's deadline by waiting
+// longer; it then runs before all others.
 package admission
 
 import "time"
 
 const (
-	// MaxHold is the time after which a request is handed on in any case, where its
-	// route does not name its callers' timeout. It is below the shortest time that
-	// callers are known to give a request (2 s).
+	// MaxHold is the time after which a waiting request is forwarded in any case if its
+	// route does not state its callers' timeout. It is below the shortest time that callers
+	// are known to allow for a request (2 s).
 	MaxHold = 1500 * time.Millisecond
-	// lateAfter is the wait from which on a request counts as late where the route
-	// names no aim.
+	// lateAfter is the age from which on a request counts as late if the route states no
+	// aim.
 	lateAfter = 120 * time.Millisecond
-	// wayTime is the time on the way, both directions, that is kept free of the aim
-	// and of the timeout: 2 to 8 ms in one region, and the same for a busy host.
-	wayTime = 15 * time.Millisecond
-	// leastPatience is the least wait that counts as being late.
-	leastPatience = 20 * time.Millisecond
-	// spareAnswers is the time that is kept free before a deadline, in times of a
-	// mean answer: work is spread, and what presses waits for a slot to come free. Of
-	// 3, 6, 10 and 15, 6 is the least that loses hardly any in the bed's rush of half
-	// the upstreams' rate (35, 6, 3 and 2 of some 500).
+	// transitTime is the time reserved for the transit of a request and its answer when the
+	// aim and the timeout are applied: 2 to 8 ms within one region, and as much again for a
+	// busy host.
+	transitTime = 15 * time.Millisecond
+	// minLateAge is the age below which no request counts as late.
+	minLateAge = 20 * time.Millisecond
+	// spareAnswers is the time reserved before a deadline, in mean response times: response
+	// times vary, and a pressing request has to wait for a slot to become free. In the
+	// simulated burst at half the upstreams' rate, 3, 6, 10 and 15 lose 35, 6, 3 and 2 of
+	// some 500 requests; 6 is the smallest value that loses hardly any.
 	spareAnswers = 6
-	// slotShare is the part of the slots that requests past their aim may count on
-	// while they wait: what is asked for meanwhile has its share, and answers get
-	// slower while an upstream is cold. 0.5 and 0.35 lose as many in the bed, and
-	// fewer of the others are in time.
+	// slotShare is the share of the slots that requests past their aim are assumed to get
+	// while they wait. Requests that arrive meanwhile take the rest, and answers take
+	// longer while an upstream is cold. With 0.5 and 0.35 as many requests are lost in the
+	// simulated burst, and fewer of the others are in time.
 	slotShare = 0.75
-	// savablePart is the least part of its timeout that a repetition must have left
-	// when it is let in to be looked for. With a quarter (requests of 2 s) the rush is
-	// longer than that: ras-live saved 0.3% of its requests and made 1% late. Without
-	// the search at a third (2.25 s) umurongo-kgl lost 0.9 and 1.2% instead of 0.3%.
-	savablePart = 0.3
+	// minRetryTimeLeft is the share of its timeout that a possible retry must have left at
+	// its admission for the deadline of the first attempt to apply to it. The value lies
+	// between two cases. Requests with a timeout of 2 s have a quarter left, which is less
+	// time than a burst lasts: applying that deadline to them saved 0.3% of the requests in
+	// the run ras-live and made 1% late. Requests with a timeout of 2.25 s have a third
+	// left: without that deadline for them the run umurongo-kgl lost 0.9 and 1.2% instead
+	// of 0.3%.
+	minRetryTimeLeft = 0.3
 )
 
-// Request is what is known of a request that waits.
+// Request holds the properties of a waiting request that determine its order.
 type Request struct {
-	// Rank orders routes, 0 for the most urgent.
+	// Rank is the priority of the request's route, 0 for the most urgent.
 	Rank uint8
-	// Arrived is when it began to wait here.
+	// Arrived is when the request began to wait here.
 	Arrived time.Duration
-	// Asked is when its caller asked for it, as far as is known. Suspected is when
-	// the caller may have asked first, if the request may be a repetition; it is
+	// Asked is when the caller made the request, as far as known. Suspected is when the
+	// caller may have made its first attempt if the request may be a retry, and equals
 	// Asked otherwise.
 	Asked, Suspected time.Duration
-	// Aim is the time within which the caller wants the answer, Timeout that after
-	// which it gives up; 0 where the route does not say.
+	// Aim is the time within which the caller wants the answer, Timeout that after which it
+	// gives up; 0 if the route does not state it.
 	Aim, Timeout time.Duration
-	// FirstTry tells that the request is certainly no repetition.
+	// FirstTry is true if the request is certainly not a retry.
 	FirstTry bool
 }
 
-// Pace is how fast the upstream works.
+// Pace describes how fast the upstream works.
 type Pace struct {
-	// Slots is the number of requests that it works on at once, 0 where that is
-	// not known yet.
+	// Slots is the number of requests that the upstream processes at a time, 0 if not known
+	// yet.
 	Slots int
-	// Answer is the mean time of an answer, 0 for none yet.
+	// Answer is the mean response time, 0 if there is no answer yet.
 	Answer time.Duration
 }
 
@@ -74,28 +79,30 @@
 	if r.Aim == 0 {
 		return age > lateAfter
 	}
-	return age > max(r.Aim-p.Answer-wayTime, leastPatience)
+	return age > max(r.Aim-p.Answer-transitTime, minLateAge)
 }
 
-// deadline returns when the caller gives up: as early as may be until that time
-// has passed, as then the caller would have ended its flow. What would have little
-// time left as a repetition counts as a first try: most of it would be lost anyway,
-// and all that comes meanwhile late.
+// deadline returns when the caller gives up. For a possible retry this is computed from the
+// first attempt that the caller may have made. Once that time has passed, the request
+// cannot be such a retry, as the caller would have ended its flow. A possible retry that
+// would have little time left is treated as a first try, too: most such requests would be
+// lost anyway, and running them first would make all requests late that arrive meanwhile.
 func (r *Request) deadline(now time.Duration) time.Duration {
 	early := r.Suspected + r.Timeout
-	savable := early-r.Asked >= time.Duration(savablePart*float64(r.Timeout))
+	savable := early-r.Asked >= time.Duration(minRetryTimeLeft*float64(r.Timeout))
 	if savable && now < early {
 		return early
 	}
 	return r.Asked + r.Timeout
 }
 
-// hopeless reports whether the caller gives up before a usual answer.
+// hopeless reports whether the caller will give up before an answer of mean response time
+// arrives.
 func (r *Request) hopeless(now time.Duration, p Pace) bool {
-	return r.Timeout > 0 && r.deadline(now) < now+p.Answer+wayTime
+	return r.Timeout > 0 && r.deadline(now) < now+p.Answer+transitTime
 }
 
-// overdue reports whether a request is to be handed on though no slot is free.
+// overdue reports whether a request must be forwarded although no slot is free.
 func (r *Request) overdue(now time.Duration) bool {
 	limit := r.Timeout
 	if limit == 0 {
--- a/internal/packetface/admission/queue.go
+++ b/internal/packetface/admission/queue.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Queue holds the requests that wait for an upstream, each with what its owner
-// keeps of it. The zero value is empty. It has one owner at a time.
+// Queue holds the requests that wait for an upstream, each with an item of the user. The
+// zero value is an empty queue. A Queue is not safe for concurrent use.
 type Queue[T comparable] struct {
-	// LateLast switches the care for deadlines off: what is past its aim runs last.
+	// LateLast disables the handling of deadlines: requests past their aim run last.
 	LateLast bool
 	waiting  []waiting[T]
-	// late and ranks are reused from call to call.
+	// late and ranks are buffers that are reused across calls.
 	late  []lateRequest
 	ranks []uint8
 }
@@ -22,23 +22,23 @@
 	item T
 }
 
-// lateRequest is a request past its aim: its place in the queue, its route's rank and
-// its deadline.
+// lateRequest is a request past its aim: its index in the queue, its route's rank and its
+// deadline.
 type lateRequest struct {
 	at       int
 	rank     uint8
 	deadline time.Duration
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Add lets a request wait.
+// Add appends a request to the queue.
 func (q *Queue[T]) Add(r Request, item T) {
 	q.waiting = append(q.waiting, waiting[T]{r, item})
 }
 
-// Remove takes a request out; it reports whether it was there.
+// Remove removes a request from the queue and reports whether it was in it.
 func (q *Queue[T]) Remove(item T) bool {
 	at := slices.IndexFunc(q.waiting, func(w waiting[T]) bool { return w.item == item })
 	if at < 0 {
@@ -48,7 +48,8 @@
 	return true
 }
 
-// Overdue returns a request that is to be handed on though no slot is free.
+// Overdue returns a request that must be forwarded although no slot is free, and the choice
+// None if there is none.
 func (q *Queue[T]) Overdue(now time.Duration) (item T, why Choice) {
 	for i := range q.waiting {
 		if q.waiting[i].overdue(now) {
@@ -58,24 +59,25 @@
 	return item, None
 }
 
-// Choice says why a request is to run next.
+// Choice is the reason why a request runs next.
 type Choice string
 
-// Choices, by names for the log.
+// The choices, by their names in logs.
 const (
-	// None: nothing waits.
+	// None: no request is to run.
 	None Choice = ""
-	// InTime: it can be answered within its aim.
+	// InTime: the request can be answered within its aim.
 	InTime Choice = "in-time"
-	// Pressing: it would miss its deadline otherwise.
+	// Pressing: a request past its aim might miss its deadline if this one waited longer.
 	Pressing Choice = "pressing"
-	// Late: nothing in time waits.
+	// Late: the request is past its aim, and no waiting request of its rank can still meet
+	// its own.
 	Late Choice = "late"
-	// Overdue: its time is over, though no slot is free.
+	// Overdue: the request has waited for its full timeout, although no slot is free.
 	Overdue Choice = "overdue"
 )
 
-// Next returns the request that is to run in a slot that is free, and why.
+// Next returns the request to run in a free slot, and the reason.
 func (q *Queue[T]) Next(now time.Duration, p Pace) (item T, why Choice) {
 	if len(q.waiting) == 0 {
 		return item, None
@@ -95,11 +97,11 @@
 	return q.waiting[best].item, InTime
 }
 
-// pressing returns the place of the request that has to run now so that none that
-// is past its aim misses its deadline, -1 for none. It goes before what is more
-// urgent: a request that is answered late harms its caller less than one that is
-// lost. Where not all can be answered, the more urgent are: they press by themselves,
-// whatever waits on other routes.
+// pressing returns the index of the request that has to run now so that no request past its
+// aim misses its deadline, -1 for none. It takes precedence over more urgent requests: a
+// request that is answered late harms its caller less than one that is lost. If not all can
+// be answered in time, the more urgent ones are: whether they are pressing is decided
+// regardless of the requests that wait on less urgent routes.
 func (q *Queue[T]) pressing(now time.Duration, p Pace) int {
 	if q.LateLast || p.Slots == 0 {
 		return -1
@@ -113,12 +115,13 @@
 	return -1
 }
 
-// pressingAmong is pressing for the routes up to a rank. What is past its aim runs in
-// the order of deadlines, which loses the fewest; the k-th begins once the k before
-// have passed through the slots, and has no slack if it begins too late then.
+// pressingAmong does the same as pressing for the requests of a rank and of more urgent
+// ones. Requests past their aim run in the order of their deadlines, which loses the
+// fewest. The k-th begins after the k before it have passed through the slots; if that is
+// too late for its deadline, there is no slack and the first one is pressing.
 func (q *Queue[T]) pressingAmong(now time.Duration, p Pace, rank uint8) int {
 	each := time.Duration(float64(p.Answer) / (slotShare * float64(p.Slots)))
-	first, begins := -1, now+spareAnswers*p.Answer+wayTime
+	first, begins := -1, now+spareAnswers*p.Answer+transitTime
 	for _, l := range q.late {
 		if l.rank > rank {
 			continue
@@ -134,8 +137,8 @@
 	return -1
 }
 
-// collectLate gathers the requests that are past their aim and may still be
-// answered, in the order of their deadlines, and their ranks, the most urgent first.
+// collectLate collects the requests that are past their aim and may still be answered, in
+// the order of their deadlines, and their ranks, the most urgent first.
 func (q *Queue[T]) collectLate(now time.Duration, p Pace) {
 	q.late, q.ranks = q.late[:0], q.ranks[:0]
 	for i := range q.waiting {
@@ -152,9 +155,9 @@
 	slices.SortStableFunc(q.late, func(a, b lateRequest) int { return cmp.Compare(a.deadline, b.deadline) })
 }
 
-// before reports whether a is to run before b while nothing presses: the more
-// urgent route first; then what can still be answered within its aim; then what can
-// be answered at all; then first tries; then what came first.
+// before reports whether a runs before b if no request is pressing. The criteria, in this
+// order: the more urgent route; requests that can meet their aim; requests that can be
+// answered before their deadline; first tries; the earlier arrival.
 func (q *Queue[T]) before(now time.Duration, p Pace, a, b *Request) bool {
 	if a.Rank != b.Rank {
 		return a.Rank < b.Rank
--- a/internal/packetface/admission/queue_test.go
+++ b/internal/packetface/admission/queue_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-// since returns a request that was asked for some time ago, with an aim of 150 ms and
-// a timeout of 2.5 s.
+// since returns a request that was made the given time ago, with an aim of 150 ms and a
+// timeout of 2.5 s.
 func since(age time.Duration, rank uint8) admission.Request {
 	return admission.Request{Rank: rank, Arrived: now - age, Asked: now - age, Suspected: now - age, Aim: 150 * ms, Timeout: 2500 * ms}
 }
@@ -22,30 +22,30 @@
 
 var pace = admission.Pace{Slots: 4, Answer: 30 * ms}
 
-func TestOrder(t *testing.T) {
+func TestNextChoosesByDeadlineAndRank(t *testing.T) {
 	suspected := since(850*ms, 2)
 	suspected.Suspected -= 1500 * ms
-	hasty := since(350*ms, 2)
-	hasty.Timeout = 2 * time.Second
-	hasty.Suspected -= 1500 * ms
-	endless := since(10*time.Second, 2)
-	endless.Timeout = 0
+	shortTimeout := since(350*ms, 2)
+	shortTimeout.Timeout = 2 * time.Second
+	shortTimeout.Suspected -= 1500 * ms
+	noTimeout := since(10*time.Second, 2)
+	noTimeout.Timeout = 0
 	cases := []struct {
 		name    string
 		waiting map[string]admission.Request
 		want    string
 	}{
-		{"the urgent route first", map[string]admission.Request{"urgent": since(10*ms, 1), "other": since(50*ms, 2)}, "urgent"},
-		{"what can be in its aim first", map[string]admission.Request{"late": since(500*ms, 2), "in time": since(10*ms, 2)}, "in time"},
-		{"what is late, once it has to begin", map[string]admission.Request{"late": since(2320*ms, 2), "in time": since(10*ms, 2)}, "late"},
-		{"of two that are late the earlier deadline", map[string]admission.Request{"late": since(2330*ms, 2), "later": since(2320*ms, 2)}, "late"},
-		{"not what its caller gives up before the answer", map[string]admission.Request{"hopeless": since(2490*ms, 2), "late": since(500*ms, 2)}, "late"},
-		{"what may have been asked for long ago", map[string]admission.Request{"suspected": suspected, "in time": since(10*ms, 2)}, "suspected"},
-		{"what would have little time left as a repetition later", map[string]admission.Request{"hasty": hasty, "in time": since(10*ms, 2)}, "in time"},
-		{"what presses before an urgent one in its aim", map[string]admission.Request{"late": since(2320*ms, 2), "urgent": since(10*ms, 1)}, "late"},
-		{"of two that press the urgent one", map[string]admission.Request{"late": since(2330*ms, 2), "urgent": since(2320*ms, 1)}, "urgent"},
-		{"what presses before an urgent one that is late", map[string]admission.Request{"late": since(2320*ms, 2), "urgent": since(500*ms, 1)}, "late"},
-		{"nothing presses whose timeout is not known", map[string]admission.Request{"endless": endless, "in time": since(10*ms, 2)}, "in time"},
+		{"the more urgent route runs first", map[string]admission.Request{"urgent": since(10*ms, 1), "other": since(50*ms, 2)}, "urgent"},
+		{"a request that can meet its aim runs before a late one", map[string]admission.Request{"late": since(500*ms, 2), "in time": since(10*ms, 2)}, "in time"},
+		{"a late request runs first once it might miss its deadline", map[string]admission.Request{"late": since(2320*ms, 2), "in time": since(10*ms, 2)}, "late"},
+		{"the earlier deadline of two late requests runs first", map[string]admission.Request{"late": since(2330*ms, 2), "later": since(2320*ms, 2)}, "late"},
+		{"a request whose caller gives up before the answer runs last", map[string]admission.Request{"hopeless": since(2490*ms, 2), "late": since(500*ms, 2)}, "late"},
+		{"a possible retry runs at the deadline of its first attempt", map[string]admission.Request{"suspected": suspected, "in time": since(10*ms, 2)}, "suspected"},
+		{"a possible retry with little time left counts as a first try", map[string]admission.Request{"hasty": shortTimeout, "in time": since(10*ms, 2)}, "in time"},
+		{"a pressing request runs before an urgent one in time", map[string]admission.Request{"late": since(2320*ms, 2), "urgent": since(10*ms, 1)}, "late"},
+		{"the more urgent of two pressing requests runs first", map[string]admission.Request{"late": since(2330*ms, 2), "urgent": since(2320*ms, 1)}, "urgent"},
+		{"a pressing request runs before an urgent one that is late", map[string]admission.Request{"late": since(2320*ms, 2), "urgent": since(500*ms, 1)}, "late"},
+		{"a request without a timeout is never pressing", map[string]admission.Request{"endless": noTimeout, "in time": since(10*ms, 2)}, "in time"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,13 +61,13 @@
 	}
 }
 
-// Many that are late press earlier than one: the last of them has to wait for all
-// others.
-func TestManyPressEarlier(t *testing.T) {
+// The more late requests wait, the earlier they become pressing, because the last of them
+// has to wait for all others.
+func TestManyLateRequestsArePressingEarlier(t *testing.T) {
 	g := NewWithT(t)
 	var q admission.Queue[int]
 	q.Add(since(10*ms, 2), -1)
-	for n := range 80 { // four slots pass 80 of 30 ms in 0.6 s, and three quarters of them in 0.8
+	for n := range 80 { // 80 of 30 ms take 0.6 s in four slots, 0.8 s in three quarters of them
 		q.Add(since(1600*ms, 2), n)
 	}
 	got, why := q.Next(now, pace)
@@ -81,7 +81,7 @@
 	g.Expect(why).To(Equal(admission.InTime))
 }
 
-func TestAnEmptyQueueHasNoNext(t *testing.T) {
+func TestEmptyQueueReturnsNoRequest(t *testing.T) {
 	g := NewWithT(t)
 	var q admission.Queue[string]
 	_, why := q.Next(now, pace)
@@ -91,7 +91,7 @@
 	g.Expect(q.Remove("none")).To(BeFalse())
 }
 
-func TestNothingWaitsBeyondItsTimeout(t *testing.T) {
+func TestRequestIsOverdueAfterItsTimeout(t *testing.T) {
 	g := NewWithT(t)
 	var q admission.Queue[string]
 	q.Add(since(2400*ms, 2), "kept")
@@ -105,8 +105,8 @@
 	g.Expect(got).To(Equal("overdue"))
 }
 
-// BenchmarkCapacityPacketOrder measures a choice among requests that wait, most of
-// them past their aim, as in a rush; the choice is made for each request once.
+// BenchmarkCapacityPacketOrder measures the choice of the next request among waiting ones,
+// most of them past their aim as in a burst. The choice is made once for each request.
 func BenchmarkCapacityPacketOrder(b *testing.B) {
 	for _, size := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("waiting=%d", size), func(b *testing.B) {
--- a/internal/packetface/admission/rush_test.go
+++ b/internal/packetface/admission/rush_test.go
@@ -13,35 +13,38 @@
 	"github.com/saltbend/saltbend/test/simclock"
 )
 
-// The load that the order answers, in simulated time: all hosts of a service are
-// away for a while, callers begin anew meanwhile, and come back all at once to
-// upstreams that are slow at first. It drives the real Queue, one an upstream, and
-// knows what the queue can't: when each caller really asked first.
+// A simulation of the load that package admission is designed for: all hosts of a service
+// are unavailable for a while, callers retry in the meantime, and requests arrive all at
+// once at upstreams that are slow at first. It drives the real Queue, one for each
+// upstream, and knows what the Queue cannot know: when each caller really made its first
+// attempt.
 
-// Callers' patience as the platform describes it, and the pause that was seen.
+// The callers' retransmissions and attempts as the platform documents them, and the longest
+// pause observed.
 const (
 	firstCopy  = 200 * time.Millisecond
 	secondCopy = 600 * time.Millisecond
 	attempt    = 1400 * time.Millisecond
-	pauseMost  = 250 * time.Millisecond
+	maxPause   = 250 * time.Millisecond
 	attempts   = 3
-	// startSpread is the time within which hosts that were lost together start.
+	// startSpread is the time within which hosts start that failed together.
 	startSpread = 300 * time.Millisecond
 )
 
-// rush is a load pattern.
-type rush struct {
+// burst is a load pattern.
+type burst struct {
 	name string
-	// perSecond is the rate of requests, away how long the hosts are.
+	// perSecond is the rate of requests, outage how long the hosts are unavailable.
 	perSecond float64
-	away      time.Duration
-	// upstreams have slots each; cold is how long they take coldTimes as long.
+	outage    time.Duration
+	// upstreams is their number, each with slots; for the time cold after the outage
+	// requests take coldTimes as long.
 	upstreams, slots int
 	cold             time.Duration
 	coldTimes        float64
 }
 
-// kind is a kind of request.
+// kind is a type of request with its share of the load and the worth of an answer.
 type kind struct {
 	rank             uint8
 	share            float64
@@ -55,75 +58,76 @@
 	{rank: 2, share: 7.0 / 9, work: 30 * time.Millisecond, aim: 150 * time.Millisecond, timeout: 2500 * time.Millisecond, worth: 1, worthLate: 0.3},
 }
 
-// asked is one request of a caller.
-type asked struct {
+// simRequest is one request of a caller.
+type simRequest struct {
 	kind  *kind
-	first time.Duration // when the caller asked first
-	began time.Duration // when its attempt began that is let in
-	back  time.Duration // when its balancer was back
-	copy  time.Duration // the age of the opening packet that is let in
+	first time.Duration // when the caller's first attempt began
+	began time.Duration // when the attempt began that is admitted
+	back  time.Duration // when its balancer was available again
+	copy  time.Duration // the age of the admitted opening packet
 	work  time.Duration
-	end   time.Duration // when it was answered, 0 for not
+	end   time.Duration // when it was answered, 0 if it was not
 }
 
-func (a *asked) deadline() time.Duration { return a.first + a.kind.timeout }
+func (a *simRequest) deadline() time.Duration { return a.first + a.kind.timeout }
 
-// outcome is what callers got.
-type outcome struct {
+// result is the outcome for the callers.
+type result struct {
 	lost int
-	// windows are the shares of the worth of what was asked in the two seconds from
-	// the loss on, and in the two after them.
+	// windows are the shares of the requests' total worth that were obtained, for the
+	// requests of the first two seconds after the failure and of the two seconds after
+	// them.
 	windows [2]float64
 }
 
-// ordering chooses what runs next at one upstream.
+// ordering determines which request runs next at an upstream.
 type ordering interface {
-	add(a *asked, now time.Duration)
-	remove(a *asked)
-	next(now time.Duration, p admission.Pace) *asked
+	add(a *simRequest, now time.Duration)
+	remove(a *simRequest)
+	next(now time.Duration, p admission.Pace) *simRequest
 	length() int
 }
 
-// programs is the order of the programs.
-type programs struct {
-	queue   admission.Queue[*asked]
+// queueOrder is the order of admission.Queue, as used by the agent.
+type queueOrder struct {
+	queue   admission.Queue[*simRequest]
 	started time.Duration
-	// trusting takes all flows for first tries.
-	trusting bool
+	// ignoreRetries treats all flows as first tries.
+	ignoreRetries bool
 }
 
-func (r *programs) add(a *asked, now time.Duration) {
+func (r *queueOrder) add(a *simRequest, now time.Duration) {
 	seen := now - a.copy
 	q := admission.Request{Rank: a.kind.rank, Arrived: now, Asked: seen, Aim: a.kind.aim, Timeout: a.kind.timeout}
 	q.Suspected = seen
-	if !r.trusting && admission.MayRepeat(seen-a.back) {
-		q.Suspected -= admission.RepeatTime
+	if !r.ignoreRetries && admission.MayRepeat(seen-a.back) {
+		q.Suspected -= admission.RetryInterval
 	}
 	r.queue.Add(q, a)
 }
-func (r *programs) remove(a *asked) { r.queue.Remove(a) }
-func (r *programs) length() int     { return r.queue.Len() }
-func (r *programs) next(now time.Duration, p admission.Pace) *asked {
+func (r *queueOrder) remove(a *simRequest) { r.queue.Remove(a) }
+func (r *queueOrder) length() int          { return r.queue.Len() }
+func (r *queueOrder) next(now time.Duration, p admission.Pace) *simRequest {
 	a, _ := r.queue.Next(now, p)
 	return a
 }
 
-// deadlines is the order of true deadlines, which no program can know: it loses
-// the fewest, though nobody is in time.
-type deadlines struct{ waiting []*asked }
+// deadlines orders requests by their true deadlines, which no agent can know. It loses the
+// fewest requests, but none is answered in time.
+type deadlines struct{ waiting []*simRequest }
 
-func (d *deadlines) add(a *asked, _ time.Duration) { d.waiting = append(d.waiting, a) }
-func (d *deadlines) length() int                   { return len(d.waiting) }
-func (d *deadlines) remove(a *asked) {
-	d.waiting = slices.DeleteFunc(d.waiting, func(o *asked) bool { return o == a })
+func (d *deadlines) add(a *simRequest, _ time.Duration) { d.waiting = append(d.waiting, a) }
+func (d *deadlines) length() int                        { return len(d.waiting) }
+func (d *deadlines) remove(a *simRequest) {
+	d.waiting = slices.DeleteFunc(d.waiting, func(o *simRequest) bool { return o == a })
 }
-func (d *deadlines) next(time.Duration, admission.Pace) *asked {
-	return slices.MinFunc(d.waiting, func(a, b *asked) int { return int(a.deadline() - b.deadline()) })
+func (d *deadlines) next(time.Duration, admission.Pace) *simRequest {
+	return slices.MinFunc(d.waiting, func(a, b *simRequest) int { return int(a.deadline() - b.deadline()) })
 }
 
-// rushes are the loads: seven upstreams of four slots that answer some 870 requests a
-// second, or 50 of two. Cold ones take 1.6 times as long.
-var rushes = []rush{
+// bursts are the simulated loads: seven upstreams of four slots that answer some 870
+// requests a second, or 50 of two slots. Cold ones take 1.6 times as long.
+var bursts = []burst{
 	{"common", 346, 1500 * time.Millisecond, 7, 4, 2 * time.Second, 1.6},
 	{"busy", 482, 1500 * time.Millisecond, 7, 4, 2 * time.Second, 1.6},
 	{"long", 346, 2200 * time.Millisecond, 7, 4, 2 * time.Second, 1.6},
@@ -132,22 +136,22 @@
 	{"wider", 1250, 1700 * time.Millisecond, 50, 2, 2 * time.Second, 1.6},
 }
 
-// orders are those that are compared. The first can't be had: it knows when each
-// caller asked first.
+// orders are the orders compared. The first is only a reference, as it knows when each
+// caller's first attempt began.
 var orders = []struct {
 	name string
 	make func(started time.Duration) ordering
 }{
 	{"true-deadlines", func(time.Duration) ordering { return &deadlines{} }},
 	{"late-last", func(started time.Duration) ordering {
-		return &programs{started: started, queue: admission.Queue[*asked]{LateLast: true}}
+		return &queueOrder{started: started, queue: admission.Queue[*simRequest]{LateLast: true}}
 	}},
-	{"least-slack", func(started time.Duration) ordering { return &programs{started: started, trusting: true} }},
-	{"programs", func(started time.Duration) ordering { return &programs{started: started} }},
+	{"least-slack", func(started time.Duration) ordering { return &queueOrder{started: started, ignoreRetries: true} }},
+	{"programs", func(started time.Duration) ordering { return &queueOrder{started: started} }},
 }
 
-// mean returns the mean outcome of several seeds.
-func mean(r rush, newOrder func(time.Duration) ordering) (lost float64, windows [2]float64) {
+// mean returns the mean result over several seeds.
+func mean(r burst, newOrder func(time.Duration) ordering) (lost float64, windows [2]float64) {
 	const seeds = 6
 	for seed := range uint64(seeds) {
 		o := run(r, seed, newOrder)
@@ -158,12 +162,13 @@
 	return lost, windows
 }
 
-// TestFewAreLostInARush replays the loads. What is past its aim is not left until
-// its callers have gone, and repetitions are not taken for first tries. The bounds
-// lie between what either policy alone and both together reach.
-func TestFewAreLostInARush(t *testing.T) {
+// TestFewRequestsAreLostInABurst simulates the loads. It guards against two faults:
+// requests past their aim are left waiting until their callers have given up (order
+// "late-last"), and retries are treated as first tries (order "least-slack"). The bounds
+// lie between the losses of either faulty order and those of the Queue.
+func TestFewRequestsAreLostInABurst(t *testing.T) {
 	most := map[string]float64{"common": 5, "busy": 65, "long": 150, "short": 5, "wide": 5, "wider": 30}
-	for _, r := range rushes {
+	for _, r := range bursts {
 		t.Run(r.name, func(t *testing.T) {
 			g := NewWithT(t)
 			lost := map[string]float64{}
@@ -178,10 +183,10 @@
 	}
 }
 
-// BenchmarkRush prints the bed's table: requests lost, and the worth of the two
-// windows after the loss.
+// BenchmarkRush reports for each load and order the requests lost, and the share of their
+// worth obtained in the two windows after the failure.
 func BenchmarkRush(b *testing.B) {
-	for _, r := range rushes {
+	for _, r := range bursts {
 		for _, o := range orders {
 			b.Run(r.name+"/"+o.name, func(b *testing.B) {
 				var lost float64
@@ -197,7 +202,7 @@
 	}
 }
 
-// server is one upstream with its agent.
+// server is one upstream with the queue of its agent.
 type server struct {
 	order   ordering
 	running int
@@ -205,33 +210,33 @@
 }
 
 type simulation struct {
-	rush
+	burst
 	simclock.Clock
 	servers []*server
-	all     []*asked
+	all     []*simRequest
 	random  *rand.Rand
 }
 
-// run plays a rush. The hosts are lost at lostAt.
-func run(r rush, seed uint64, newOrder func(started time.Duration) ordering) outcome {
+// run simulates a load. The hosts fail at lostAt.
+func run(r burst, seed uint64, newOrder func(started time.Duration) ordering) result {
 	const lostAt, after = time.Second, 6 * time.Second
-	s := &simulation{rush: r, random: rand.New(rand.NewPCG(seed, 1))}
-	back := lostAt + r.away
+	s := &simulation{burst: r, random: rand.New(rand.NewPCG(seed, 1))}
+	back := lostAt + r.outage
 	for n := range r.upstreams {
 		started := back + time.Duration(n)*startSpread/time.Duration(r.upstreams)
 		s.servers = append(s.servers, &server{order: newOrder(started)})
 	}
 	for t := lostAt; t < back+after; t += time.Duration(s.random.ExpFloat64() / r.perSecond * float64(time.Second)) {
-		s.ask(t, back)
+		s.submit(t, back)
 	}
 	s.Run()
-	return s.outcome(lostAt)
+	return s.result(lostAt)
 }
 
-// ask makes a request of a caller, and lets it in with the first opening packet that
-// finds the hosts back.
-func (s *simulation) ask(t, back time.Duration) {
-	a := &asked{kind: &kinds[0], first: t}
+// submit creates a request of a caller. It is admitted with the first opening packet that is
+// sent after its balancer is available again.
+func (s *simulation) submit(t, back time.Duration) {
+	a := &simRequest{kind: &kinds[0], first: t}
 	if s.random.Float64() >= kinds[0].share {
 		a.kind = &kinds[1]
 	}
@@ -248,12 +253,12 @@
 			s.At(began+age+4*time.Millisecond, func() { s.arrive(a) })
 			return
 		}
-		began += attempt + time.Duration(s.random.Float64()*float64(pauseMost))
+		began += attempt + time.Duration(s.random.Float64()*float64(maxPause))
 	}
 }
 
-// arrive places a request at the upstream with the least load.
-func (s *simulation) arrive(a *asked) {
+// arrive places a request on the upstream with the least load.
+func (s *simulation) arrive(a *simRequest) {
 	best := slices.MinFunc(s.servers, func(x, y *server) int { return x.running + x.order.length() - y.running - y.order.length() })
 	best.order.add(a, s.Now)
 	s.At(a.deadline(), func() { best.order.remove(a) })
@@ -265,7 +270,7 @@
 		a := v.order.next(s.Now, admission.Pace{Slots: s.slots, Answer: v.answer})
 		v.order.remove(a)
 		took := a.work
-		if s.Now < time.Second+s.away+s.cold {
+		if s.Now < time.Second+s.outage+s.cold {
 			took = time.Duration(float64(took) * s.coldTimes)
 		}
 		v.running++
@@ -282,8 +287,8 @@
 	}
 }
 
-func (s *simulation) outcome(lostAt time.Duration) outcome {
-	var o outcome
+func (s *simulation) result(lostAt time.Duration) result {
+	var o result
 	var got, owed [2]float64
 	for _, a := range s.all {
 		answered := a.end > 0 && a.end <= a.deadline()
--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -70,7 +70,7 @@
 	if flags&inner.FlagRepeated == 0 {
 		return 0
 	}
-	return admission.RepeatTime
+	return admission.RetryInterval
 }
 
 // returnPacket sends a packet back to the balancer that forwarded it, with the reason.
