--- a/internal/packetface/coldrate/coldrate.go
+++ b/internal/packetface/coldrate/coldrate.go
@@ -1,11 +1,12 @@
-// Package coldrate bounds the flows that a cold upstream gets. It is pure.
+// Package coldrate limits the rate of new flows to an upstream that is still cold after its
+// start. It does no I/O.
 //
-// The load that it answers: after an evacuation, a loss of power or a release many
-// upstreams of a service start at the same time, and each bears few requests a second
-// until its caches are warm. Every balancer sees an idle upstream and sends its flows
-// there; only the agent beside it sees all of them. It lets in what the upstream bears
-// in any second that slides, and gives the rest back while their callers can still be
-// served elsewhere.
+// After an evacuation, a power loss or a release many upstreams of a service start at the
+// same time, and each can process only few requests a second until its caches are warm.
+// Every balancer sees an idle upstream and sends its flows there; only the agent beside the
+// upstream sees all of them. In any sliding window of a second the agent admits only as
+// many flows as the upstream can process. It returns the others to their balancers early
+// enough for other upstreams to serve them.
 package coldrate
 
 import (
@@ -13,21 +14,20 @@
 	"time"
 )
 
-// Bounds of one upstream, in flows a second.
+// Bounds are the limits for one upstream, in flows a second.
 type Bounds struct {
-	// Usual is what it bears, 0 for no bound.
+	// Usual is the number of flows that the upstream can process, 0 for no limit.
 	Usual int
-	// Most is what it may get where nobody else takes a flow.
+	// Most is the limit for flows that no other upstream accepts.
 	Most int
 }
 
-// reserve is the part of an upstream's bound that stays free even where nobody else
-// takes a flow: packets are late by some milliseconds, so that those of two windows may
-// arrive in one.
+// reserve is the share of Most that stays unused. Packets are delayed by some milliseconds,
+// so flows admitted in two windows may arrive within one.
 const reserve = 0.1
 
-// NewBounds returns the bounds for an upstream that bears a rate, where operators allow
-// overage times that.
+// NewBounds returns the bounds for an upstream that can process rate flows a second when
+// cold, where operators permit up to overage times that rate.
 func NewBounds(rate, overage float64) Bounds {
 	if rate <= 0 {
 		return Bounds{}
@@ -36,44 +36,44 @@
 	return Bounds{Usual: usual, Most: max(usual, int(math.Floor(rate*max(overage, 1)*(1-reserve))))}
 }
 
-// window is the time in which flows are counted.
+// window is the length of the sliding window.
 const window = time.Second
 
-// Window counts the flows that an upstream got in the last second. The zero value has
-// none. It never holds more than the bound it is asked with.
+// Window counts the flows that were admitted to an upstream in the last second. The zero
+// value is empty. It holds no more entries than the bounds that it is used with.
 type Window struct {
-	// taken are when flows were let in, the oldest first.
-	taken []time.Duration
+	// admitted holds the times at which flows were admitted, the oldest first.
+	admitted []time.Duration
 }
 
-// Allows reports whether one more flow may be let in. must tells that nobody else takes
-// it.
+// Allows reports whether one more flow may be admitted. must is true if no other upstream
+// accepts it.
 func (w *Window) Allows(now time.Duration, b Bounds, must bool) bool {
 	if b.Usual == 0 {
 		return true
 	}
-	w.forget(now)
+	w.expire(now)
 	if must {
-		return len(w.taken) < b.Most
+		return len(w.admitted) < b.Most
 	}
-	return len(w.taken) < b.Usual
+	return len(w.admitted) < b.Usual
 }
 
-// Take notes a flow that was let in.
+// Take records an admitted flow.
 func (w *Window) Take(now time.Duration, b Bounds) {
 	if b.Usual == 0 {
-		w.taken = w.taken[:0]
+		w.admitted = w.admitted[:0]
 		return
 	}
-	w.forget(now)
-	w.taken = append(w.taken, now)
+	w.expire(now)
+	w.admitted = append(w.admitted, now)
 }
 
-// forget drops what is older than the window.
-func (w *Window) forget(now time.Duration) {
-	old := 0
-	for old < len(w.taken) && now-w.taken[old] >= window {
-		old++
+// expire removes entries that are older than the window.
+func (w *Window) expire(now time.Duration) {
+	expired := 0
+	for expired < len(w.admitted) && now-w.admitted[expired] >= window {
+		expired++
 	}
-	w.taken = append(w.taken[:0], w.taken[old:]...)
+	w.admitted = append(w.admitted[:0], w.admitted[expired:]...)
 }
--- a/internal/packetface/coldrate/coldrate_test.go
+++ b/internal/packetface/coldrate/coldrate_test.go
@@ -10,14 +10,14 @@
 	"github.com/saltbend/saltbend/internal/packetface/coldrate"
 )
 
-func TestBounds(t *testing.T) {
+func TestNewBounds(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(coldrate.NewBounds(0, 1.5)).To(Equal(coldrate.Bounds{}))
 	g.Expect(coldrate.NewBounds(0.4, 0)).To(Equal(coldrate.Bounds{Usual: 1, Most: 1}))
 	g.Expect(coldrate.NewBounds(20, 1.5)).To(Equal(coldrate.Bounds{Usual: 20, Most: 27}))
 }
 
-func TestWithoutABoundAllIsLetIn(t *testing.T) {
+func TestAllFlowsAreAllowedWithoutABound(t *testing.T) {
 	g := NewWithT(t)
 	var w coldrate.Window
 	for range 1000 {
@@ -26,8 +26,8 @@
 	}
 }
 
-// Whatever the arrivals, no second that slides has more than the bound.
-func TestNoSecondHasMoreThanTheBound(t *testing.T) {
+// For any arrivals, no sliding second contains more flows than the bound.
+func TestSlidingSecondNeverExceedsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := coldrate.NewBounds(rapid.Float64Range(0.1, 30).Draw(t, "rate"), rapid.Float64Range(0, 3).Draw(t, "overage"))
 		var w coldrate.Window
