--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -1,19 +1,20 @@
-// Package evacuation keeps what a process knows of data centres that operators have
-// asked to empty: no new flow may reach an upstream there until they take it back.
-// It is pure.
+// Package evacuation holds a process's copy of the evacuations of data centres. An
+// evacuation is an operator's request that no new flow reach an upstream in a data centre
+// until the request is withdrawn. The package does no I/O.
 //
-// Requests and their withdrawals are changes of the platform's store, so the store's
-// positions order them. A process hears of them late, twice, out of order and from
-// others that know less; a Record never goes back to what it knew to be over, whatever
-// order the news comes in.
+// Requests and withdrawals are written to the platform's store, so the store's positions
+// order them. A process may receive them late, twice, out of order, or from other processes
+// with older copies. A Record ignores changes that it knows to be superseded, whatever the
+// order in which it receives them.
 //
-// The store may come back from a copy some seconds old, in another era, and operators
-// write again what it lost. Until they have had their time for that, a request that is
-// missing in the new era proves nothing: one that is known from the era before stands,
-// and so does one that another process tells of. A request that the copy has although
-// it was withdrawn stands, too, until operators withdraw it again: a few seconds with
-// fewer upstreams cost some waiting, a flow into a data centre that loses its power
-// breaks what operators were promised.
+// The store may return from a copy that is some seconds old; this begins a new era.
+// Operators then write the lost changes again. Until they have had time for that, the
+// absence of a request in the new era is no proof of its withdrawal: a request that is
+// known from an earlier era stays in force, also if only another process knows it. A
+// request that the copy contains although it had been withdrawn stays in force, too, until
+// operators withdraw it again. A few seconds with fewer upstreams cost some waiting time,
+// whereas a flow sent into a data centre that is about to lose power breaks the guarantee
+// given to operators.
 package evacuation
 
 import (
@@ -23,17 +24,17 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Word is what a process knows of one data centre.
+// Word is the evacuation state of one data centre as known to a process.
 type Word struct {
-	// Evacuated tells that no new flow may go there.
+	// Evacuated is true if no new flow may be sent to the data centre.
 	Evacuated bool
-	// AsOf is the store's position up to which every change is known, 0 for none.
+	// AsOf is the store's position up to which all changes are included, 0 if none are.
 	AsOf store.Position
 }
 
-// Newer returns the word that knows more. Of two that know as much it is the one that
-// keeps flows away: a withdrawal that is heard later costs a choice, a request that is
-// passed over breaks what operators were promised.
+// Newer returns the state with the later position. If the positions are equal, it returns
+// the evacuated one: learning of a withdrawal late costs a choice of upstreams, whereas
+// ignoring a request breaks the guarantee given to operators.
 func (w Word) Newer(o Word) Word {
 	if o.AsOf > w.AsOf || o.AsOf == w.AsOf && o.Evacuated {
 		return o
@@ -41,37 +42,38 @@
 	return w
 }
 
-// Request is an operator's request to empty a data centre.
+// Request is an operator's request to evacuate a data centre.
 type Request struct {
 	DataCentre string `json:"data_centre"`
-	// At is the store's position of the request.
+	// At is the store's position at which the request was written.
 	At store.Position `json:"revision"`
 }
 
-// Change is a request, or its withdrawal.
+// Change is a request or its withdrawal, as written to the store.
 type Change struct {
 	Request
 	Withdrawn bool
 }
 
-// Record is a process's copy of all requests. The zero value knows nothing.
+// Record is a process's copy of all requests in force. The zero value is empty, with no
+// known position.
 type Record struct {
-	// asOf is the position up to which every change is known; requests may hold later
+	// asOf is the position up to which all changes are included; requests may contain later
 	// ones, too.
 	asOf store.Position
-	// requests holds the position of the request for each data centre that is to be
-	// empty.
+	// requests maps each evacuated data centre to the position of its request.
 	requests map[string]store.Position
-	// unsettled tells that what is missing in this era may still be written again;
-	// withdrawn are the data centres whose requests were withdrawn in it meanwhile.
+	// unsettled is true while operators may still write again the requests that the store
+	// lost at the beginning of this era; withdrawn holds the data centres whose requests
+	// have been withdrawn since then.
 	unsettled bool
 	withdrawn map[string]bool
 }
 
-// Apply takes over changes in the order of the store, after which every change up to
-// the position is known. It reports whether any data centre's state has changed.
+// Apply applies changes in the order of the store; afterwards all changes up to asOf are
+// included. It reports whether the state of any data centre has changed.
 func (r *Record) Apply(changes []Change, asOf store.Position) (changed bool) {
-	r.enter(asOf)
+	r.enterEra(asOf)
 	for _, c := range changes {
 		changed = r.apply(c) || changed
 	}
@@ -79,9 +81,9 @@
 	return changed
 }
 
-// enter begins a later era, in which nothing is proved by what is missing. A store that
-// counts no eras loses nothing.
-func (r *Record) enter(asOf store.Position) {
+// enterEra begins a later era, in which the absence of a request proves nothing until
+// Settle is called. A store without eras loses no changes.
+func (r *Record) enterEra(asOf store.Position) {
 	if asOf.Era() > r.asOf.Era() {
 		r.unsettled, r.withdrawn = true, nil
 	}
@@ -90,7 +92,7 @@
 func (r *Record) apply(c Change) (changed bool) {
 	at, requested := r.requests[c.DataCentre]
 	if c.At <= max(r.asOf, at) {
-		return false // a change that is known already, told once more
+		return false // the change is already included
 	}
 	if c.Withdrawn {
 		r.withdraw(c.DataCentre)
@@ -119,12 +121,12 @@
 	r.withdrawn[dataCentre] = true
 }
 
-// Replace takes over all requests as they were at a position, as a reading of the
-// store or another process shows them. One that is missing there was withdrawn, unless
-// it is newer or of an earlier era. It reports whether any data centre's state has
-// changed.
+// Replace applies a complete list of the requests at a position, as read from the store or
+// received from another process. A request that is missing in it has been withdrawn, unless
+// it is newer or of an earlier era. Replace reports whether the state of any data centre
+// has changed.
 func (r *Record) Replace(all []Request, asOf store.Position) (changed bool) {
-	r.enter(asOf)
+	r.enterEra(asOf)
 	if asOf > r.asOf {
 		changed = r.withdrawMissing(all, asOf)
 	}
@@ -137,8 +139,8 @@
 
 func (r *Record) withdrawMissing(all []Request, asOf store.Position) (changed bool) {
 	for dataCentre, at := range r.requests {
-		named := slices.ContainsFunc(all, func(q Request) bool { return q.DataCentre == dataCentre })
-		if !named && at <= asOf && at.SameEra(asOf) {
+		listed := slices.ContainsFunc(all, func(q Request) bool { return q.DataCentre == dataCentre })
+		if !listed && at <= asOf && at.SameEra(asOf) {
 			r.withdraw(dataCentre)
 			changed = true
 		}
@@ -146,28 +148,28 @@
 	return changed
 }
 
-// Inherit keeps from the Record before a reading of the store what that reading does not
-// disprove: requests of earlier eras, as long as they may be written again.
+// Inherit copies from the previous Record what a new read of the store does not disprove:
+// requests of earlier eras, as long as operators may still write them again.
 func (r *Record) Inherit(before *Record) {
 	if before.asOf.SameEra(r.asOf) {
 		r.unsettled, r.withdrawn = before.unsettled, maps.Clone(before.withdrawn)
 	}
 	for dataCentre, at := range before.requests {
-		if _, known := r.requests[dataCentre]; !known && r.unsettled && !at.SameEra(r.asOf) {
+		if _, exists := r.requests[dataCentre]; !exists && r.unsettled && !at.SameEra(r.asOf) {
 			r.set(Request{dataCentre, at})
 		}
 	}
 }
 
-// Settle notes that operators have had their time to write again what a return of the
-// store lost: requests of earlier eras are over.
+// Settle records that operators have had time to write again the changes that the store
+// lost: requests that are known only from earlier eras are dropped.
 func (r *Record) Settle() {
 	r.unsettled, r.withdrawn = false, nil
 	maps.DeleteFunc(r.requests, func(_ string, at store.Position) bool { return !at.SameEra(r.asOf) })
 }
 
-// Word returns what is known of a data centre, nothing where what is missing proves
-// nothing.
+// Word returns the state of a data centre. It is the zero Word if no request is known but,
+// in an unsettled era, that does not prove that there is none.
 func (r *Record) Word(dataCentre string) Word {
 	at, requested := r.requests[dataCentre]
 	switch {
@@ -179,8 +181,8 @@
 	return Word{Evacuated: requested, AsOf: max(r.asOf, at)}
 }
 
-// Weigh returns what holds for a data centre, given the word of another process. Within
-// an era a request that is missing at a later position was withdrawn.
+// Weigh returns the effective state of a data centre, given the state received from another
+// process. Within an era, a request that is missing at a later position has been withdrawn.
 func (r *Record) Weigh(dataCentre string, heard Word) Word {
 	own := r.Word(dataCentre)
 	if own.AsOf == 0 && heard.AsOf != 0 && heard.AsOf.SameEra(r.asOf) {
@@ -189,7 +191,7 @@
 	return own.Newer(heard)
 }
 
-// Requests returns all requests in the order of the data centres' names.
+// Requests returns all requests, ordered by the names of the data centres.
 func (r *Record) Requests() []Request {
 	all := make([]Request, 0, len(r.requests))
 	for _, dataCentre := range slices.Sorted(maps.Keys(r.requests)) {
@@ -198,7 +200,7 @@
 	return all
 }
 
-// Clone returns a copy that does not change with the Record.
+// Clone returns an independent copy of the Record.
 func (r *Record) Clone() Record {
 	return Record{asOf: r.asOf, requests: maps.Clone(r.requests), unsettled: r.unsettled, withdrawn: maps.Clone(r.withdrawn)}
 }
--- a/internal/packetface/evacuation/evacuation_test.go
+++ b/internal/packetface/evacuation/evacuation_test.go
@@ -14,7 +14,7 @@
 	return evacuation.Request{DataCentre: dataCentre, At: revision}
 }
 
-func asked(dataCentre string, revision store.Position) evacuation.Change {
+func requested(dataCentre string, revision store.Position) evacuation.Change {
 	return evacuation.Change{Request: request(dataCentre, revision)}
 }
 
@@ -22,53 +22,54 @@
 	return evacuation.Change{Request: request(dataCentre, revision), Withdrawn: true}
 }
 
-// A watch that begins at an older revision tells changes once more.
-func TestChangesToldTwiceDoNotGoBack(t *testing.T) {
+// A watch that starts at an older revision delivers changes a second time.
+func TestRepeatedChangesAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	var r evacuation.Record
-	history := []evacuation.Change{asked("a", 10), withdrawn("a", 15)}
+	history := []evacuation.Change{requested("a", 10), withdrawn("a", 15)}
 	g.Expect(r.Apply(history, 20)).To(BeTrue())
 	g.Expect(r.Apply(history[:1], 12)).To(BeFalse())
 	g.Expect(r.Word("a")).To(Equal(evacuation.Word{AsOf: 20}))
 }
 
-// A balancer that is turned away by the store tells what it knew.
-func TestAnOlderListingBringsNothingBack(t *testing.T) {
+// A balancer that the store refuses may still distribute its old copy.
+func TestOlderListDoesNotRestoreWithdrawnRequests(t *testing.T) {
 	g := NewWithT(t)
 	var r evacuation.Record
-	r.Apply([]evacuation.Change{asked("a", 10), withdrawn("a", 15), asked("b", 18)}, 20)
+	r.Apply([]evacuation.Change{requested("a", 10), withdrawn("a", 15), requested("b", 18)}, 20)
 	g.Expect(r.Replace([]evacuation.Request{request("a", 10)}, 12)).To(BeFalse())
 	g.Expect(r.Requests()).To(Equal([]evacuation.Request{request("b", 18)}))
 }
 
-func TestANewerListingWithdrawsWhatItLacks(t *testing.T) {
+func TestNewerListWithdrawsMissingRequests(t *testing.T) {
 	g := NewWithT(t)
 	var r evacuation.Record
-	r.Apply([]evacuation.Change{asked("a", 10)}, 10)
+	r.Apply([]evacuation.Change{requested("a", 10)}, 10)
 	g.Expect(r.Replace(nil, 30)).To(BeTrue())
 	g.Expect(r.Word("a")).To(Equal(evacuation.Word{AsOf: 30}))
 }
 
-// Pages of a reading are not one moment: an entry may be newer than the first page.
-func TestARequestAboveTheReadingsRevisionStays(t *testing.T) {
+// The pages of a read of the store are not taken at one moment: an entry may be newer than
+// the position of the first page.
+func TestRequestNewerThanTheReadPositionIsKept(t *testing.T) {
 	g := NewWithT(t)
 	var r evacuation.Record
 	g.Expect(r.Replace([]evacuation.Request{request("a", 25)}, 20)).To(BeTrue())
 	g.Expect(r.Word("a")).To(Equal(evacuation.Word{Evacuated: true, AsOf: 25}))
-	r.Apply([]evacuation.Change{asked("a", 18), withdrawn("a", 22), asked("a", 25)}, 26)
+	r.Apply([]evacuation.Change{requested("a", 18), withdrawn("a", 22), requested("a", 25)}, 26)
 	g.Expect(r.Word("a").Evacuated).To(BeTrue())
 }
 
-func TestOfTwoWordsTheOneThatKnowsMoreCounts(t *testing.T) {
+func TestNewerReturnsTheStateWithTheLaterPosition(t *testing.T) {
 	g := NewWithT(t)
 	old := evacuation.Word{Evacuated: true, AsOf: 10}
-	over := evacuation.Word{AsOf: 15}
-	g.Expect(old.Newer(over)).To(Equal(over))
-	g.Expect(over.Newer(old)).To(Equal(over))
+	withdrawnWord := evacuation.Word{AsOf: 15}
+	g.Expect(old.Newer(withdrawnWord)).To(Equal(withdrawnWord))
+	g.Expect(withdrawnWord.Newer(old)).To(Equal(withdrawnWord))
 	g.Expect(evacuation.Word{AsOf: 10}.Newer(old)).To(Equal(old))
 }
 
-// history is what an operator did, change by change.
+// history is a sequence of an operator's changes.
 type history struct {
 	changes []evacuation.Change
 	// last is the store's last revision.
@@ -87,7 +88,7 @@
 	return h
 }
 
-// at returns all requests that stand at a revision.
+// at returns all requests in force at a revision.
 func (h history) at(revision store.Position) []evacuation.Request {
 	var r evacuation.Record
 	r.Apply(h.until(0, revision), revision)
@@ -104,9 +105,9 @@
 	return out
 }
 
-// Whatever order the news comes in, what a process knows as of a revision is how it
-// was then, and it never knows less than before.
-func TestARecordIsExactAtItsRevision(t *testing.T) {
+// For any order in which changes and lists are received, the record equals the state of the
+// store at the newest position received, and that position never goes back.
+func TestRecordMatchesTheStoreAtItsPosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
 		var r evacuation.Record
--- a/internal/packetface/evacuation/return_test.go
+++ b/internal/packetface/evacuation/return_test.go
@@ -13,58 +13,61 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Tests of a store that comes back from a copy, in another era.
+// Tests of a store that returns from an older copy of its data, in a new era.
 
-// A copy lacked a request that was in force, and operators wrote it again. Its end then
-// had a lower revision than the request of before and was passed over.
-func TestARequestThatACopyLacksStandsAndEnds(t *testing.T) {
+// The copy lacks a request in force, operators write it again, and then withdraw it. The
+// withdrawal has a lower revision than the original request and must not be ignored because
+// of that.
+func TestRequestLostByTheStoreStaysUntilWithdrawn(t *testing.T) {
 	g := NewWithT(t)
 	var r evacuation.Record
-	r.Apply([]evacuation.Change{asked("a", store.At(1, 50))}, store.At(1, 52))
+	r.Apply([]evacuation.Change{requested("a", store.At(1, 50))}, store.At(1, 52))
 	var copied evacuation.Record
 	copied.Replace(nil, store.At(2, 48))
 	copied.Inherit(&r)
 	g.Expect(copied.Word("a")).To(Equal(evacuation.Word{Evacuated: true, AsOf: store.At(1, 50)}))
-	copied.Apply([]evacuation.Change{asked("a", store.At(2, 49))}, store.At(2, 49))
+	copied.Apply([]evacuation.Change{requested("a", store.At(2, 49))}, store.At(2, 49))
 	g.Expect(copied.Word("a")).To(Equal(evacuation.Word{Evacuated: true, AsOf: store.At(2, 49)}))
 	copied.Apply([]evacuation.Change{withdrawn("a", store.At(2, 50))}, store.At(2, 50))
-	g.Expect(copied.Word("a")).To(Equal(evacuation.Word{AsOf: store.At(2, 50)}), "at once")
+	g.Expect(copied.Word("a")).To(Equal(evacuation.Word{AsOf: store.At(2, 50)}), "the withdrawal takes effect at once")
 }
 
-// One that operators do not write again is over once they have had their time.
-func TestARequestThatIsNotWrittenAgainEnds(t *testing.T) {
+// A request that operators do not write again is dropped by Settle.
+func TestRequestNotWrittenAgainEndsAtSettle(t *testing.T) {
 	g := NewWithT(t)
 	var r evacuation.Record
-	r.Apply([]evacuation.Change{asked("a", store.At(1, 50))}, store.At(1, 52))
+	r.Apply([]evacuation.Change{requested("a", store.At(1, 50))}, store.At(1, 52))
 	r.Replace(nil, store.At(2, 60))
 	g.Expect(r.Word("a").Evacuated).To(BeTrue())
 	r.Settle()
 	g.Expect(r.Word("a")).To(Equal(evacuation.Word{AsOf: store.At(2, 60)}))
-	r.Replace(nil, store.At(4, 1)) // two returns at once
-	g.Expect(r.Word("a")).To(Equal(evacuation.Word{}), "what is missing proves nothing again")
+	r.Replace(nil, store.At(4, 1)) // the store has returned twice
+	g.Expect(r.Word("a")).To(Equal(evacuation.Word{}), "absence proves nothing in the new era")
 }
 
-// A process that starts in between knows nothing of the request: what is missing in the
-// copy must not count against another's word, but what is missing later in the same era
-// does.
-func TestAProcessThatStartsInBetweenTakesTheWordOfOthers(t *testing.T) {
+// A process that starts between the store's return and the rewriting does not know the
+// request. Its absence in the copy must not override the state received from another
+// process, but absence at a later position of the same era must.
+func TestProcessStartedAfterTheReturnUsesTheStateOfOthers(t *testing.T) {
 	g := NewWithT(t)
-	var young evacuation.Record
-	young.Replace(nil, store.At(2, 55))
+	var started evacuation.Record
+	started.Replace(nil, store.At(2, 55))
 	before := evacuation.Word{Evacuated: true, AsOf: store.At(1, 60)}
-	g.Expect(young.Word("a")).To(Equal(evacuation.Word{}))
-	g.Expect(young.Weigh("a", before)).To(Equal(before))
-	g.Expect(young.Weigh("a", evacuation.Word{Evacuated: true, AsOf: store.At(2, 50)})).To(Equal(evacuation.Word{AsOf: store.At(2, 55)}))
+	g.Expect(started.Word("a")).To(Equal(evacuation.Word{}))
+	g.Expect(started.Weigh("a", before)).To(Equal(before))
+	g.Expect(started.Weigh("a", evacuation.Word{Evacuated: true, AsOf: store.At(2, 50)})).To(Equal(evacuation.Word{AsOf: store.At(2, 55)}))
 	newer := evacuation.Word{Evacuated: true, AsOf: store.At(2, 56)}
-	g.Expect(young.Weigh("a", newer)).To(Equal(newer))
-	young.Settle()
-	g.Expect(young.Weigh("a", before)).To(Equal(evacuation.Word{AsOf: store.At(2, 55)}))
+	g.Expect(started.Weigh("a", newer)).To(Equal(newer))
+	started.Settle()
+	g.Expect(started.Weigh("a", before)).To(Equal(evacuation.Word{AsOf: store.At(2, 55)}))
 }
 
-// operators write to a store that returns from copies, and write again what it lost.
+// operators simulates a store that returns from copies, and operators who write the lost
+// changes again.
 type operators struct {
 	era, revision uint64
-	// history are the changes that the store has, wanted what operators want empty.
+	// history holds the changes in the store; wanted holds the data centres that operators
+	// want evacuated.
 	history []evacuation.Change
 	wanted  map[string]bool
 }
@@ -76,23 +79,23 @@
 	o.history = append(o.history, change)
 }
 
-// comeBack lets the store return from a copy that has some of its changes; operators
-// write the others again later.
-func (o *operators) comeBack(kept int) (lost []string) {
+// restore makes the store return from a copy that contains the first changes only. It
+// returns the data centres of the lost ones, which operators write again later.
+func (o *operators) restore(kept int) (lost []string) {
 	for _, c := range o.history[kept:] {
 		lost = append(lost, c.DataCentre)
 	}
 	o.history = slices.Clone(o.history[:kept])
 	o.era++
 	o.revision = 0
-	for i := range o.history { // answers of the new era tell its positions
+	for i := range o.history { // in the new era the store reports the changes at positions of that era
 		o.revision = max(o.revision, o.history[i].At.Revision())
 		o.history[i].At = store.At(o.era, o.history[i].At.Revision())
 	}
 	return lost
 }
 
-// standing returns the requests that the store has, and as of which position.
+// standing returns the requests in force in the store, and their position.
 func (o *operators) standing() (all []evacuation.Request, asOf store.Position) {
 	at := map[string]store.Position{}
 	for _, c := range o.history {
@@ -107,13 +110,14 @@
 	return all, store.At(o.era, o.revision)
 }
 
-// Whatever is lost, an evacuation that a process knows stands while operators want it,
-// and once they have written all again the process knows just what they want.
-func TestARecordThroughReturns(t *testing.T) {
+// Whatever the store loses, an evacuation that a process knows stays in force while
+// operators want it. Once they have written all changes again, the record matches what they
+// want.
+func TestRecordMatchesOperatorsIntentAcrossReturns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &operators{era: 1, wanted: map[string]bool{}}
 		var r evacuation.Record
-		known := map[string]bool{} // wanted, and taken in
+		known := map[string]bool{} // requests that operators want and that the record has received
 		var again []string
 		learn := func() {
 			all, asOf := o.standing()
@@ -137,7 +141,7 @@
 				o.write(name, rapid.Bool().Draw(t, "wanted"))
 				known[name] = known[name] && o.wanted[name]
 			case 1:
-				again = append(again, o.comeBack(rapid.IntRange(0, len(o.history)).Draw(t, "kept"))...)
+				again = append(again, o.restore(rapid.IntRange(0, len(o.history)).Draw(t, "kept"))...)
 			case 2:
 				if len(again) > 0 {
 					i := rapid.IntRange(0, len(again)-1).Draw(t, "which")
@@ -149,7 +153,7 @@
 			}
 			for name, is := range known {
 				if is && !r.Word(name).Evacuated {
-					t.Fatalf("%s is not evacuated any more: %+v", name, r)
+					t.Fatalf("%s is no longer evacuated: %+v", name, r)
 				}
 			}
 		}
