--- a/internal/packetface/admission/admission.go
+++ b/internal/packetface/admission/admission.go
@@ -34,8 +34,8 @@
 	spareAnswers = 6
 	// slotShare is the share of the slots that requests past their aim are assumed to get
 	// while they wait. Requests that arrive meanwhile take the rest, and answers take
-	// longer while an upstream is cold. With 0.5 and 0.35 as many requests are lost in the
-	// simulated burst, and fewer of the others are in time.
+	// longer while an upstream is cold. With 0.5 or 0.35 as many requests are lost in the
+	// simulated burst, and fewer of the others are answered in time.
 	slotShare = 0.75
 	// minRetryTimeLeft is the share of its timeout that a possible retry must have left at
 	// its admission for the deadline of the first attempt to apply to it. The value lies
@@ -53,10 +53,10 @@
 	Rank uint8
 	// Arrived is when the request began to wait here.
 	Arrived time.Duration
-	// Asked is when the caller made the request, as far as known. Suspected is when the
-	// caller may have made its first attempt if the request may be a retry, and equals
+	// Asked is when the caller made the request, as far as known. EarliestAttempt is when
+	// the caller may have made its first attempt if the request may be a retry, and equals
 	// Asked otherwise.
-	Asked, Suspected time.Duration
+	Asked, EarliestAttempt time.Duration
 	// Aim is the time within which the caller wants the answer, Timeout that after which it
 	// gives up; 0 if the route does not state it.
 	Aim, Timeout time.Duration
@@ -88,7 +88,7 @@
 // would have little time left is treated as a first try, too: most such requests would be
 // lost anyway, and running them first would make all requests late that arrive meanwhile.
 func (r *Request) deadline(now time.Duration) time.Duration {
-	early := r.Suspected + r.Timeout
+	early := r.EarliestAttempt + r.Timeout
 	savable := early-r.Asked >= time.Duration(minRetryTimeLeft*float64(r.Timeout))
 	if savable && now < early {
 		return early
@@ -96,9 +96,9 @@
 	return r.Asked + r.Timeout
 }
 
-// hopeless reports whether the caller will give up before an answer of mean response time
-// arrives.
-func (r *Request) hopeless(now time.Duration, p Pace) bool {
+// missesTimeout reports whether the caller will give up before an answer of mean response
+// time arrives.
+func (r *Request) missesTimeout(now time.Duration, p Pace) bool {
 	return r.Timeout > 0 && r.deadline(now) < now+p.Answer+transitTime
 }
 
--- a/internal/packetface/admission/burst_test.go
+++ b/internal/packetface/admission/burst_test.go
@@ -99,9 +99,9 @@
 func (r *queueOrder) add(a *simRequest, now time.Duration) {
 	seen := now - a.copy
 	q := admission.Request{Rank: a.kind.rank, Arrived: now, Asked: seen, Aim: a.kind.aim, Timeout: a.kind.timeout}
-	q.Suspected = seen
+	q.EarliestAttempt = seen
 	if !r.ignoreRetries && admission.MayRepeat(seen-a.back) {
-		q.Suspected -= admission.RetryInterval
+		q.EarliestAttempt -= admission.RetryInterval
 	}
 	r.queue.Add(q, a)
 }
--- a/internal/packetface/admission/queue.go
+++ b/internal/packetface/admission/queue.go
@@ -143,7 +143,7 @@
 	q.late, q.ranks = q.late[:0], q.ranks[:0]
 	for i := range q.waiting {
 		r := &q.waiting[i].Request
-		if r.Timeout == 0 || r.hopeless(now, p) || !r.late(now, p) {
+		if r.Timeout == 0 || r.missesTimeout(now, p) || !r.late(now, p) {
 			continue
 		}
 		q.late = append(q.late, lateRequest{at: i, rank: r.Rank, deadline: r.deadline(now)})
@@ -165,8 +165,8 @@
 	if late := a.late(now, p); late != b.late(now, p) {
 		return !late
 	}
-	if hopeless := a.hopeless(now, p); !q.LateLast && hopeless != b.hopeless(now, p) {
-		return !hopeless
+	if missesTimeout := a.missesTimeout(now, p); !q.LateLast && missesTimeout != b.missesTimeout(now, p) {
+		return !missesTimeout
 	}
 	if a.FirstTry != b.FirstTry {
 		return a.FirstTry
--- a/internal/packetface/admission/queue_test.go
+++ b/internal/packetface/admission/queue_test.go
@@ -15,7 +15,7 @@
 // since returns a request that was made the given time ago, with an aim of 150 ms and a
 // timeout of 2.5 s.
 func since(age time.Duration, rank uint8) admission.Request {
-	return admission.Request{Rank: rank, Arrived: now - age, Asked: now - age, Suspected: now - age, Aim: 150 * ms, Timeout: 2500 * ms}
+	return admission.Request{Rank: rank, Arrived: now - age, Asked: now - age, EarliestAttempt: now - age, Aim: 150 * ms, Timeout: 2500 * ms}
 }
 
 const now = 100 * time.Second
@@ -23,11 +23,11 @@
 var pace = admission.Pace{Slots: 4, Answer: 30 * ms}
 
 func TestNextChoosesByDeadlineAndRank(t *testing.T) {
-	suspected := since(850*ms, 2)
-	suspected.Suspected -= 1500 * ms
+	possibleRetry := since(850*ms, 2)
+	possibleRetry.EarliestAttempt -= 1500 * ms
 	shortTimeout := since(350*ms, 2)
 	shortTimeout.Timeout = 2 * time.Second
-	shortTimeout.Suspected -= 1500 * ms
+	shortTimeout.EarliestAttempt -= 1500 * ms
 	noTimeout := since(10*time.Second, 2)
 	noTimeout.Timeout = 0
 	cases := []struct {
@@ -40,7 +40,7 @@
 		{"a late request runs first once it might miss its deadline", map[string]admission.Request{"late": since(2320*ms, 2), "in time": since(10*ms, 2)}, "late"},
 		{"the earlier deadline of two late requests runs first", map[string]admission.Request{"late": since(2330*ms, 2), "later": since(2320*ms, 2)}, "late"},
 		{"a request whose caller gives up before the answer runs last", map[string]admission.Request{"hopeless": since(2490*ms, 2), "late": since(500*ms, 2)}, "late"},
-		{"a possible retry runs at the deadline of its first attempt", map[string]admission.Request{"suspected": suspected, "in time": since(10*ms, 2)}, "suspected"},
+		{"a possible retry runs at the deadline of its first attempt", map[string]admission.Request{"suspected": possibleRetry, "in time": since(10*ms, 2)}, "suspected"},
 		{"a possible retry with little time left counts as a first try", map[string]admission.Request{"hasty": shortTimeout, "in time": since(10*ms, 2)}, "in time"},
 		{"a pressing request runs before an urgent one in time", map[string]admission.Request{"late": since(2320*ms, 2), "urgent": since(10*ms, 1)}, "late"},
 		{"the more urgent of two pressing requests runs first", map[string]admission.Request{"late": since(2330*ms, 2), "urgent": since(2320*ms, 1)}, "urgent"},
--- a/internal/packetface/coldrate/coldrate.go
+++ b/internal/packetface/coldrate/coldrate.go
@@ -59,8 +59,8 @@
 	return len(w.admitted) < b.Usual
 }
 
-// Take records an admitted flow.
-func (w *Window) Take(now time.Duration, b Bounds) {
+// Add records an admitted flow.
+func (w *Window) Add(now time.Duration, b Bounds) {
 	if b.Usual == 0 {
 		w.admitted = w.admitted[:0]
 		return
--- a/internal/packetface/coldrate/coldrate_test.go
+++ b/internal/packetface/coldrate/coldrate_test.go
@@ -22,7 +22,7 @@
 	var w coldrate.Window
 	for range 1000 {
 		g.Expect(w.Allows(time.Second, coldrate.Bounds{}, false)).To(BeTrue())
-		w.Take(time.Second, coldrate.Bounds{})
+		w.Add(time.Second, coldrate.Bounds{})
 	}
 }
 
@@ -39,7 +39,7 @@
 			if !w.Allows(now, b, must) {
 				continue
 			}
-			w.Take(now, b)
+			w.Add(now, b)
 			taken = append(taken, now)
 		}
 		for i := range taken {
--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -33,8 +33,8 @@
 }
 
 // Newer returns the state with the later position. If the positions are equal, it returns
-// the evacuated one: learning of a withdrawal late costs a choice of upstreams, whereas
-// ignoring a request breaks the guarantee given to operators.
+// the evacuated one: if a withdrawal takes effect late, there are only fewer upstreams to
+// choose from, whereas ignoring a request breaks the guarantee given to operators.
 func (w Word) Newer(o Word) Word {
 	if o.AsOf > w.AsOf || o.AsOf == w.AsOf && o.Evacuated {
 		return o
--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -87,7 +87,7 @@
 	f := g.flows[id]
 	if f == nil {
 		f = g.addFlow(id, now, flowOpening)
-		g.cold.window.Take(now, g.coldBounds(now))
+		g.cold.window.Add(now, g.coldBounds(now))
 		f.openingAge, f.retryOffset = late, repeated
 		g.note(now, Note{Kind: KindOpened, Flow: id, Peer: from})
 	}
--- a/internal/packetface/gate/answer.go
+++ b/internal/packetface/gate/answer.go
@@ -70,7 +70,7 @@
 // entry, and sends the status to all balancers, as those that removed the agent from their
 // tables while it was silent would otherwise learn of it late.
 func (g *Gate) SetSeen(now time.Duration, at store.Position) *Result {
-	g.begin()
+	g.resetResult()
 	g.ownPosition = at
 	g.announce(now)
 	return &g.out
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -286,7 +286,7 @@
 // SetTimes replaces the settings that may change while the process runs.
 func (g *Gate) SetTimes(t Times) { g.settings.Times = t }
 
-func (g *Gate) begin() {
+func (g *Gate) resetResult() {
 	g.out.Actions, g.out.Notes = g.out.Actions[:0], g.out.Notes[:0]
 	g.out.Answered, g.out.Waited = g.out.Answered[:0], g.out.Waited[:0]
 	g.buffer = g.buffer[:0]
@@ -311,7 +311,7 @@
 
 // FromBalancer handles a datagram from a balancer.
 func (g *Gate) FromBalancer(now time.Duration, from netip.AddrPort, b []byte) (*Result, error) {
-	g.begin()
+	g.resetResult()
 	g.lastDatagram = now
 	g.balancers[from] = now
 	g.idle.noteDatagram(from)
@@ -338,7 +338,7 @@
 // Tick performs the periodic work: it detects silent upstreams, releases waiting requests
 // and removes expired state.
 func (g *Gate) Tick(now time.Duration) *Result {
-	g.begin()
+	g.resetResult()
 	g.pastSettleTime = now >= settleTime
 	g.checkUpstream(now)
 	g.checkVerdict(now)
--- a/internal/packetface/gate/idle.go
+++ b/internal/packetface/gate/idle.go
@@ -77,7 +77,7 @@
 // is pending: balancers do not know an entry yet that has just been written. If no balancer
 // answers, TakeAlone returns true.
 func (g *Gate) CheckListed(now time.Duration, written bool) *Result {
-	g.begin()
+	g.resetResult()
 	i := &g.idle
 	if !written {
 		i.lastCheck, i.unanswered = now, 0
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -91,7 +91,7 @@
 // contested is false if the current instance has ended or is overdue; the caller must then
 // process the heartbeat as usual.
 func (g *Gate) Contest(now time.Duration, beat platform.Heartbeat) (result *Result, contested bool) {
-	g.begin()
+	g.resetResult()
 	if g.upstream.unknown() || g.overdue(now) {
 		return &g.out, false
 	}
--- a/internal/packetface/gate/queue.go
+++ b/internal/packetface/gate/queue.go
@@ -39,12 +39,12 @@
 func (w *waiting) request() admission.Request {
 	f := w.flow
 	r := admission.Request{
-		Rank: f.terms.Rank, Arrived: w.since, Asked: w.since, Suspected: w.since,
+		Rank: f.terms.Rank, Arrived: w.since, Asked: w.since, EarliestAttempt: w.since,
 		Aim: f.terms.Aim, Timeout: f.terms.Timeout, FirstTry: f.served,
 	}
 	if !f.served {
 		r.Asked -= f.openingAge
-		r.Suspected = r.Asked - f.retryOffset
+		r.EarliestAttempt = r.Asked - f.retryOffset
 	}
 	return r
 }
--- a/internal/packetface/gate/reply.go
+++ b/internal/packetface/gate/reply.go
@@ -11,7 +11,7 @@
 // FromUpstream handles a packet that the upstream sent, or one that it returned without
 // accepting it (FlagBounced).
 func (g *Gate) FromUpstream(now time.Duration, b []byte) (*Result, error) {
-	g.begin()
+	g.resetResult()
 	p, err := platform.ParsePacket(b)
 	if err != nil {
 		return &g.out, err
@@ -19,17 +19,17 @@
 	g.upstream.refused, g.unansweredOpenings = 0, unansweredOpenings{}
 	if p.Flags.Has(platform.FlagBounced) {
 		platform.ClearBounced(b)
-		g.bounced(now, &p, b)
+		g.handleBounced(now, &p, b)
 	} else {
-		g.reply(now, &p, b)
+		g.handleReply(now, &p, b)
 	}
 	g.release(now)
 	return &g.out, nil
 }
 
-// bounced returns a packet that the upstream did not accept to the balancer that forwarded
-// it.
-func (g *Gate) bounced(now time.Duration, p *platform.Packet, b []byte) {
+// handleBounced returns a packet that the upstream did not accept to the balancer that
+// forwarded it.
+func (g *Gate) handleBounced(now time.Duration, p *platform.Packet, b []byte) {
 	id := p.FromCaller()
 	f := g.flows[id]
 	if f == nil {
@@ -48,8 +48,8 @@
 	g.returnPacket(now, balancer, id, reason, b)
 }
 
-// reply sends a packet of the upstream to its caller.
-func (g *Gate) reply(now time.Duration, p *platform.Packet, b []byte) {
+// handleReply sends a packet of the upstream to its caller.
+func (g *Gate) handleReply(now time.Duration, p *platform.Packet, b []byte) {
 	id := p.FromUpstream()
 	f := g.flows[id]
 	if f == nil {
@@ -73,7 +73,7 @@
 	// Packets may be reordered on the way to this socket, so that the end of a flow arrives
 	// before the answer. It then counts as the answer.
 	if f.running && (p.Length > 0 || p.Flags.Has(platform.FlagFIN)) {
-		g.answered(now, id, f)
+		g.recordAnswer(now, id, f)
 	}
 	if p.Flags.Has(platform.FlagFIN) {
 		f.upstreamDone = true
@@ -99,8 +99,8 @@
 	return flowOpen
 }
 
-// answered records that the upstream answers the running request of a flow.
-func (g *Gate) answered(now time.Duration, id platform.Flow, f *flow) {
+// recordAnswer records that the upstream answers the running request of a flow.
+func (g *Gate) recordAnswer(now time.Duration, id platform.Flow, f *flow) {
 	g.setRunning(f, false)
 	f.served = true
 	g.addLatency(now, now-f.requestedAt)
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -28,7 +28,7 @@
 // Heartbeat handles a heartbeat of the upstream. An outdated one is acknowledged, too, so
 // that its sender does not repeat it.
 func (g *Gate) Heartbeat(now time.Duration, beat platform.Heartbeat) (result *Result, ok bool) {
-	g.begin()
+	g.resetResult()
 	u := &g.upstream
 	same := beat.Life.Same(u.instance)
 	if same && beat.Sequence <= u.sequence {
@@ -71,7 +71,7 @@
 
 // Left handles the announcement of an instance of the upstream that it ends.
 func (g *Gate) Left(now time.Duration, instance platform.Life) (result *Result, ok bool) {
-	g.begin()
+	g.resetResult()
 	if !g.upstream.endedBy(instance) {
 		g.note(now, Note{Kind: KindUpstream, Reason: "ignored outdated leave of " + instance.String()})
 		return &g.out, true
@@ -92,7 +92,7 @@
 // Refused handles a packet to the upstream that was refused because no socket listened.
 // Several in a row, refusalSpan apart, show that the upstream has ended.
 func (g *Gate) Refused(now time.Duration) *Result {
-	g.begin()
+	g.resetResult()
 	u := &g.upstream
 	if u.refused == 0 {
 		u.refusedAt = now
@@ -159,7 +159,7 @@
 
 // Stop begins the shutdown of the agent: no new flows are admitted, open flows continue.
 func (g *Gate) Stop(now time.Duration) *Result {
-	g.begin()
+	g.resetResult()
 	g.stopping = true
 	g.announce(now)
 	if g.upstream.left {
