--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -83,12 +83,12 @@
 
 // admit forwards an opening packet to the upstream. It counts a new flow against the bounds
 // of a cold upstream; a retransmission is not counted again.
-func (g *Gate) admit(now time.Duration, from netip.AddrPort, id platform.Flow, late, repeated time.Duration, packet []byte) {
+func (g *Gate) admit(now time.Duration, from netip.AddrPort, id platform.Flow, age, offset time.Duration, packet []byte) {
 	f := g.flows[id]
 	if f == nil {
 		f = g.addFlow(id, now, flowOpening)
 		g.cold.window.Add(now, g.coldBounds(now))
-		f.openingAge, f.retryOffset = late, repeated
+		f.openingAge, f.retryOffset = age, offset
 		g.note(now, Note{Kind: KindOpened, Flow: id, Peer: from})
 	}
 	f.balancer, f.lastPacket = from, now
--- a/internal/packetface/gate/cold.go
+++ b/internal/packetface/gate/cold.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// roundUp returns the next multiple of reportedStep.
+// roundUp returns the next multiple of warmupRounding.
 func roundUp(d time.Duration) time.Duration {
 	return (d + warmupRounding - 1) / warmupRounding * warmupRounding
 }
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -199,9 +199,10 @@
 	// initialColdFor is the remaining cold time given in the first heartbeat received from
 	// this instance, 0 if that does not allow a conclusion about the instance's start.
 	initialColdFor time.Duration
-	// fullyObserved is true if the agent has seen every packet of this instance. confirmed
-	// is true if the instance is known from more than one heartbeat; a single one may have
-	// been delayed.
+	// fullyObserved is true if every packet of this instance has gone through this agent
+	// process, so that a flow that the agent does not know is not held. confirmed is false
+	// if the instance is known only from a single heartbeat that was not its first: that
+	// heartbeat may have been delayed.
 	fullyObserved, confirmed bool
 	// sentPacket is true once the upstream has sent a packet since the agent's start that
 	// only a running upstream sends.
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -74,9 +74,8 @@
 }
 
 // successionOfRestart returns the succession for an instance that has certainly started
-// after the current one. The current one has then ended, unless it is known from a single
-// heartbeat: that heartbeat may have been delayed, and flows seen since may belong to the
-// new instance.
+// after the current one. The current one has then ended, unless it is unconfirmed: its only
+// heartbeat may have been delayed, and flows seen since may belong to the new instance.
 func (g *Gate) successionOfRestart() succession {
 	if g.upstream.confirmed {
 		return successionCertain
@@ -88,8 +87,8 @@
 // against the configuration. As long as the current instance reports, the other's heartbeat
 // may be wrong. But if the address has been reused, a request for the current service must
 // not run there, so the upstream gets no new flow until either instance reports again.
-// contested is false if the current instance has ended or is overdue; the caller must then
-// process the heartbeat as usual.
+// contested is false if the current instance has ended or is overdue; the heartbeat must
+// then be processed as usual.
 func (g *Gate) Contest(now time.Duration, beat platform.Heartbeat) (result *Result, contested bool) {
 	g.resetResult()
 	if g.upstream.unknown() || g.overdue(now) {
--- a/internal/packetface/gate/verdict.go
+++ b/internal/packetface/gate/verdict.go
@@ -91,7 +91,8 @@
 }
 
 // checkVerdict detects an upstream that does not answer opening packets, and announces
-// changes of the verdict that are due to elapsed time.
+// changes of the verdict that are due to elapsed time. It also detects pauses of the
+// process, after which missing answers are not counted.
 func (g *Gate) checkVerdict(now time.Duration) {
 	if g.lastCall != 0 && now-g.lastCall > pauseThreshold {
 		g.resumed = now
@@ -129,7 +130,7 @@
 // judge.
 func (g *Gate) resetByUpstream(now time.Duration, id platform.Flow, f *flow) {
 	if !f.running {
-		return // the flow had no running request
+		return // without a running request a reset is no failure
 	}
 	change, changed := g.judge.ResetBy(now, f.requestedAt, id)
 	g.applyVerdictChange(now, change, changed)
