--- a/internal/packetface/coldrate/coldrate_test.go
+++ b/internal/packetface/coldrate/coldrate_test.go
@@ -10,24 +10,24 @@
 	"github.com/saltbend/saltbend/internal/packetface/coldrate"
 )
 
-func TestBounds(t *testing.T) {
+func TestNewBounds(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(coldrate.NewBounds(0, 1.5)).To(Equal(coldrate.Bounds{}))
 	g.Expect(coldrate.NewBounds(0.4, 0)).To(Equal(coldrate.Bounds{Usual: 1, Most: 1}))
 	g.Expect(coldrate.NewBounds(20, 1.5)).To(Equal(coldrate.Bounds{Usual: 20, Most: 27}))
 }
 
-func TestWithoutABoundAllIsLetIn(t *testing.T) {
+func TestAllFlowsAreAllowedWithoutABound(t *testing.T) {
 	g := NewWithT(t)
 	var w coldrate.Window
 	for range 1000 {
 		g.Expect(w.Allows(time.Second, coldrate.Bounds{}, false)).To(BeTrue())
-		w.Take(time.Second, coldrate.Bounds{})
+		w.Add(time.Second, coldrate.Bounds{})
 	}
 }
 
-// Whatever the arrivals, no second that slides has more than the bound.
-func TestNoSecondHasMoreThanTheBound(t *testing.T) {
+// For any arrivals, no sliding second contains more flows than the bound.
+func TestSlidingSecondNeverExceedsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := coldrate.NewBounds(rapid.Float64Range(0.1, 30).Draw(t, "rate"), rapid.Float64Range(0, 3).Draw(t, "overage"))
 		var w coldrate.Window
@@ -39,7 +39,7 @@
 			if !w.Allows(now, b, must) {
 				continue
 			}
-			w.Take(now, b)
+			w.Add(now, b)
 			taken = append(taken, now)
 		}
 		for i := range taken {
