--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -27,43 +27,43 @@
 
 // Times of the observation of agents.
 const (
-	// statusAgeOpen and statusAgeCarry are the ages of a status beyond which an
+	// maxStatusAgeOpen and statusAgeCarry are the ages of a status beyond which an
 	// opening packet, or another one, asks for a new one. Each opening packet
 	// does, so that the agent's silence tells that it got none.
-	statusAgeOpen  = 0
-	statusAgeCarry = 250 * time.Millisecond
-	// askAgain is the time after which an unanswered request for a status is
+	maxStatusAgeOpen    = 0
+	maxStatusAgeForward = 250 * time.Millisecond
+	// pollRetryInterval is the time after which an unanswered request for a status is
 	// repeated; a slow host answers within some 50 ms.
-	askAgain = 100 * time.Millisecond
-	// absentPolls is the silence after which polls become rarer.
-	absentPolls = 3 * time.Second
-	// askAbsent is the same for an agent that has been silent for long.
-	askAbsent = 300 * time.Millisecond
+	pollRetryInterval = 100 * time.Millisecond
+	// slowPollAfter is the silence after which polls become rarer.
+	slowPollAfter = 3 * time.Second
+	// slowPollInterval is the same for an agent that has been silent for long.
+	slowPollInterval = 300 * time.Millisecond
 	// suspectAfter is the silence after which an agent gets no new flows, given
 	// that suspectAsks requests went unanswered.
-	suspectAfter = 250 * time.Millisecond
-	suspectAsks  = 2
+	suspectAfter       = 250 * time.Millisecond
+	suspectMinRequests = 2
 	// DefaultAbsentAfter is the silence after which an agent counts as absent.
 	DefaultAbsentAfter = time.Second
-	// restartTime is the same for one that said it stops: its upstream lives, and
+	// restartAllowance is the same for one that said it stops: its upstream lives, and
 	// a new process comes within the grace.
-	restartTime = 7 * time.Second
-	// absentPart is the part of all agents that may count as absent, as one in
+	restartAllowance = 7 * time.Second
+	// absentDivisor is the part of all agents that may count as absent, as one in
 	// so many: where more are silent, it is the balancer that is cut off.
-	absentPart = 3
-	// goneAfter is the silence after which an agent that the store no longer
+	absentDivisor = 3
+	// removeAfter is the silence after which an agent that the store no longer
 	// lists is forgotten: one whose entry lapsed while the store was away is
 	// back within 2 s.
-	goneAfter = 2 * time.Second
-	// goneMemory is how long an agent that was forgotten is known again when it
+	removeAfter = 2 * time.Second
+	// removedRetention is how long an agent that was forgotten is known again when it
 	// speaks: frozen hosts wake within that time, and upstreams begin another life.
-	goneMemory = 30 * time.Second
-	// maxPolled is the number of agents beyond which only those of the service are polled
+	removedRetention = 30 * time.Second
+	// maxPolledAgents is the number of agents beyond which only those of the service are polled
 	// when one falls silent.
-	maxPolled = 1024
-	// unlistedPoll is the time between two polls of an agent that the store no
+	maxPolledAgents = 1024
+	// unlistedPollInterval is the time between two polls of an agent that the store no
 	// longer lists.
-	unlistedPoll = 200 * time.Millisecond
+	unlistedPollInterval = 200 * time.Millisecond
 )
 
 // agent is what the balancer knows of one agent.
@@ -72,42 +72,42 @@
 	// id is the agent's number in searches.
 	id     search.ID
 	status inner.Status
-	// heard is when the last datagram came from it, 0 for never; statusAt when
+	// lastReceived is when the last datagram came from it, 0 for never; statusAt when
 	// the last status came.
-	heard, statusAt time.Duration
-	// waiting is when the first request went out that is not answered yet, 0
-	// for none; unanswered counts those requests, lastAsk is the latest.
-	waiting, lastAsk time.Duration
-	unanswered       int
-	suspected        bool
-	// warmupTold is the warm-up that its last status told, warmupSent the one that it was
+	lastReceived, statusAt time.Duration
+	// waitingSince is when the first request went out that is not answered yet, 0
+	// for none; unanswered counts those requests, lastRequest is the latest.
+	waitingSince, lastRequest time.Duration
+	unanswered                int
+	suspected                 bool
+	// warmupReported is the warm-up that its last status told, warmupSent the one that it was
 	// told with the last poll.
-	warmupTold, warmupSent time.Duration
+	warmupReported, warmupSent time.Duration
 	// pending counts the flows placed since the last status.
 	pending int
 	// questions are those that wait to be sent.
 	questions []inner.Question
 	// evacuation is the newest word on its data centre.
 	evacuation evacuation.Word
-	// owed is the position of a list that the agent has to know of.
-	owed store.Position
-	// unlisted is since when the store does not list it, 0 if it does.
-	unlisted time.Duration
-	removed  bool
+	// requiredListing is the position of a list that the agent has to know of.
+	requiredListing store.Position
+	// unlistedSince is since when the store does not list it, 0 if it does.
+	unlistedSince time.Duration
+	removed       bool
 }
 
-func (a *agent) asked(now time.Duration) {
-	if a.waiting == 0 {
-		a.waiting = now
+func (a *agent) noteRequest(now time.Duration) {
+	if a.waitingSince == 0 {
+		a.waitingSince = now
 	}
 	a.unanswered++
-	a.lastAsk = now
+	a.lastRequest = now
 }
 
-// hear notes a sign of life; it reports whether the agent was suspected.
-func (a *agent) hear(now time.Duration) bool {
+// noteReceived notes a sign of life; it reports whether the agent was suspected.
+func (a *agent) noteReceived(now time.Duration) bool {
 	was := a.suspected
-	a.heard, a.waiting, a.unanswered, a.suspected = now, 0, 0, false
+	a.lastReceived, a.waitingSince, a.unanswered, a.suspected = now, 0, 0, false
 	return was
 }
 
@@ -115,40 +115,40 @@
 	a.status, a.statusAt, a.pending = s, now, 0
 }
 
-// tellLoad takes over the load that an agent told with a packet that it returned.
-func (a *agent) tellLoad(now time.Duration, running uint16) {
+// setRunning takes over the load that an agent told with a packet that it returned.
+func (a *agent) setRunning(now time.Duration, running uint16) {
 	a.status.Running, a.statusAt, a.pending = max(running, a.status.Slots), now, 0
 }
 
-// wantStatus reports whether what is known is older than age and no request
+// needsStatus reports whether what is known is older than age and no request
 // is on its way.
-func (a *agent) wantStatus(now, age time.Duration) bool {
-	if a.waiting != 0 {
-		return now-a.lastAsk > askAgain
+func (a *agent) needsStatus(now, age time.Duration) bool {
+	if a.waitingSince != 0 {
+		return now-a.lastRequest > pollRetryInterval
 	}
 	return a.statusAt == 0 || now-a.statusAt >= age
 }
 
-// suspect reports whether the agent has been silent although asked.
-func (a *agent) suspect(now time.Duration) bool {
-	return a.waiting != 0 && now-a.waiting > suspectAfter && a.unanswered >= suspectAsks
+// isSuspect reports whether the agent has been silent although asked.
+func (a *agent) isSuspect(now time.Duration) bool {
+	return a.waitingSince != 0 && now-a.waitingSince > suspectAfter && a.unanswered >= suspectMinRequests
 }
 
-// absent reports whether the agent has left requests unanswered for so long that
+// isAbsent reports whether the agent has left requests unanswered for so long that
 // its flows stand still.
-func (a *agent) absent(now, after time.Duration) bool {
-	if after <= 0 || !a.suspect(now) {
+func (a *agent) isAbsent(now, after time.Duration) bool {
+	if after <= 0 || !a.isSuspect(now) {
 		return false
 	}
 	if a.status.State == inner.StateStopping {
-		after = max(after, restartTime)
+		after = max(after, restartAllowance)
 	}
-	return now-a.waiting > after
+	return now-a.waitingSince > after
 }
 
-// drop forgets an agent, also in searches: they must not wait for one that is gone.
-func (c *Core) drop(a *agent) {
-	for _, q := range c.asks {
+// removeAgent forgets an agent, also in searches: they must not wait for one that is gone.
+func (c *Core) removeAgent(a *agent) {
+	for _, q := range c.searches {
 		q.search.Forget(a.id)
 	}
 	c.questioned = slices.DeleteFunc(c.questioned, func(other *agent) bool { return other == a })
@@ -159,8 +159,8 @@
 // missing stays while it answers: the list may be wrong, the agent knows.
 func (c *Core) SetAgents(now time.Duration, listed []Agent, age ListAge) *Result {
 	c.begin(now)
-	if c.roster.first == 0 || age.AsOf.Era() > c.roster.age.AsOf.Era() {
-		c.roster.first = now // one of another era may lack agents that the list before had
+	if c.roster.firstListAt == 0 || age.AsOf.Era() > c.roster.age.AsOf.Era() {
+		c.roster.firstListAt = now // one of another era may lack agents that the list before had
 	}
 	c.roster.age = c.roster.age.max(age)
 	seen := make(map[netip.AddrPort]bool, len(listed))
@@ -170,18 +170,18 @@
 		if entry.Warmup > 0 {
 			c.roster.warmups[entry.Service] = max(c.roster.warmups[entry.Service], entry.Warmup)
 		}
-		if c.list(entry) {
+		if c.applyEntry(entry) {
 			grown[entry.Service] = true
 		}
 	}
-	c.tellSiblings(now, grown)
+	c.pollSiblings(now, grown)
 	for _, a := range c.roster.list {
-		if !seen[a.Addr] && a.unlisted == 0 {
-			a.unlisted = now
-			c.note(Note{Kind: KindUnlisted, Agent: a.Addr, Age: now - a.heard})
+		if !seen[a.Addr] && a.unlistedSince == 0 {
+			a.unlistedSince = now
+			c.note(Note{Kind: KindUnlisted, Agent: a.Addr, Age: now - a.lastReceived})
 		}
 	}
-	c.openEarly(now)
+	c.placeEarly(now)
 	return &c.out
 }
 
@@ -194,29 +194,29 @@
 		if c.roster.agents[agent.Addr] != nil {
 			continue
 		}
-		c.list(agent)
+		c.applyEntry(agent)
 		a := c.roster.agents[agent.Addr]
-		a.unlisted = now
+		a.unlistedSince = now
 		c.note(Note{Kind: KindUnlisted, Agent: a.Addr, Reason: "told-by-a-seed"})
 		c.poll(now, a)
 	}
 	return &c.out
 }
 
-// returnGone takes an agent that speaks after it was forgotten as one that the
+// restoreRemoved takes an agent that speaks after it was forgotten as one that the
 // store does not list, nil if it was none of those. One whose upstream is down
 // has nothing to say.
-func (c *Core) returnGone(now time.Duration, from netip.AddrPort, b []byte) *agent {
-	gone, ok := c.roster.gone[from]
+func (c *Core) restoreRemoved(now time.Duration, from netip.AddrPort, b []byte) *agent {
+	gone, ok := c.roster.removed[from]
 	if !ok || now >= gone.until {
 		return nil
 	}
 	if s, err := inner.ParseStatus(b); err != nil || s.State == inner.StateDown {
 		return nil // all that an agent tells of its own accord are statuses
 	}
-	c.list(gone.Agent)
+	c.applyEntry(gone.Agent)
 	a := c.roster.agents[from]
-	a.unlisted = now
+	a.unlistedSince = now
 	return a
 }
 
@@ -233,23 +233,23 @@
 func (c *Core) Unlisted() []Agent {
 	var out []Agent
 	for _, a := range c.roster.list {
-		if a.unlisted != 0 {
+		if a.unlistedSince != 0 {
 			out = append(out, a.Agent)
 		}
 	}
 	return out
 }
 
-// list takes over one entry; it reports whether the agent is new.
-func (c *Core) list(entry Agent) bool {
+// applyEntry takes over one entry; it reports whether the agent is new.
+func (c *Core) applyEntry(entry Agent) bool {
 	a := c.roster.agents[entry.Addr]
 	if a != nil && a.Service != entry.Service {
-		c.drop(a) // the address belongs to another service now
+		c.removeAgent(a) // the address belongs to another service now
 		c.note(Note{Kind: KindGone, Agent: a.Addr, Reason: "address-reused"})
 		a = nil
 	}
 	if a == nil {
-		delete(c.roster.gone, entry.Addr)
+		delete(c.roster.removed, entry.Addr)
 		a = &agent{Agent: entry, evacuation: c.evacuations.Word(entry.DataCentre)}
 		c.roster.add(a)
 		c.note(Note{Kind: KindListed, Agent: a.Addr, Reason: entry.DataCentre})
@@ -258,43 +258,43 @@
 	if a.DataCentre != entry.DataCentre {
 		a.evacuation = c.evacuations.Word(entry.DataCentre)
 	}
-	a.Agent, a.unlisted = entry, 0
+	a.Agent, a.unlistedSince = entry, 0
 	return false
 }
 
-// tellSiblings polls all agents of the services that have new ones, until each
+// pollSiblings polls all agents of the services that have new ones, until each
 // has said that it knows. They then know of the newer list before the first flow
 // is placed there, and balancers that lack the new agent hear from them that they
 // do.
-func (c *Core) tellSiblings(now time.Duration, grown map[uint64]bool) {
+func (c *Core) pollSiblings(now time.Duration, grown map[uint64]bool) {
 	for _, a := range c.roster.list {
 		if grown[a.Service] {
-			a.owed = c.roster.age.Newest
+			a.requiredListing = c.roster.age.Newest
 			c.poll(now, a)
 		}
 	}
 }
 
-// resume begins anew to wait for agents after a pause of the process: answers
+// resetTimeouts begins anew to wait for agents after a pause of the process: answers
 // that came meanwhile have not been read yet, so their silence says nothing. Nor does that
 // of those that the store no longer lists, which would be forgotten.
-func (c *Core) resume(now time.Duration) {
+func (c *Core) resetTimeouts(now time.Duration) {
 	for _, a := range c.roster.list {
-		if a.waiting != 0 && !a.suspected {
-			a.waiting, a.unanswered = now, 0
+		if a.waitingSince != 0 && !a.suspected {
+			a.waitingSince, a.unanswered = now, 0
 		}
-		if a.unlisted != 0 {
-			a.unlisted = now
+		if a.unlistedSince != 0 {
+			a.unlistedSince = now
 		}
 	}
 }
 
 func (c *Core) poll(now time.Duration, a *agent) {
 	flags := inner.FlagStatus
-	if a.unlisted != 0 || a.Damaged {
+	if a.unlistedSince != 0 || a.Damaged {
 		flags |= inner.FlagUnlisted
 	}
-	a.asked(now)
+	a.noteRequest(now)
 	cold := c.coldOf(a.Service)
 	a.warmupSent = cold.Warmup
 	start := len(c.buffer)
@@ -306,24 +306,24 @@
 
 // tickAgents polls agents that owe an answer and forgets those that are gone.
 func (c *Core) tickAgents(now time.Duration) {
-	c.inform(now)
-	c.roster.absent = 0
+	c.pollForEvacuation(now)
+	c.roster.absentCount = 0
 	for _, a := range slices.Clone(c.roster.list) {
-		if a.absent(now, c.settings.AbsentAfter) {
-			c.roster.absent++
+		if a.isAbsent(now, c.settings.AbsentAfter) {
+			c.roster.absentCount++
 		}
-		if a.unlisted != 0 && c.gone(a, now) {
-			c.drop(a)
-			c.roster.gone[a.Addr] = goneAgent{a.Agent, now + goneMemory}
-			c.note(Note{Kind: KindGone, Agent: a.Addr, Age: now - a.heard, Reason: "unlisted"})
+		if a.unlistedSince != 0 && c.hasLeft(a, now) {
+			c.removeAgent(a)
+			c.roster.removed[a.Addr] = removedAgent{a.Agent, now + removedRetention}
+			c.note(Note{Kind: KindGone, Agent: a.Addr, Age: now - a.lastReceived, Reason: "unlisted"})
 			continue
 		}
-		if !a.suspected && a.suspect(now) {
+		if !a.suspected && a.isSuspect(now) {
 			a.suspected = true
-			c.note(Note{Kind: KindSuspected, Agent: a.Addr, Age: now - a.heard, Count: a.unanswered})
+			c.note(Note{Kind: KindSuspected, Agent: a.Addr, Age: now - a.lastReceived, Count: a.unanswered})
 			c.pollIdle(now, a.Service)
 		}
-		if a.due(now) {
+		if a.pollDue(now) {
 			c.poll(now, a)
 		}
 	}
@@ -334,36 +334,36 @@
 // searched for.
 func (c *Core) pollIdle(now time.Duration, service uint64) {
 	idle := c.roster.list
-	if len(idle) > maxPolled {
+	if len(idle) > maxPolledAgents {
 		idle = c.roster.byService[service] // flows that may live elsewhere, too, are not reset
 	}
 	for _, a := range idle {
-		if a.waiting == 0 && now-a.heard > statusAgeCarry {
+		if a.waitingSince == 0 && now-a.lastReceived > maxStatusAgeForward {
 			c.poll(now, a)
 		}
 	}
 }
 
-// gone reports whether an unlisted agent has left: it says so, or is silent.
-func (c *Core) gone(a *agent, now time.Duration) bool {
-	if a.status.State == inner.StateDown && a.statusAt > a.unlisted {
+// hasLeft reports whether an unlisted agent has left: it says so, or is silent.
+func (c *Core) hasLeft(a *agent, now time.Duration) bool {
+	if a.status.State == inner.StateDown && a.statusAt > a.unlistedSince {
 		return true
 	}
-	return now-a.unlisted > goneAfter && now-a.heard > goneAfter
+	return now-a.unlistedSince > removeAfter && now-a.lastReceived > removeAfter
 }
 
-// due reports whether a poll of the agent is due.
-func (a *agent) due(now time.Duration) bool {
-	since := now - a.lastAsk
+// pollDue reports whether a poll of the agent is pollDue.
+func (a *agent) pollDue(now time.Duration) bool {
+	since := now - a.lastRequest
 	switch {
-	case a.unlisted != 0 || a.Damaged:
-		return since > unlistedPoll
-	case a.waiting == 0 && a.owed > a.status.Known.Listing:
-		return since > askAgain
-	case a.waiting == 0:
+	case a.unlistedSince != 0 || a.Damaged:
+		return since > unlistedPollInterval
+	case a.waitingSince == 0 && a.requiredListing > a.status.Known.Listing:
+		return since > pollRetryInterval
+	case a.waitingSince == 0:
 		return false
-	case now-a.waiting > absentPolls:
-		return since > askAbsent
+	case now-a.waitingSince > slowPollAfter:
+		return since > slowPollInterval
 	}
-	return since > askAgain
+	return since > pollRetryInterval
 }
--- a/internal/packetface/steer/carry.go
+++ b/internal/packetface/steer/carry.go
@@ -27,9 +27,9 @@
 	mayRepeat bool
 }
 
-// carry sends a packet of a flow that was opened before.
-func (c *Core) carry(now time.Duration, id platform.Flow, p *platform.Packet, b []byte) {
-	if f := c.flows[id]; f != nil && f.agent != nil && !f.agent.removed && !c.mayPassOver(now, id, f.agent) {
+// forwardOrSearch sends a packet of a flow that was opened before.
+func (c *Core) forwardOrSearch(now time.Duration, id platform.Flow, p *platform.Packet, b []byte) {
+	if f := c.flows[id]; f != nil && f.agent != nil && !f.agent.removed && !c.maySkip(now, id, f.agent) {
 		f.seen, f.open = now, true
 		c.forward(now, f.agent, b, inner.Forward{Terms: f.terms})
 		return
@@ -39,7 +39,7 @@
 		c.reset(id, p.Acknowledge, reasonHeldByNone)
 		return
 	}
-	c.ask(now, id, p, b)
+	c.searchOwner(now, id, p, b)
 }
 
 // isDead reports whether a flow was lately reset as nobody holds it.
@@ -50,31 +50,31 @@
 
 func (c *Core) forward(now time.Duration, a *agent, b []byte, head inner.Forward) {
 	start := len(c.buffer)
-	head.Flags |= c.flagsFor(a, now, statusAgeCarry)
+	head.Flags |= c.flagsFor(a, now, maxStatusAgeForward)
 	c.buffer = inner.AppendForward(c.buffer, head, b)
 	c.send(a.Addr, start)
 }
 
 // flagsFor asks for the agent's status if what is known is older than age.
 func (c *Core) flagsFor(a *agent, now, age time.Duration) inner.Flags {
-	if !a.wantStatus(now, age) {
+	if !a.needsStatus(now, age) {
 		return 0
 	}
-	a.asked(now)
+	a.noteRequest(now)
 	return inner.FlagStatus
 }
 
 // reset tells a caller that its flow is not held. No request in the packet
 // that asked has run.
 func (c *Core) reset(id platform.Flow, sequence uint32, reason string) {
-	c.resetAfter(id, sequence, Note{Reason: reason})
+	c.resetWithNote(id, sequence, Note{Reason: reason})
 }
 
 // reasonHeldByNone is why a flow is reset that no upstream holds.
 const reasonHeldByNone = "held-by-none"
 
-// resetAfter is reset with a note that tells more of the decision.
-func (c *Core) resetAfter(id platform.Flow, sequence uint32, n Note) {
+// resetWithNote is reset with a note that tells more of the decision.
+func (c *Core) resetWithNote(id platform.Flow, sequence uint32, n Note) {
 	n.Kind, n.Flow = KindReset, id
 	c.note(n)
 	start := len(c.buffer)
@@ -86,8 +86,8 @@
 	})
 }
 
-// remember makes room for a flow and returns its memory.
-func (c *Core) remember(id platform.Flow, now time.Duration) *flow {
+// addFlow makes room for a flow and returns its memory.
+func (c *Core) addFlow(id platform.Flow, now time.Duration) *flow {
 	if len(c.flows) >= maxFlows {
 		for old := range c.flows { // any: its owner is found again by asking
 			delete(c.flows, old)
@@ -101,20 +101,20 @@
 
 // sweep forgets flows that are idle or never opened.
 func (c *Core) sweep(now time.Duration) {
-	c.swept = now
+	c.lastSweep = now
 	c.former.sweep(now)
 	for id, f := range c.flows {
 		limit := c.idleLimit
 		if !f.open {
-			limit = openingTime
+			limit = openingTimeout
 		}
 		if now-f.seen > limit {
 			delete(c.flows, id)
 		}
 	}
-	for addr, gone := range c.roster.gone {
+	for addr, gone := range c.roster.removed {
 		if now >= gone.until {
-			delete(c.roster.gone, addr)
+			delete(c.roster.removed, addr)
 		}
 	}
 	for id, until := range c.dead {
--- a/internal/packetface/steer/check.go
+++ b/internal/packetface/steer/check.go
@@ -11,15 +11,15 @@
 // gets in return tells. A balancer that has not heard the store lately stays silent, and
 // the agent asks another one, or the store.
 
-// pollChecking answers an agent that is known.
-func (c *Core) pollChecking(now time.Duration, a *agent) {
+// answerCheck answers an agent that is known.
+func (c *Core) answerCheck(now time.Duration, a *agent) {
 	if c.tableFresh {
 		c.poll(now, a)
 	}
 }
 
-// pollStranger answers an agent that neither the store lists nor this balancer knows.
-func (c *Core) pollStranger(from netip.AddrPort) {
+// pollUnknown answers an agent that neither the store lists nor this balancer knows.
+func (c *Core) pollUnknown(from netip.AddrPort) {
 	if !c.tableFresh {
 		return
 	}
--- a/internal/packetface/steer/choose.go
+++ b/internal/packetface/steer/choose.go
@@ -30,26 +30,26 @@
 	weightProbation = 0.5
 	// weightFailing is that of an agent whose upstream fails, where it may be used.
 	weightFailing = 10
-	// slowFrom is how many times the mean of its siblings an upstream may take for an
+	// slowThreshold is how many times the mean of its siblings an upstream may take for an
 	// answer: kinds of requests differ by less. weightSlow is the extra load of one that
 	// takes longer, for each further mean.
-	slowFrom   = 1.8
-	weightSlow = 1.0
+	slowThreshold = 1.8
+	weightSlow    = 1.0
 	// weightRandom breaks ties, so that balancers do not all choose alike.
 	weightRandom = 0.05
-	// statusTrust is the age at which a status tells a third of what the average
+	// statusDecay is the age at which a status tells a third of what the average
 	// of the service does; of 20, 60 ms and for good, 20 ms gave the shortest
 	// waits in BenchmarkChoices (p99 62, 71 and 218 ms at a load of 0.85).
-	statusTrust = 20 * time.Millisecond
+	statusDecay = 20 * time.Millisecond
 	// An agent that was never heard, is suspected, or is leaving gets flows
 	// only if none is better.
-	weightUnheard  = 100
+	weightUnknown  = 100
 	weightSuspect  = 200
 	weightDraining = 400
 )
 
-// want is what a new flow needs of its agent.
-type want struct {
+// requirements is what a new flow needs of its agent.
+type requirements struct {
 	service uint64
 	// long tells that the flow stays for many requests.
 	long bool
@@ -59,21 +59,21 @@
 	regions map[string]string
 }
 
-// atHome reports whether the flow may go to an agent by its region.
-func (w *want) atHome(a *agent) bool {
+// inHomeRegion reports whether the flow may go to an agent by its region.
+func (w *requirements) inHomeRegion(a *agent) bool {
 	return len(w.homes) == 0 || slices.Contains(w.homes, w.regions[a.DataCentre])
 }
 
 // allows reports whether the flow may go to an agent's data centre.
-func (w *want) allows(a *agent) bool { return !a.evacuation.Evacuated && w.atHome(a) }
+func (w *requirements) allows(a *agent) bool { return !a.evacuation.Evacuated && w.inHomeRegion(a) }
 
 // choose returns the best agent of a service for a new flow, nil if none may
 // take it.
-func (r *roster) choose(now time.Duration, w want, s Settings, tried []*agent) *agent {
+func (r *roster) choose(now time.Duration, w requirements, s Settings, tried []*agent) *agent {
 	var best *agent
 	least, mean, panicking := 0.0, r.means(w.service, s), r.panicking(w)
 	for _, a := range r.byService[w.service] {
-		if !w.allows(a) || !a.takes() && !(panicking && a.fails()) || slices.Contains(tried, a) {
+		if !w.allows(a) || !a.acceptsFlows() && !(panicking && a.isFailing()) || slices.Contains(tried, a) {
 			continue
 		}
 		score := a.score(now, s, w.long, mean)
@@ -84,8 +84,8 @@
 	return best
 }
 
-// takes reports whether the agent may take new flows at all.
-func (a *agent) takes() bool {
+// acceptsFlows reports whether the agent may take new flows at all.
+func (a *agent) acceptsFlows() bool {
 	switch a.status.State {
 	case inner.StateReady, inner.StateUnproven, inner.StateProbation:
 		return true
@@ -93,37 +93,37 @@
 	return a.statusAt == 0
 }
 
-// fails reports whether the agent's upstream fails what it gets.
-func (a *agent) fails() bool { return a.status.State == inner.StateFailing }
+// isFailing reports whether the agent's upstream isFailing what it gets.
+func (a *agent) isFailing() bool { return a.status.State == inner.StateFailing }
 
 // panicking reports whether so many upstreams of a service fail that more likely the
 // service does, or what is asked of it: then they are used, too, so that the others
 // are not overrun.
-func (r *roster) panicking(w want) bool {
+func (r *roster) panicking(w requirements) bool {
 	take, fail := 0, 0
 	for _, a := range r.byService[w.service] {
 		switch {
 		case !w.allows(a):
-		case a.fails():
+		case a.isFailing():
 			fail++
-		case a.takes():
+		case a.acceptsFlows():
 			take++
 		}
 	}
 	return fail > take
 }
 
-// last returns the agent that takes a flow when all have returned it: the
+// lastResort returns the agent that takes a flow when all have returned it: the
 // least loaded, a leaving one only if there is no other.
-func (r *roster) last(now time.Duration, w want, s Settings) *agent {
+func (r *roster) lastResort(now time.Duration, w requirements, s Settings) *agent {
 	var best *agent
 	least, mean := 0.0, r.means(w.service, s)
 	for _, a := range r.byService[w.service] {
-		if !w.allows(a) || a.status.State == inner.StateDown || a.status.State == inner.StateSilent || a.suspect(now) {
+		if !w.allows(a) || a.status.State == inner.StateDown || a.status.State == inner.StateSilent || a.isSuspect(now) {
 			continue
 		}
 		score := a.score(now, s, false, mean)
-		if !a.takes() {
+		if !a.acceptsFlows() {
 			score += weightDraining
 		}
 		if best == nil || score < least {
@@ -138,10 +138,10 @@
 // do on average instead. Balancers that all trusted old ones would all choose
 // the same upstream.
 func (a *agent) running(now time.Duration, mean float64) float64 {
-	told := float64(a.status.Running)
+	reported := float64(a.status.Running)
 	age := now - a.statusAt
-	trust := math.Exp(-age.Seconds() / statusTrust.Seconds())
-	return trust*told + (1-trust)*mean
+	trust := math.Exp(-age.Seconds() / statusDecay.Seconds())
+	return trust*reported + (1-trust)*mean
 }
 
 // means are what the upstreams of a service that take new flows do on average.
@@ -156,7 +156,7 @@
 func (r *roster) means(service uint64, s Settings) (m means) {
 	running, n, answers := 0.0, 0, 0
 	for _, a := range r.byService[service] {
-		if !a.takes() || a.statusAt == 0 {
+		if !a.acceptsFlows() || a.statusAt == 0 {
 			continue
 		}
 		running += float64(a.status.Running)
@@ -174,19 +174,19 @@
 	return m
 }
 
-// slowness returns the extra load of an upstream that takes much longer for an answer
+// slownessLoad returns the extra load of an upstream that takes much longer for an answer
 // than its siblings. By its requests alone it looks no busier than they do until its
 // slots are taken, and each that it has then is late.
-func (m means) slowness(a *agent) float64 {
+func (m means) slownessLoad(a *agent) float64 {
 	if m.answer == 0 {
 		return 0
 	}
 	times := a.status.Answer.Seconds() / m.answer.Seconds()
-	return weightSlow * max(0, times-slowFrom)
+	return weightSlow * max(0, times-slowThreshold)
 }
 
-// farness returns what distance counts for, in parts of an upstream's slots.
-func farness(slots float64, long bool) float64 {
+// distanceLoad returns what distance counts for, in parts of an upstream's slots.
+func distanceLoad(slots float64, long bool) float64 {
 	if long {
 		return max(weightFarLong, farRequests/slots)
 	}
@@ -201,12 +201,12 @@
 		load += weightFlow * (float64(a.status.Flows) + float64(a.pending)) / slots
 	}
 	if a.DataCentre != s.DataCentre {
-		load += farness(slots, long)
+		load += distanceLoad(slots, long)
 	}
 	if a.status.Cold {
 		load += weightCold
 	}
-	load += mean.slowness(a)
+	load += mean.slownessLoad(a)
 	switch a.status.State {
 	case inner.StateUnproven:
 		load += weightUnproven
@@ -215,10 +215,10 @@
 	case inner.StateFailing:
 		load += weightFailing
 	}
-	if a.heard == 0 {
-		load += weightUnheard
+	if a.lastReceived == 0 {
+		load += weightUnknown
 	}
-	if a.suspect(now) {
+	if a.isSuspect(now) {
 		load += weightSuspect
 	}
 	return load + weightRandom*s.Random.Float64()
--- a/internal/packetface/steer/early.go
+++ b/internal/packetface/steer/early.go
@@ -13,37 +13,37 @@
 // last copy not at all. So they are kept until the first list is there.
 
 const (
-	// maxEarly bounds the opening packets that are kept: those of 100 ms at 5,000 a
+	// maxEarlyOpenings bounds the opening packets that are kept: those of 100 ms at 5,000 a
 	// second, with 31 bytes each.
-	maxEarly = 512
-	// earlyTime is the age at which one is given up: its caller has sent a copy.
-	earlyTime = 200 * time.Millisecond
+	maxEarlyOpenings = 512
+	// maxEarlyAge is the age at which one is given up: its caller has sent a copy.
+	maxEarlyAge = 200 * time.Millisecond
 )
 
-// early is an opening packet that came before the first list.
-type early struct {
+// earlyOpening is an opening packet that came before the first list.
+type earlyOpening struct {
 	id     platform.Flow
 	at     time.Duration
 	packet []byte
 }
 
-// keepEarly keeps an opening packet until routes and agents are known; it reports
+// bufferEarly keeps an opening packet until routes and agents are known; it reports
 // whether it did.
-func (c *Core) keepEarly(now time.Duration, id platform.Flow, b []byte) bool {
-	if c.table != nil || len(c.early) >= maxEarly {
+func (c *Core) bufferEarly(now time.Duration, id platform.Flow, b []byte) bool {
+	if c.table != nil || len(c.early) >= maxEarlyOpenings {
 		return false
 	}
-	c.early = append(c.early, early{id, now, slices.Clone(b)})
+	c.early = append(c.early, earlyOpening{id, now, slices.Clone(b)})
 	return true
 }
 
-// openEarly places the opening packets that were kept.
-func (c *Core) openEarly(now time.Duration) {
+// placeEarly places the opening packets that were kept.
+func (c *Core) placeEarly(now time.Duration) {
 	if c.table == nil {
 		return
 	}
 	for _, e := range c.early {
-		if now-e.at > earlyTime {
+		if now-e.at > maxEarlyAge {
 			c.note(Note{Kind: KindDropped, Flow: e.id, Reason: "kept-too-long", Age: now - e.at})
 			continue
 		}
--- a/internal/packetface/steer/evacuated.go
+++ b/internal/packetface/steer/evacuated.go
@@ -18,14 +18,14 @@
 // polls a second, 290 KB/s, of the 11 KB/s that it has for control (worked out). So at
 // each tick only some of the balancers do, whichever they are.
 const (
-	// evacuatedPoll is the least time between two polls of an agent that knows.
-	evacuatedPoll = 500 * time.Millisecond
-	// informers is how many balancers of the fleet poll an agent that does not know yet
+	// evacuatedPollInterval is the least time between two polls of an agent that knows.
+	evacuatedPollInterval = 500 * time.Millisecond
+	// pollersUninformed is how many balancers of the fleet poll an agent that does not know yet
 	// between two ticks (50 ms): it learns within one, and tells all others by its status.
-	informers = 4
-	// reminders is the same for one that knows: about one poll in 50 ms in all, so that a
+	pollersUninformed = 4
+	// pollersInformed is the same for one that knows: about one poll in 50 ms in all, so that a
 	// process that starts anew is told long before operators count on it (5 s).
-	reminders = 1
+	pollersInformed = 1
 )
 
 // SetEvacuations takes over the operators' requests as the store has them; it comes
@@ -34,15 +34,15 @@
 	c.begin(now)
 	c.evacuations = r
 	for _, a := range c.roster.list {
-		c.hearWord(a, evacuation.Word{})
+		c.mergeEvacuation(a, evacuation.Word{})
 	}
-	c.inform(now)
+	c.pollForEvacuation(now)
 	return &c.out
 }
 
-// inform polls agents that are to be told of an evacuation, some of them in a large
+// pollForEvacuation polls agents that are to be told of an evacuation, some of them in a large
 // fleet.
-func (c *Core) inform(now time.Duration) {
+func (c *Core) pollForEvacuation(now time.Duration) {
 	balancers := 0
 	for _, a := range c.roster.list {
 		if !a.misinformed() && !a.evacuation.Evacuated {
@@ -51,42 +51,42 @@
 		if balancers == 0 {
 			balancers = c.Balancers()
 		}
-		if c.informs(now, a, balancers) {
+		if c.shouldPoll(now, a, balancers) {
 			c.poll(now, a)
 		}
 	}
 }
 
-// informs reports whether this balancer is to poll an agent now.
-func (c *Core) informs(now time.Duration, a *agent, balancers int) bool {
-	every, pollers := askAgain, float64(informers)
+// shouldPoll reports whether this balancer is to poll an agent now.
+func (c *Core) shouldPoll(now time.Duration, a *agent, balancers int) bool {
+	every, pollers := pollRetryInterval, float64(pollersUninformed)
 	if !a.misinformed() {
-		every, pollers = evacuatedPoll, reminders
+		every, pollers = evacuatedPollInterval, pollersInformed
 	}
-	if a.waiting != 0 || now-a.lastAsk <= every {
+	if a.waitingSince != 0 || now-a.lastRequest <= every {
 		return false
 	}
 	return c.settings.Random.Float64()*float64(balancers) < pollers
 }
 
-// hearWord keeps the newest word on the data centre of an agent, the balancer's own
+// mergeEvacuation keeps the newest word on the data centre of an agent, the balancer's own
 // among them; it reports whether that changes what the agent may get.
-func (c *Core) hearWord(a *agent, word evacuation.Word) (changed bool) {
+func (c *Core) mergeEvacuation(a *agent, word evacuation.Word) (changed bool) {
 	before := a.evacuation
 	a.evacuation = c.evacuations.Weigh(a.DataCentre, before.Newer(word))
 	return a.evacuation.Evacuated != before.Evacuated
 }
 
-// hearOwnWord takes what an agent has heard of its data centre. It holds for all agents
+// applyReportedEvacuation takes what an agent has heard of its data centre. It holds for all agents
 // there.
-func (c *Core) hearOwnWord(now time.Duration, a *agent, s inner.Status) {
-	if !c.hearWord(a, s.Evacuation) {
+func (c *Core) applyReportedEvacuation(now time.Duration, a *agent, s inner.Status) {
+	if !c.mergeEvacuation(a, s.Evacuation) {
 		return
 	}
-	c.tellNewer(now, a.Addr, 0, s.Source)
+	c.noteNewer(now, a.Addr, 0, s.Source)
 	for _, other := range c.roster.list {
 		if other.DataCentre == a.DataCentre {
-			c.hearWord(other, a.evacuation)
+			c.mergeEvacuation(other, a.evacuation)
 		}
 	}
 }
@@ -96,11 +96,11 @@
 	return a.statusAt != 0 && a.status.Evacuation.Evacuated != a.evacuation.Evacuated
 }
 
-// reach counts the agents that a flow may go to by their data centres, open, and those
+// countAllowed counts the agents that a flow may go to by their data centres, open, and those
 // that are in its home regions, evacuated or not.
-func (r *roster) reach(w want) (open, home int) {
+func (r *roster) countAllowed(w requirements) (open, home int) {
 	for _, a := range r.byService[w.service] {
-		if !w.atHome(a) {
+		if !w.inHomeRegion(a) {
 			continue
 		}
 		home++
--- a/internal/packetface/steer/former.go
+++ b/internal/packetface/steer/former.go
@@ -14,22 +14,22 @@
 // any flow lives knows all of these, and asks no others: what a search costs then
 // does not grow with the fleet.
 
-// formerLives is the number of the longest lives of a flow for which a balancer
+// formerRetentionFactor is the number of the longest lives of a flow for which a balancer
 // follows the configuration before it trusts its memory, and remembers a former
 // service: others may have placed flows by an older version for a while.
-const formerLives = 3
+const formerRetentionFactor = 3
 
 // formerServices remembers to which services faces led.
 type formerServices struct {
-	// since is when the first configuration came, 0 for not yet; keep is how long
+	// since is when the first configuration came, 0 for not yet; retention is how long
 	// a former service is remembered, 0 for never to trust it.
-	since, keep time.Duration
-	// left holds when a service was last one of a face's.
-	left map[netip.AddrPort]map[uint64]time.Duration
+	since, retention time.Duration
+	// former holds when a service was last one of a face's.
+	former map[netip.AddrPort]map[uint64]time.Duration
 }
 
-// change notes which services faces no longer lead to.
-func (f *formerServices) change(now time.Duration, before, after *routing.Table) {
+// update notes which services faces no longer lead to.
+func (f *formerServices) update(now time.Duration, before, after *routing.Table) {
 	if f.since == 0 {
 		f.since = now
 	}
@@ -43,53 +43,53 @@
 		}
 		for _, service := range route.Services {
 			if !slices.Contains(kept, service) {
-				f.leave(face, service, now)
+				f.markFormer(face, service, now)
 			}
 		}
 	}
 }
 
-func (f *formerServices) leave(face netip.AddrPort, service uint64, now time.Duration) {
-	if f.left == nil {
-		f.left = make(map[netip.AddrPort]map[uint64]time.Duration)
+func (f *formerServices) markFormer(face netip.AddrPort, service uint64, now time.Duration) {
+	if f.former == nil {
+		f.former = make(map[netip.AddrPort]map[uint64]time.Duration)
 	}
-	if f.left[face] == nil {
-		f.left[face] = make(map[uint64]time.Duration)
+	if f.former[face] == nil {
+		f.former[face] = make(map[uint64]time.Duration)
 	}
-	f.left[face][service] = now
+	f.former[face][service] = now
 }
 
 // sweep forgets services that no flow can be of any more.
 func (f *formerServices) sweep(now time.Duration) {
-	for face, services := range f.left {
+	for face, services := range f.former {
 		for service, at := range services {
-			if now-at > f.keep {
+			if now-at > f.retention {
 				delete(services, service)
 			}
 		}
 		if len(services) == 0 {
-			delete(f.left, face)
+			delete(f.former, face)
 		}
 	}
 }
 
-// setKeep takes over how long a former service is remembered. What a shorter time has
+// setRetention takes over how long a former service is remembered. What a shorter time has
 // forgotten is missing for a longer one, so the memory begins anew.
-func (f *formerServices) setKeep(now, keep time.Duration) {
-	if keep > f.keep && f.since > 0 {
+func (f *formerServices) setRetention(now, keep time.Duration) {
+	if keep > f.retention && f.since > 0 {
 		f.since = now
 	}
-	f.keep = keep
+	f.retention = keep
 }
 
-// known reports whether all services are known that a flow may be of.
-func (f *formerServices) known(now time.Duration) bool {
-	return f.keep > 0 && f.since > 0 && now-f.since > f.keep
+// isComplete reports whether all services are isComplete that a flow may be of.
+func (f *formerServices) isComplete(now time.Duration) bool {
+	return f.retention > 0 && f.since > 0 && now-f.since > f.retention
 }
 
-// holders returns the agents whose upstreams may hold a flow.
-func (c *Core) holders(now time.Duration, id platform.Flow) []*agent {
-	if !c.former.known(now) {
+// possibleHolders returns the agents whose upstreams may hold a flow.
+func (c *Core) possibleHolders(now time.Duration, id platform.Flow) []*agent {
+	if !c.former.isComplete(now) {
 		return c.roster.list
 	}
 	var all []*agent
@@ -99,7 +99,7 @@
 			services[service] = true
 		}
 	}
-	for service := range c.former.left[id.FaceAddr()] {
+	for service := range c.former.former[id.FaceAddr()] {
 		services[service] = true
 	}
 	for service := range services {
--- a/internal/packetface/steer/newer.go
+++ b/internal/packetface/steer/newer.go
@@ -9,15 +9,15 @@
 
 // What agents have heard that this balancer lacks.
 
-// hearKnown tells of newer beliefs than the balancer's own.
-func (c *Core) hearKnown(now time.Duration, a *agent, heard inner.Known, source [4]byte) {
-	c.roster.newest = max(c.roster.newest, heard.Listing)
+// noteReported tells of newer beliefs than the balancer's own.
+func (c *Core) noteReported(now time.Duration, a *agent, heard inner.Known, source [4]byte) {
+	c.roster.newestReported = max(c.roster.newestReported, heard.Listing)
 	newer := heard.Version > c.known().Version || heard.Listing > c.roster.age.AsOf
 	if heard.Version > c.newer.version {
 		c.newer = newerVersion{heard.Version, a.Addr, source}
 	}
 	if newer {
-		c.tellNewer(now, a.Addr, heard.Version, source)
+		c.noteNewer(now, a.Addr, heard.Version, source)
 	}
 }
 
@@ -32,17 +32,17 @@
 // tickNewer tells again of a version that is still missing. An idle agent tells of it
 // once, and what was told may have come to nothing.
 func (c *Core) tickNewer(now time.Duration) {
-	if c.newer.version > c.known().Version && now-c.toldNewer >= retellEvery {
-		c.tellNewer(now, c.newer.agent, c.newer.version, c.newer.source)
+	if c.newer.version > c.known().Version && now-c.newerNotedAt >= newerRepeatInterval {
+		c.noteNewer(now, c.newer.agent, c.newer.version, c.newer.source)
 	}
 }
 
-// tellNewer tells that an agent has heard of what the balancer lacks, and from whom.
-func (c *Core) tellNewer(now time.Duration, agent netip.AddrPort, version uint64, source [4]byte) {
-	if c.toldNewer != 0 && now-c.toldNewer < versionEvery {
+// noteNewer tells that an agent has heard of what the balancer lacks, and from whom.
+func (c *Core) noteNewer(now time.Duration, agent netip.AddrPort, version uint64, source [4]byte) {
+	if c.newerNotedAt != 0 && now-c.newerNotedAt < newerNoteInterval {
 		return
 	}
-	c.toldNewer = now
+	c.newerNotedAt = now
 	n := Note{Kind: KindNewer, Agent: agent, Count: int(version)}
 	if source != ([4]byte{}) {
 		n.Source = netip.AddrFrom4(source)
--- a/internal/packetface/steer/place.go
+++ b/internal/packetface/steer/place.go
@@ -15,18 +15,18 @@
 func (c *Core) open(now time.Duration, id platform.Flow, b []byte) {
 	route := c.route(id)
 	if route == nil {
-		if !c.settings.Policies.On(policy.EarlyOpenings) || !c.keepEarly(now, id, b) {
+		if !c.settings.Policies.On(policy.EarlyOpenings) || !c.bufferEarly(now, id, b) {
 			c.noRoute(id)
 		}
 		return
 	}
 	f := c.flows[id]
 	if f == nil {
-		f = c.remember(id, now)
+		f = c.addFlow(id, now)
 		f.mayRepeat = c.mayRepeat(now, b)
 	}
 	f.seen, f.terms = now, route.Terms
-	if f.agent != nil && (f.open || !unheard(f, now)) {
+	if f.agent != nil && (f.open || !silentSincePlaced(f, now)) {
 		c.sendOpen(now, f, f.agent, route, id, b, 0)
 		return
 	}
@@ -57,13 +57,13 @@
 	return err == nil && c.settings.Policies.On(policy.Repetition) && admission.MayRepeat(now-p.CopyAge())
 }
 
-// unheard reports whether the agent has been silent since it got the opening
+// silentSincePlaced reports whether the agent has been silent since it got the opening
 // packet, for longer than an answer takes.
-func unheard(f *flow, now time.Duration) bool {
+func silentSincePlaced(f *flow, now time.Duration) bool {
 	if f.agent.removed {
 		return true
 	}
-	return f.agent.heard < f.placed && now-f.placed > copyPatience
+	return f.agent.lastReceived < f.placed && now-f.placed > copyTimeout
 }
 
 // place sends an opening packet to the best agent that has not returned it.
@@ -73,13 +73,13 @@
 		c.reset(id, 0, "no-service")
 		return
 	}
-	w := c.wants(route, service)
+	w := c.requirementsOf(route, service)
 	best := c.roster.choose(now, w, c.settings, c.excluded(f))
 	if best == nil || f.hops() >= maxHops {
 		c.placeLast(now, id, f, route, w, b)
 		return
 	}
-	note := Note{Kind: KindPlaced, Flow: id, Agent: best.Addr, Age: now - best.heard, Count: f.hops()}
+	note := Note{Kind: KindPlaced, Flow: id, Agent: best.Addr, Age: now - best.lastReceived, Count: f.hops()}
 	if f.hops() > 0 {
 		note.Kind, note.Took = KindMoved, now-f.placed
 	}
@@ -87,7 +87,7 @@
 	f.agent, f.placed = best, now
 	best.pending++
 	flags := inner.Flags(0)
-	if best.fails() {
+	if best.isFailing() {
 		flags = inner.FlagMust
 	}
 	c.sendOpen(now, f, best, route, id, b, flags)
@@ -95,20 +95,20 @@
 
 // placeLast sends an opening packet that every agent has returned to the one
 // that may take it yet, or tells the caller that nobody does.
-func (c *Core) placeLast(now time.Duration, id platform.Flow, f *flow, route *routing.Route, w want, b []byte) {
-	last := c.roster.last(now, w, c.settings)
+func (c *Core) placeLast(now time.Duration, id platform.Flow, f *flow, route *routing.Route, w requirements, b []byte) {
+	last := c.roster.lastResort(now, w, c.settings)
 	if last == nil || f.agent == nil || f.lastTry {
-		c.turnAway(now, id, c.noneTakes(w), b)
+		c.reject(now, id, c.rejectReason(w), b)
 		return
 	}
-	c.note(Note{Kind: KindMoved, Flow: id, Agent: last.Addr, Age: now - last.heard, Took: now - f.placed, Reason: "last", Count: f.hops()})
+	c.note(Note{Kind: KindMoved, Flow: id, Agent: last.Addr, Age: now - last.lastReceived, Took: now - f.placed, Reason: "last", Count: f.hops()})
 	f.agent, f.placed, f.lastTry = last, now, true
 	c.sendOpen(now, f, last, route, id, b, inner.FlagMust)
 }
 
-// noneTakes returns why no agent of a service takes a flow.
-func (c *Core) noneTakes(w want) string {
-	open, home := c.roster.reach(w)
+// rejectReason returns why no agent of a service takes a flow.
+func (c *Core) rejectReason(w requirements) string {
+	open, home := c.roster.countAllowed(w)
 	switch {
 	case home == 0 && len(w.homes) > 0:
 		return "no-upstream-at-home"
@@ -118,41 +118,41 @@
 	return "no-upstream-takes-it"
 }
 
-// wants returns what a new flow of a route needs of its agent.
-func (c *Core) wants(route *routing.Route, service uint64) want {
-	return want{service: service, long: route.Repeatable, homes: route.Homes, regions: c.settings.Regions}
+// requirementsOf returns what a new flow of a route needs of its agent.
+func (c *Core) requirementsOf(route *routing.Route, service uint64) requirements {
+	return requirements{service: service, long: route.Repeatable, homes: route.Homes, regions: c.settings.Regions}
 }
 
-// turnAway resets a flow that nobody takes, so that its caller knows at once; nothing
+// reject resets a flow that nobody takes, so that its caller knows at once; nothing
 // of it has run. While the list of agents may lack some, the caller's next copy is
 // another try, and costs it none of its repetitions.
-func (c *Core) turnAway(now time.Duration, id platform.Flow, reason string, b []byte) {
+func (c *Core) reject(now time.Duration, id platform.Flow, reason string, b []byte) {
 	delete(c.flows, id)
 	p, err := platform.ParsePacket(b)
-	if err == nil && !c.listWhole(now) && !p.IsLastCopy() {
-		c.note(Note{Kind: KindDropped, Flow: id, Reason: "next-copy-tries-again", Age: now - c.roster.first})
+	if err == nil && !c.listComplete(now) && !p.IsLastCopy() {
+		c.note(Note{Kind: KindDropped, Flow: id, Reason: "next-copy-tries-again", Age: now - c.roster.firstListAt})
 		return
 	}
 	c.reset(id, 0, reason)
 }
 
-// listWhole reports whether every agent that the store or other balancers know of is
+// listComplete reports whether every agent that the store or other balancers know of is
 // in the list.
-func (c *Core) listWhole(now time.Duration) bool {
+func (c *Core) listComplete(now time.Duration) bool {
 	if c.settings.AwaitPeers && !c.peersAsked {
 		return false
 	}
-	wait := settleTime
+	wait := listSettleTime
 	if c.roster.age.Relisting {
-		wait = relistTime
+		wait = relistSettleTime
 	}
-	return c.roster.first != 0 && now-c.roster.first >= wait && !c.roster.outdated()
+	return c.roster.firstListAt != 0 && now-c.roster.firstListAt >= wait && !c.roster.outdated()
 }
 
 func (c *Core) sendOpen(now time.Duration, f *flow, a *agent, route *routing.Route, id platform.Flow, b []byte, flags inner.Flags) {
 	service, _ := route.Choose(id)
 	start := len(c.buffer)
-	flags |= c.flagsFor(a, now, statusAgeOpen)
+	flags |= c.flagsFor(a, now, maxStatusAgeOpen)
 	if f.mayRepeat {
 		flags |= inner.FlagRepeated
 	}
@@ -180,11 +180,11 @@
 		return // a later copy has been placed elsewhere, or the route is gone
 	}
 	if f.lastTry {
-		c.turnAway(now, id, "all-returned-"+head.Reason.String(), packet)
+		c.reject(now, id, "all-returned-"+head.Reason.String(), packet)
 		return
 	}
 	if head.Reason == inner.ReasonBusy {
-		a.tellLoad(now, head.Running)
+		a.setRunning(now, head.Running)
 		f.busy = append(f.busy, a)
 	} else {
 		f.tried = append(f.tried, a)
--- a/internal/packetface/steer/roster.go
+++ b/internal/packetface/steer/roster.go
@@ -19,20 +19,20 @@
 	// given again.
 	byID []*agent
 	free []search.ID
-	// absent is how many agents were absent at the last tick.
-	absent int
-	// gone are agents that were forgotten.
-	gone map[netip.AddrPort]goneAgent
-	// first is when the first list of the store's era came, 0 for not yet.
-	first time.Duration
+	// absentCount is how many agents were absentCount at the last tick.
+	absentCount int
+	// removed are agents that were forgotten.
+	removed map[netip.AddrPort]removedAgent
+	// firstListAt is when the firstListAt list of the store's era came, 0 for not yet.
+	firstListAt time.Duration
 	// warmups are the longest that entries of a service tell.
 	warmups map[uint64]time.Duration
 	// estimates are the same by what agents have told of upstreams that started before them.
 	estimates map[uint64]estimate
 	// age is how new the list is, newest the highest position of an entry that
 	// an agent has told of.
-	age    ListAge
-	newest store.Position
+	age            ListAge
+	newestReported store.Position
 }
 
 // ListAge is how new a list of agents is, in the store's positions.
@@ -59,27 +59,27 @@
 }
 
 // outdated reports whether an agent has told of an entry that the list may lack.
-func (r *roster) outdated() bool { return r.newest > r.age.AsOf }
+func (r *roster) outdated() bool { return r.newestReported > r.age.AsOf }
 
-// goneAgent is an agent that was forgotten, and until when it is remembered.
-type goneAgent struct {
+// removedAgent is an agent that was forgotten, and until when it is remembered.
+type removedAgent struct {
 	Agent
 	until time.Duration
 }
 
 func newRoster() roster {
-	return roster{agents: map[netip.AddrPort]*agent{}, byService: map[uint64][]*agent{}, gone: map[netip.AddrPort]goneAgent{}, warmups: map[uint64]time.Duration{}, estimates: map[uint64]estimate{}}
+	return roster{agents: map[netip.AddrPort]*agent{}, byService: map[uint64][]*agent{}, removed: map[netip.AddrPort]removedAgent{}, warmups: map[uint64]time.Duration{}, estimates: map[uint64]estimate{}}
 }
 
 func (r *roster) add(a *agent) {
-	r.number(a)
+	r.assignID(a)
 	r.agents[a.Addr] = a
 	r.byService[a.Service] = append(r.byService[a.Service], a)
 	r.list = append(r.list, a)
 }
 
-// number gives an agent a number that no other has.
-func (r *roster) number(a *agent) {
+// assignID gives an agent a assignID that no other has.
+func (r *roster) assignID(a *agent) {
 	if last := len(r.free) - 1; last >= 0 {
 		a.id, r.free = r.free[last], r.free[:last]
 		r.byID[a.id] = a
@@ -100,8 +100,8 @@
 	r.list = slices.DeleteFunc(r.list, same)
 }
 
-// serves reports whether each of the services has an agent.
-func (r *roster) serves(services []uint64) bool {
+// servesAll reports whether each of the services has an agent.
+func (r *roster) servesAll(services []uint64) bool {
 	for _, service := range services {
 		if len(r.byService[service]) == 0 {
 			return false
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -97,38 +97,38 @@
 
 // Limits and times of the decisions.
 const (
-	// copyPatience is the silence of an agent after which a copy of an opening
+	// copyTimeout is the silence of an agent after which a copy of an opening
 	// packet goes to another; callers send copies after 200 and 600 ms.
-	copyPatience = 150 * time.Millisecond
+	copyTimeout = 150 * time.Millisecond
 	// maxHops bounds how many agents are tried with one opening packet. Three may return
 	// it for want of a slot, the others for want of an upstream: many at once where hosts
 	// start beside upstreams that are gone. 24 take some 70 ms, less than the time to
 	// the caller's next copy.
 	maxHops = 24
-	// settleTime is the time after the first list of agents before which the
+	// listSettleTime is the time after the first list of agents before which the
 	// list is not taken for whole: entries that lapsed may be on their way back.
-	settleTime = 250 * time.Millisecond
-	// relistTime is the same after the store came back from a copy. Agents whose entries
+	listSettleTime = 250 * time.Millisecond
+	// relistSettleTime is the same after the store came back from a copy. Agents whose entries
 	// it lost hear of it from the balancers that notice last, after some 1.5 s, look for
 	// their entries within 2 s, and are listed again.
-	relistTime = 4 * time.Second
-	// deadTime is how long a flow counts as reset without asking again.
-	deadTime = 5 * time.Second
-	// openingTime is how long an opening flow is remembered without an answer.
-	openingTime = 5 * time.Second
-	// sweepEvery is the time between two searches for forgotten flows.
-	sweepEvery = 5 * time.Second
+	relistSettleTime = 4 * time.Second
+	// deadFlowRetention is how long a flow counts as reset without asking again.
+	deadFlowRetention = 5 * time.Second
+	// openingTimeout is how long an opening flow is remembered without an answer.
+	openingTimeout = 5 * time.Second
+	// sweepInterval is the time between two searches for forgotten flows.
+	sweepInterval = 5 * time.Second
 	// maxFlows bounds the flows that a balancer remembers: four times the
 	// planned 25,000 of a node (docs/CAPACITY.md).
 	maxFlows = 100_000
-	// pauseTime is the time between two calls of a Core after which the process
+	// pauseThreshold is the time between two calls of a Core after which the process
 	// counts as paused: ticks come every 50 ms.
-	pauseTime = 400 * time.Millisecond
-	// versionEvery bounds how often a newer version is told of.
-	versionEvery = 200 * time.Millisecond
-	// retellEvery is the time after which a version that is still missing is told of
+	pauseThreshold = 400 * time.Millisecond
+	// newerNoteInterval bounds how often a newer version is told of.
+	newerNoteInterval = 200 * time.Millisecond
+	// newerRepeatInterval is the time after which a version that is still missing is told of
 	// again: longer than changes are collected before a balancer takes them over (1.2 s).
-	retellEvery = 1500 * time.Millisecond
+	newerRepeatInterval = 1500 * time.Millisecond
 )
 
 // Core is the state of a balancer's decisions. Times are counted from the
@@ -144,57 +144,59 @@
 	// evacuations are the operators' requests to empty data centres.
 	evacuations evacuation.Record
 	flows       map[platform.Flow]*flow
-	asks        map[platform.Flow]*ask
+	searches    map[platform.Flow]*ownerSearch
 	dead        map[platform.Flow]time.Duration
-	swept       time.Duration
-	// ticked is when the last tick was, searching whether searches were under way
-	// then, slow how long after each other ticks come meanwhile, 0 for not known.
-	ticked, slow time.Duration
-	searching    bool
-	// probes, searches and questions are how many of them may begin until the next tick.
-	probes, searches, questions int
-	// called is when the Core was last called, 0 for not yet.
-	called time.Duration
+	lastSweep   time.Duration
+	// lastTick is when the last tick was, searching whether searches were under way
+	// then, tickDelay how long after each other ticks come meanwhile, 0 for not known.
+	lastTick, tickDelay time.Duration
+	searching           bool
+	// probeBudget, searchBudget and questionBudget are how many of them may begin until the next tick.
+	probeBudget, searchBudget, questionBudget int
+	// lastCall is when the Core was last lastCall, 0 for not yet.
+	lastCall time.Duration
 	// newer is the newest version that was heard of, toldNewer when one was told of, 0 for
 	// never.
-	newer     newerVersion
-	toldNewer time.Duration
+	newer        newerVersion
+	newerNotedAt time.Duration
 	// questioned are the agents with questions to be sent, flushed is when the
 	// last were.
 	questioned []*agent
 	// peersAsked tells that other balancers have told which agents they know.
 	peersAsked bool
-	flushed    time.Duration
+	lastFlush  time.Duration
 	// early are opening packets that came before the first list.
-	early  []early
+	early  []earlyOpening
 	out    Result
 	buffer []byte
-	// answered is reused from call to call.
-	answered []inner.Answer
+	// answerBuffer is reused from call to call.
+	answerBuffer []inner.Answer
 }
 
 // New returns a Core without routes and agents.
 func New(s Settings) *Core {
 	return &Core{
-		settings: s,
-		roster:   newRoster(),
-		former:   formerServices{keep: formerLives * s.FlowMaxAge},
-		flows:    make(map[platform.Flow]*flow),
-		asks:     make(map[platform.Flow]*ask),
-		dead:     make(map[platform.Flow]time.Duration),
-		probes:   probesPerTick,
-		searches: searchesPerTick, questions: questionsPerTick,
+		settings:     s,
+		roster:       newRoster(),
+		former:       formerServices{retention: formerRetentionFactor * s.FlowMaxAge},
+		flows:        make(map[platform.Flow]*flow),
+		searches:     make(map[platform.Flow]*ownerSearch),
+		dead:         make(map[platform.Flow]time.Duration),
+		probeBudget:  probesPerTick,
+		searchBudget: searchesPerTick, questionBudget: questionsPerTick,
 	}
 }
 
 // SetTable puts a version of the configuration in force.
 func (c *Core) SetTable(now time.Duration, t *routing.Table, idleLimit time.Duration) {
-	c.former.change(now, c.table, t)
+	c.former.update(now, c.table, t)
 	c.table, c.idleLimit = t, idleLimit
 }
 
 // SetFlowMaxAge takes over a bound that has changed.
-func (c *Core) SetFlowMaxAge(d time.Duration) { c.former.setKeep(c.called, formerLives*d) }
+func (c *Core) SetFlowMaxAge(d time.Duration) {
+	c.former.setRetention(c.lastCall, formerRetentionFactor*d)
+}
 
 // SetTableFresh tells whether the configuration is known to be the newest:
 // only then is an unknown face certainly none.
@@ -207,9 +209,9 @@
 
 // Counts returns the sizes of the state.
 func (c *Core) Counts(now time.Duration) Counts {
-	n := Counts{Flows: len(c.flows), Asks: len(c.asks), Agents: len(c.roster.list)}
+	n := Counts{Flows: len(c.flows), Asks: len(c.searches), Agents: len(c.roster.list)}
 	for _, a := range c.roster.list {
-		if a.suspect(now) {
+		if a.isSuspect(now) {
 			n.Suspected++
 		}
 	}
@@ -219,7 +221,7 @@
 // Serving reports whether some agent has answered, so that flows can be placed.
 func (c *Core) Serving() bool {
 	for _, a := range c.roster.list {
-		if a.heard > 0 {
+		if a.lastReceived > 0 {
 			return true
 		}
 	}
@@ -230,7 +232,7 @@
 // is likely the balancer that is cut off.
 func (c *Core) Blind(now time.Duration) bool {
 	for _, a := range c.roster.list {
-		if !a.suspect(now) {
+		if !a.isSuspect(now) {
 			return false
 		}
 	}
@@ -247,10 +249,10 @@
 }
 
 func (c *Core) begin(now time.Duration) {
-	if c.called != 0 && now-c.called > pauseTime {
-		c.resume(now)
+	if c.lastCall != 0 && now-c.lastCall > pauseThreshold {
+		c.resetTimeouts(now)
 	}
-	c.called = max(now, 1)
+	c.lastCall = max(now, 1)
 	c.out.Actions, c.out.Notes = c.out.Actions[:0], c.out.Notes[:0]
 	c.buffer = c.buffer[:0]
 }
@@ -278,9 +280,9 @@
 	if p.IsOpening() {
 		c.open(now, id, b)
 	} else {
-		c.carry(now, id, &p, b)
+		c.forwardOrSearch(now, id, &p, b)
 	}
-	c.flushAsks(now)
+	c.flushQuestions(now)
 	return &c.out, nil
 }
 
@@ -296,38 +298,38 @@
 	c.begin(now)
 	a := c.roster.agents[from]
 	if a == nil {
-		a = c.returnGone(now, from, b)
+		a = c.restoreRemoved(now, from, b)
 	}
 	if a == nil {
 		if inner.KindOf(b) == inner.KindCheck {
-			c.pollStranger(from)
+			c.pollUnknown(from)
 		}
 		return &c.out, nil // it is not listed yet
 	}
-	if a.hear(now) {
+	if a.noteReceived(now) {
 		c.note(Note{Kind: KindRecovered, Agent: from})
 	}
 	err := c.fromAgent(now, a, b)
-	c.flushAsks(now)
+	c.flushQuestions(now)
 	return &c.out, err
 }
 
 func (c *Core) fromAgent(now time.Duration, a *agent, b []byte) error {
 	switch inner.KindOf(b) {
 	case inner.KindStatus:
-		return c.status(now, a, b)
+		return c.handleStatus(now, a, b)
 	case inner.KindReturned:
-		return c.returned(now, a, b)
+		return c.handleReturned(now, a, b)
 	case inner.KindAnswer:
-		return c.answers(now, a, b)
+		return c.handleAnswers(now, a, b)
 	case inner.KindCheck:
-		c.pollChecking(now, a)
+		c.answerCheck(now, a)
 		return nil
 	}
 	return inner.ErrDatagram
 }
 
-func (c *Core) status(now time.Duration, a *agent, b []byte) error {
+func (c *Core) handleStatus(now time.Duration, a *agent, b []byte) error {
 	s, err := inner.ParseStatus(b)
 	if err != nil {
 		return err
@@ -338,10 +340,10 @@
 	couldTell, knewAll := a.status.State.Proven(), a.status.Whole
 	a.setStatus(s, now)
 	c.roster.noteWarmup(a)
-	c.hearKnown(now, a, s.Known, s.Source)
-	c.hearOwnWord(now, a, s)
+	c.noteReported(now, a, s.Known, s.Source)
+	c.applyReportedEvacuation(now, a, s)
 	if !couldTell && s.State.Proven() || !knewAll && s.Whole {
-		c.askHeard(a)
+		c.askNowProven(a)
 	}
 	return nil
 }
@@ -373,16 +375,16 @@
 // Tick does what is due by time alone.
 func (c *Core) Tick(now time.Duration) *Result {
 	c.begin(now)
-	c.tickAsks(now)
-	c.flushAsks(now)
+	c.tickSearches(now)
+	c.flushQuestions(now)
 	c.tickAgents(now)
 	c.tickWarmups(now)
 	c.tickNewer(now)
-	if now-c.swept >= sweepEvery {
+	if now-c.lastSweep >= sweepInterval {
 		c.sweep(now)
 	}
 	return &c.out
 }
 
 // Waiting reports whether asks wait for answers, so that ticks are wanted soon.
-func (c *Core) Waiting() bool { return len(c.asks) > 0 }
+func (c *Core) Waiting() bool { return len(c.searches) > 0 }
--- a/internal/packetface/steer/view.go
+++ b/internal/packetface/steer/view.go
@@ -40,14 +40,14 @@
 
 // View returns a copy of what is believed.
 func (c *Core) View(now time.Duration) View {
-	v := View{Counts: c.Counts(now), List: c.roster.age, Heard: c.roster.newest, Evacuations: c.evacuations.Requests()}
+	v := View{Counts: c.Counts(now), List: c.roster.age, Heard: c.roster.newestReported, Evacuations: c.evacuations.Requests()}
 	if c.table != nil {
 		v.Routes = c.table.Len()
 	}
 	for _, a := range c.roster.list {
 		v.Agents = append(v.Agents, AgentView{
-			Addr: a.Addr, Service: c.serviceName(a.Service), DataCentre: a.DataCentre, Status: a.status, Heard: a.heard,
-			Suspected: a.suspect(now), Unlisted: a.unlisted != 0, Evacuated: a.evacuation.Evacuated,
+			Addr: a.Addr, Service: c.serviceName(a.Service), DataCentre: a.DataCentre, Status: a.status, Heard: a.lastReceived,
+			Suspected: a.isSuspect(now), Unlisted: a.unlistedSince != 0, Evacuated: a.evacuation.Evacuated,
 		})
 	}
 	return v
--- a/internal/packetface/steer/warmup.go
+++ b/internal/packetface/steer/warmup.go
@@ -18,8 +18,8 @@
 // So no agent goes by its own, but by the upper quartile of what all tell: upstreams look
 // younger than they are only where three of four clocks were set back.
 
-// estimatesLeast is the number of agents whose word counts.
-const estimatesLeast = 5
+// minEstimates is the number of agents whose word counts.
+const minEstimates = 5
 
 // estimate is what the agents of a service tell.
 type estimate struct {
@@ -30,10 +30,10 @@
 
 // noteWarmup notes that an agent has told of a warm-up.
 func (r *roster) noteWarmup(a *agent) {
-	if a.status.Warmup == a.warmupTold {
+	if a.status.Warmup == a.warmupReported {
 		return
 	}
-	a.warmupTold = a.status.Warmup
+	a.warmupReported = a.status.Warmup
 	e := r.estimates[a.Service]
 	e.outdated = true
 	r.estimates[a.Service] = e
@@ -41,17 +41,17 @@
 
 // estimate returns the upper quartile of what the agents of a service tell, 0 for none.
 func (r *roster) estimate(service uint64) time.Duration {
-	var told []time.Duration
+	var reported []time.Duration
 	for _, a := range r.byService[service] {
 		if a.status.Warmup > 0 {
-			told = append(told, a.status.Warmup)
+			reported = append(reported, a.status.Warmup)
 		}
 	}
-	if len(told) < estimatesLeast {
+	if len(reported) < minEstimates {
 		return 0
 	}
-	slices.Sort(told)
-	return told[len(told)*3/4]
+	slices.Sort(reported)
+	return reported[len(reported)*3/4]
 }
 
 // tickWarmups takes over what agents have told since the last tick, and tells those that
