--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -11,87 +11,95 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Agent is an agent as the store lists it.
+// Agent is an agent's entry in the store.
 type Agent struct {
 	Addr       netip.AddrPort
 	Service    uint64
 	DataCentre string
 	Slots      int
-	// Warmup is how long upstreams of its service were seen to be cold after their start,
-	// 0 for not yet.
+	// Warmup is how long upstreams of its service have been observed to be cold after a
+	// start, 0 if no start has been observed.
 	Warmup time.Duration
-	// Damaged tells that another writer has overwritten its entry: it is told, so that
-	// it writes it anew.
+	// Damaged is set if another writer has overwritten the entry. The next polls tell the
+	// agent, so that it writes its entry again.
 	Damaged bool
 }
 
-// Times of the observation of agents.
+// Intervals and time-outs for polling agents.
 const (
-	// maxStatusAgeOpen and statusAgeCarry are the ages of a status beyond which an
-	// opening packet, or another one, asks for a new one. Each opening packet
-	// does, so that the agent's silence tells that it got none.
+	// maxStatusAgeOpen and maxStatusAgeForward are the ages from which a status is
+	// outdated when an opening packet, or any other packet, is sent to the agent: the
+	// packet then requests a new status. Every opening packet requests one, so that a
+	// missing answer shows that the agent did not receive the packet.
 	maxStatusAgeOpen    = 0
 	maxStatusAgeForward = 250 * time.Millisecond
-	// pollRetryInterval is the time after which an unanswered request for a status is
-	// repeated; a slow host answers within some 50 ms.
+	// pollRetryInterval is the time after which an unanswered status request is repeated;
+	// a slow host answers within some 50 ms.
 	pollRetryInterval = 100 * time.Millisecond
-	// slowPollAfter is the silence after which polls become rarer.
+	// slowPollAfter is the time without an answer after which polls are repeated only at
+	// slowPollInterval.
 	slowPollAfter = 3 * time.Second
-	// slowPollInterval is the same for an agent that has been silent for long.
+	// slowPollInterval replaces pollRetryInterval for an agent that has not answered for
+	// slowPollAfter.
 	slowPollInterval = 300 * time.Millisecond
-	// suspectAfter is the silence after which an agent gets no new flows, given
-	// that suspectAsks requests went unanswered.
+	// suspectAfter is the time without an answer after which an agent is suspected,
+	// provided that suspectMinRequests requests are unanswered. A suspected agent gets no
+	// new flows if any other agent can take them.
 	suspectAfter       = 250 * time.Millisecond
 	suspectMinRequests = 2
-	// DefaultAbsentAfter is the silence after which an agent counts as absent.
+	// DefaultAbsentAfter is the usual value of Settings.AbsentAfter, the time without an
+	// answer after which an agent counts as absent.
 	DefaultAbsentAfter = time.Second
-	// restartAllowance is the same for one that said it stops: its upstream lives, and
-	// a new process comes within the grace.
+	// restartAllowance replaces a shorter AbsentAfter for an agent that has reported that
+	// its process is stopping: its upstream keeps running, and a new agent process starts
+	// within the grace period.
 	restartAllowance = 7 * time.Second
-	// absentDivisor is the part of all agents that may count as absent, as one in
-	// so many: where more are silent, it is the balancer that is cut off.
+	// absentDivisor limits how many agents a search may skip as absent: at most one in
+	// absentDivisor. If more are silent, it is the balancer that is cut off.
 	absentDivisor = 3
-	// removeAfter is the silence after which an agent that the store no longer
-	// lists is forgotten: one whose entry lapsed while the store was away is
-	// back within 2 s.
+	// removeAfter is the silence after which an agent that the store no longer lists is
+	// removed. An agent whose entry expired while the store was unavailable is listed
+	// again within 2 s.
 	removeAfter = 2 * time.Second
-	// removedRetention is how long an agent that was forgotten is known again when it
-	// speaks: frozen hosts wake within that time, and upstreams begin another life.
+	// removedRetention is how long a removed agent is remembered, so that it can be
+	// restored as soon as it sends a status. Within that time frozen hosts resume, and
+	// upstreams that have left restart.
 	removedRetention = 30 * time.Second
-	// maxPolledAgents is the number of agents beyond which only those of the service are polled
-	// when one falls silent.
+	// maxPolledAgents is the number of agents above which, when one falls silent, only
+	// the agents of its service are polled instead of all.
 	maxPolledAgents = 1024
 	// unlistedPollInterval is the time between two polls of an agent that the store no
-	// longer lists.
+	// longer lists or whose entry is damaged.
 	unlistedPollInterval = 200 * time.Millisecond
 )
 
-// agent is what the balancer knows of one agent.
+// agent is the balancer's state for one agent.
 type agent struct {
 	Agent
-	// id is the agent's number in searches.
+	// id identifies the agent in searches.
 	id     search.ID
 	status inner.Status
-	// lastReceived is when the last datagram came from it, 0 for never; statusAt when
-	// the last status came.
+	// lastReceived is when the last datagram arrived from the agent, 0 for never;
+	// statusAt is when the last status arrived.
 	lastReceived, statusAt time.Duration
-	// waitingSince is when the first request went out that is not answered yet, 0
-	// for none; unanswered counts those requests, lastRequest is the latest.
+	// waitingSince is when the oldest unanswered request was sent, 0 for none; unanswered
+	// counts the unanswered requests, and lastRequest is when the latest was sent.
 	waitingSince, lastRequest time.Duration
 	unanswered                int
 	suspected                 bool
-	// warmupReported is the warm-up that its last status told, warmupSent the one that it was
-	// told with the last poll.
+	// warmupReported is the warm-up in the agent's last status, warmupSent the one in the
+	// last poll sent to the agent.
 	warmupReported, warmupSent time.Duration
-	// pending counts the flows placed since the last status.
+	// pending counts the flows placed on the agent since its last status.
 	pending int
-	// questions are those that wait to be sent.
+	// questions are waiting to be sent to the agent.
 	questions []inner.Question
-	// evacuation is the newest word on its data centre.
+	// evacuation is the newest known evacuation state of its data centre.
 	evacuation evacuation.Word
-	// requiredListing is the position of a list that the agent has to know of.
+	// requiredListing is a position of the list of agents. The agent is polled until it
+	// reports that it knows of this position.
 	requiredListing store.Position
-	// unlistedSince is since when the store does not list it, 0 if it does.
+	// unlistedSince is when the store stopped listing the agent, 0 if it is listed.
 	unlistedSince time.Duration
 	removed       bool
 }
@@ -104,7 +112,8 @@
 	a.lastRequest = now
 }
 
-// noteReceived notes a sign of life; it reports whether the agent was suspected.
+// noteReceived resets the wait for an answer when a datagram arrives from the agent; it
+// reports whether the agent was suspected.
 func (a *agent) noteReceived(now time.Duration) bool {
 	was := a.suspected
 	a.lastReceived, a.waitingSince, a.unanswered, a.suspected = now, 0, 0, false
@@ -115,13 +124,15 @@
 	a.status, a.statusAt, a.pending = s, now, 0
 }
 
-// setRunning takes over the load that an agent told with a packet that it returned.
+// setRunning records the load that an agent reports with a packet returned as busy, which
+// is at least the number of its slots.
 func (a *agent) setRunning(now time.Duration, running uint16) {
 	a.status.Running, a.statusAt, a.pending = max(running, a.status.Slots), now, 0
 }
 
-// needsStatus reports whether what is known is older than age and no request
-// is on its way.
+// needsStatus reports whether to request a status: the last one is at least as old as age
+// and no request is unanswered, or the last request has been unanswered for longer than
+// pollRetryInterval.
 func (a *agent) needsStatus(now, age time.Duration) bool {
 	if a.waitingSince != 0 {
 		return now-a.lastRequest > pollRetryInterval
@@ -129,13 +140,15 @@
 	return a.statusAt == 0 || now-a.statusAt >= age
 }
 
-// isSuspect reports whether the agent has been silent although asked.
+// isSuspect reports whether the agent has left requests unanswered for longer than
+// suspectAfter.
 func (a *agent) isSuspect(now time.Duration) bool {
 	return a.waitingSince != 0 && now-a.waitingSince > suspectAfter && a.unanswered >= suspectMinRequests
 }
 
-// isAbsent reports whether the agent has left requests unanswered for so long that
-// its flows stand still.
+// isAbsent reports whether the agent has left requests unanswered for longer than after,
+// so that its flows make no progress. An agent that is stopping has restartAllowance if
+// that is longer; with an after of 0 no agent counts as absent.
 func (a *agent) isAbsent(now, after time.Duration) bool {
 	if after <= 0 || !a.isSuspect(now) {
 		return false
@@ -146,7 +159,8 @@
 	return now-a.waitingSince > after
 }
 
-// removeAgent forgets an agent, also in searches: they must not wait for one that is gone.
+// removeAgent removes an agent, also from searches, which must not wait for an agent that
+// has left.
 func (c *Core) removeAgent(a *agent) {
 	for _, q := range c.searches {
 		q.search.Forget(a.id)
@@ -155,26 +169,27 @@
 	c.roster.remove(a)
 }
 
-// SetAgents takes over a list of agents as the store has it. An agent that is
-// missing stays while it answers: the list may be wrong, the agent knows.
+// SetAgents applies the store's list of agents. An agent that is missing from it stays
+// while it answers: the list may be wrong, and the agent's answer proves that it is
+// running.
 func (c *Core) SetAgents(now time.Duration, listed []Agent, age ListAge) *Result {
 	c.begin(now)
 	if c.roster.firstListAt == 0 || age.AsOf.Era() > c.roster.age.AsOf.Era() {
-		c.roster.firstListAt = now // one of another era may lack agents that the list before had
+		c.roster.firstListAt = now // the list of a new era may lack agents of the previous list
 	}
 	c.roster.age = c.roster.age.max(age)
 	seen := make(map[netip.AddrPort]bool, len(listed))
-	grown := make(map[uint64]bool)
+	hasNewAgents := make(map[uint64]bool)
 	for _, entry := range listed {
 		seen[entry.Addr] = true
 		if entry.Warmup > 0 {
 			c.roster.warmups[entry.Service] = max(c.roster.warmups[entry.Service], entry.Warmup)
 		}
 		if c.applyEntry(entry) {
-			grown[entry.Service] = true
+			hasNewAgents[entry.Service] = true
 		}
 	}
-	c.pollSiblings(now, grown)
+	c.pollSiblings(now, hasNewAgents)
 	for _, a := range c.roster.list {
 		if !seen[a.Addr] && a.unlistedSince == 0 {
 			a.unlistedSince = now
@@ -185,8 +200,8 @@
 	return &c.out
 }
 
-// SetPeersAsked takes over the agents that other balancers know. Those that the
-// store does not list are asked like others while they answer.
+// SetPeersAsked adds the agents that other balancers know. Those that the store does not
+// list are asked in searches like others while they answer.
 func (c *Core) SetPeersAsked(now time.Duration, known []Agent) *Result {
 	c.begin(now)
 	c.peersAsked = true
@@ -203,18 +218,18 @@
 	return &c.out
 }
 
-// restoreRemoved takes an agent that speaks after it was forgotten as one that the
-// store does not list, nil if it was none of those. One whose upstream is down
-// has nothing to say.
+// restoreRemoved adds a removed agent again, as unlisted, when it sends a status. It
+// returns nil if the sender is not a removed agent. An agent whose upstream is down is
+// not restored, as its status contributes nothing.
 func (c *Core) restoreRemoved(now time.Duration, from netip.AddrPort, b []byte) *agent {
-	gone, ok := c.roster.removed[from]
-	if !ok || now >= gone.until {
+	removed, ok := c.roster.removed[from]
+	if !ok || now >= removed.until {
 		return nil
 	}
 	if s, err := inner.ParseStatus(b); err != nil || s.State == inner.StateDown {
-		return nil // all that an agent tells of its own accord are statuses
+		return nil // statuses are all that agents report unsolicited
 	}
-	c.applyEntry(gone.Agent)
+	c.applyEntry(removed.Agent)
 	a := c.roster.agents[from]
 	a.unlistedSince = now
 	return a
@@ -240,7 +255,7 @@
 	return out
 }
 
-// applyEntry takes over one entry; it reports whether the agent is new.
+// applyEntry adds or updates the agent of one entry; it reports whether the agent is new.
 func (c *Core) applyEntry(entry Agent) bool {
 	a := c.roster.agents[entry.Addr]
 	if a != nil && a.Service != entry.Service {
@@ -262,22 +277,23 @@
 	return false
 }
 
-// pollSiblings polls all agents of the services that have new ones, until each
-// has said that it knows. They then know of the newer list before the first flow
-// is placed there, and balancers that lack the new agent hear from them that they
-// do.
-func (c *Core) pollSiblings(now time.Duration, grown map[uint64]bool) {
+// pollSiblings polls all agents of the services that have new agents, until each has
+// reported that it knows of the newer list. They know of it before the first flow is
+// placed on a new agent, and their answers show balancers that lack the new agent that
+// their list is outdated.
+func (c *Core) pollSiblings(now time.Duration, hasNewAgents map[uint64]bool) {
 	for _, a := range c.roster.list {
-		if grown[a.Service] {
+		if hasNewAgents[a.Service] {
 			a.requiredListing = c.roster.age.Newest
 			c.poll(now, a)
 		}
 	}
 }
 
-// resetTimeouts begins anew to wait for agents after a pause of the process: answers
-// that came meanwhile have not been read yet, so their silence says nothing. Nor does that
-// of those that the store no longer lists, which would be forgotten.
+// resetTimeouts restarts the wait for answers after a pause of the process. Answers that
+// arrived during the pause have not been read yet, so an agent's silence proves nothing.
+// The same holds for agents that the store no longer lists, which would otherwise be
+// removed.
 func (c *Core) resetTimeouts(now time.Duration) {
 	for _, a := range c.roster.list {
 		if a.waitingSince != 0 && !a.suspected {
@@ -304,7 +320,7 @@
 	c.send(a.Addr, start)
 }
 
-// tickAgents polls agents that owe an answer and forgets those that are gone.
+// tickAgents polls agents whose answers are overdue and removes those that have left.
 func (c *Core) tickAgents(now time.Duration) {
 	c.pollForEvacuation(now)
 	c.roster.absentCount = 0
@@ -329,13 +345,13 @@
 	}
 }
 
-// pollIdle polls agents that have not been heard lately. Where one is silent,
-// others may be, and whether they are is wanted to know before their flows are
-// searched for.
+// pollIdle polls agents that have not sent anything lately. Where one agent is silent,
+// others may be silent too, and the balancer needs to know that before it searches for
+// their flows.
 func (c *Core) pollIdle(now time.Duration, service uint64) {
 	idle := c.roster.list
 	if len(idle) > maxPolledAgents {
-		idle = c.roster.byService[service] // flows that may live elsewhere, too, are not reset
+		idle = c.roster.byService[service] // a flow that agents of other services may hold is not reset
 	}
 	for _, a := range idle {
 		if a.waitingSince == 0 && now-a.lastReceived > maxStatusAgeForward {
@@ -344,7 +360,8 @@
 	}
 }
 
-// hasLeft reports whether an unlisted agent has left: it says so, or is silent.
+// hasLeft reports whether an unlisted agent has left: it has reported its upstream as
+// down since it became unlisted, or has been silent for longer than removeAfter.
 func (c *Core) hasLeft(a *agent, now time.Duration) bool {
 	if a.status.State == inner.StateDown && a.statusAt > a.unlistedSince {
 		return true
@@ -352,7 +369,9 @@
 	return now-a.unlistedSince > removeAfter && now-a.lastReceived > removeAfter
 }
 
-// pollDue reports whether a poll of the agent is pollDue.
+// pollDue reports whether the agent is to be polled now: because it is unlisted or its
+// entry is damaged, because it has not reported the required list, or because requests
+// are unanswered.
 func (a *agent) pollDue(now time.Duration) bool {
 	since := now - a.lastRequest
 	switch {
--- a/internal/packetface/steer/roster.go
+++ b/internal/packetface/steer/roster.go
@@ -10,46 +10,48 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// roster holds all agents.
+// roster holds all agents and what is known of the list that they come from.
 type roster struct {
 	agents    map[netip.AddrPort]*agent
 	byService map[uint64][]*agent
 	list      []*agent
-	// byID are the agents by their numbers, nil for a number in free, which may be
-	// given again.
+	// byID are the agents by their ids. An entry is nil if its id is in free and may be
+	// reused.
 	byID []*agent
 	free []search.ID
-	// absentCount is how many agents were absentCount at the last tick.
+	// absentCount is how many agents were absent at the last tick.
 	absentCount int
-	// removed are agents that were forgotten.
+	// removed are agents that were removed and may be restored.
 	removed map[netip.AddrPort]removedAgent
-	// firstListAt is when the firstListAt list of the store's era came, 0 for not yet.
+	// firstListAt is when the first list of the store's present era was applied, 0 for
+	// not yet.
 	firstListAt time.Duration
-	// warmups are the longest that entries of a service tell.
+	// warmups are, by service, the longest warm-ups in the entries of agents.
 	warmups map[uint64]time.Duration
-	// estimates are the same by what agents have told of upstreams that started before them.
+	// estimates are, by service, the warm-ups estimated from the reports of agents whose
+	// upstreams started before them.
 	estimates map[uint64]estimate
-	// age is how new the list is, newest the highest position of an entry that
-	// an agent has told of.
+	// age is how recent the list is, newestReported the highest position of an entry that
+	// an agent has reported.
 	age            ListAge
 	newestReported store.Position
 }
 
-// ListAge is how new a list of agents is, in the store's positions.
+// ListAge is how recent a list of agents is, in positions of the store.
 type ListAge struct {
-	// AsOf is the position up to which every change is in the list.
+	// AsOf is the position up to which the list contains every change.
 	AsOf store.Position
-	// Newest is the highest position of an entry that the list has held. It
-	// differs less often than AsOf, which rises with every other change too, so
-	// it is what processes tell each other.
+	// Newest is the highest position of an entry that the list has contained. It changes
+	// less often than AsOf, which rises with every other change too, so processes
+	// exchange Newest.
 	Newest store.Position
-	// Relisting tells that the store came back from a copy lately: agents whose entries
-	// it lost may be missing.
+	// Relisting is set for some time after the store was restored from a copy: agents
+	// whose entries it lost may be missing.
 	Relisting bool
 }
 
-// max returns the newest of both; the one with the higher AsOf, or else o, tells whether
-// agents may be missing.
+// max returns the higher positions of both. Relisting comes from the one with the higher
+// AsOf, from o if they are equal.
 func (l ListAge) max(o ListAge) ListAge {
 	out := ListAge{AsOf: max(l.AsOf, o.AsOf), Newest: max(l.Newest, o.Newest), Relisting: o.Relisting}
 	if l.AsOf > o.AsOf {
@@ -58,10 +60,10 @@
 	return out
 }
 
-// outdated reports whether an agent has told of an entry that the list may lack.
+// outdated reports whether an agent has reported an entry that the list may lack.
 func (r *roster) outdated() bool { return r.newestReported > r.age.AsOf }
 
-// removedAgent is an agent that was forgotten, and until when it is remembered.
+// removedAgent is an agent that was removed, and until when it is remembered.
 type removedAgent struct {
 	Agent
 	until time.Duration
@@ -78,7 +80,7 @@
 	r.list = append(r.list, a)
 }
 
-// assignID gives an agent a assignID that no other has.
+// assignID gives an agent an id that no other agent has.
 func (r *roster) assignID(a *agent) {
 	if last := len(r.free) - 1; last >= 0 {
 		a.id, r.free = r.free[last], r.free[:last]
@@ -89,7 +91,7 @@
 	r.byID = append(r.byID, a)
 }
 
-// remove drops an agent; no search may know its number any more.
+// remove removes an agent. No search may contain its id any more, as the id is reused.
 func (r *roster) remove(a *agent) {
 	same := func(other *agent) bool { return other == a }
 	a.removed = true
@@ -110,8 +112,9 @@
 	return true
 }
 
-// slots returns how many slots the agent's upstream has, as far as is known: the store
-// keeps what the life before reported, and the upstreams of a service are alike.
+// slots returns how many slots the agent's upstream has, as far as is known: by its
+// status, or by its entry in the store, which has what the previous instance reported, or
+// else by those of another agent of the service, as its upstreams are alike.
 func (r *roster) slots(a *agent) uint16 {
 	known := max(int(a.status.Slots), a.Slots)
 	for _, sibling := range r.byService[a.Service] {
--- a/internal/packetface/steer/view.go
+++ b/internal/packetface/steer/view.go
@@ -10,35 +10,36 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// View is what a Core believes, for operators.
+// View is a snapshot of a Core's state for operators.
 type View struct {
 	Counts Counts
 	Routes int
-	// List is how new the list of agents is, Heard the highest position of an
-	// entry that an agent has told of.
+	// List is how recent the list of agents is, Heard the highest position of an entry
+	// that an agent has reported.
 	List  ListAge
 	Heard store.Position
-	// Evacuations are the operators' requests to empty data centres.
+	// Evacuations are the operators' requests to evacuate data centres.
 	Evacuations []evacuation.Request
 	Agents      []AgentView
 }
 
-// AgentView is what a Core believes of one agent.
+// AgentView is a snapshot of the state of one agent.
 type AgentView struct {
 	Addr netip.AddrPort
-	// Service is its name, or its id where no route names it.
+	// Service is the name of its service, or its id if no route has the service.
 	Service    string
 	DataCentre string
-	// Status is the agent's last; its state is 0 before the first.
+	// Status is the agent's last status; its state is 0 before the first.
 	Status inner.Status
-	// Heard is when the last datagram came, 0 for never.
+	// Heard is when the last datagram arrived from the agent, 0 for never.
 	Heard               time.Duration
 	Suspected, Unlisted bool
-	// Evacuated tells that it gets no new flows.
+	// Evacuated is set if the agent gets no new flows because its data centre is
+	// evacuated.
 	Evacuated bool
 }
 
-// View returns a copy of what is believed.
+// View returns a snapshot of the state.
 func (c *Core) View(now time.Duration) View {
 	v := View{Counts: c.Counts(now), List: c.roster.age, Heard: c.roster.newestReported, Evacuations: c.evacuations.Requests()}
 	if c.table != nil {
--- a/internal/packetface/steer/warmup.go
+++ b/internal/packetface/steer/warmup.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// How long the upstreams of a service are cold after their start, where nobody has seen
-// one start.
+// Estimates how long the upstreams of a service are cold after their start, for services
+// of which no start has been observed.
 //
-// The load it is made for: after a common loss of power each upstream starts a moment
-// before its agent, which can't tell then which flows live, and each dead flow has to be
-// probed at each agent: 3,000 flows at 670 agents were two million probes, 2 s of all
-// balancers' time. An upstream tells how long it stays cold, so whoever knows for how long
-// they are knows how long ago it started.
+// After a simultaneous power loss each upstream starts shortly before its agent. The
+// agent then cannot tell which flows the upstream holds, and each dead flow has to be
+// probed at each agent: 3,000 flows at 670 agents took two million probes, 2 s of the
+// time of all balancers. An upstream reports how much longer it stays cold, so a process
+// that knows the total duration knows how long ago the upstream started.
 //
-// The age of one upstream by its host's clock may be wrong, as that may have been set back.
-// So no agent goes by its own, but by the upper quartile of what all tell: upstreams look
-// younger than they are only where three of four clocks were set back.
+// The age of one upstream by its host's clock may be wrong, as the clock may have been
+// set back. So no agent relies on the age of its own upstream; all use the upper quartile
+// of what the agents of the service report: upstreams appear younger than they are only
+// if three of four clocks were set back.
 
-// minEstimates is the number of agents whose word counts.
+// minEstimates is the number of agents that have to report a warm-up for an estimate.
 const minEstimates = 5
 
-// estimate is what the agents of a service tell.
+// estimate is the warm-up of a service estimated from the reports of its agents.
 type estimate struct {
 	warmup time.Duration
-	// outdated tells that an agent has told something else since.
+	// outdated is set if an agent has reported another value since.
 	outdated bool
 }
 
-// noteWarmup notes that an agent has told of a warm-up.
+// noteWarmup marks the estimate of an agent's service as outdated if the agent has
+// reported another warm-up than before.
 func (r *roster) noteWarmup(a *agent) {
 	if a.status.Warmup == a.warmupReported {
 		return
@@ -39,7 +41,8 @@
 	r.estimates[a.Service] = e
 }
 
-// estimate returns the upper quartile of what the agents of a service tell, 0 for none.
+// estimate returns the upper quartile of the warm-ups that the agents of a service
+// report, 0 if too few of them report one.
 func (r *roster) estimate(service uint64) time.Duration {
 	var reported []time.Duration
 	for _, a := range r.byService[service] {
@@ -54,8 +57,8 @@
 	return reported[len(reported)*3/4]
 }
 
-// tickWarmups takes over what agents have told since the last tick, and tells those that
-// don't know all flows of their upstreams.
+// tickWarmups updates the estimates from what agents have reported since the last tick,
+// and sends a changed one to agents that do not know all flows of their upstreams.
 func (c *Core) tickWarmups(now time.Duration) {
 	for service, e := range c.roster.estimates {
 		if !e.outdated {
