--- a/internal/packetface/steer/choose.go
+++ b/internal/packetface/steer/choose.go
@@ -9,57 +9,61 @@
 	"github.com/saltbend/saltbend/internal/packetface/policy"
 )
 
-// Weights of the choice, in parts of an upstream's slots.
+// Loads that are added to an agent's score when a new flow is placed, as fractions of its
+// upstream's slots.
 const (
-	// weightFar and weightFarLong are the extra load that an agent in the own
-	// data centre may have before one elsewhere is preferred: more for a flow of
-	// one request, which waits only where no slot is free, less for a flow that
-	// stays. farRequests is the least for the latter in requests, for upstreams
-	// with few slots.
+	// weightFar and weightFarLong are added for an agent in another data centre: more for
+	// a flow of one request, which waits only if no slot is free, less for a flow that
+	// stays open. farRequests is the minimum of the latter, as a number of requests, for
+	// upstreams with few slots.
 	weightFar     = 0.7
 	weightFarLong = 0.3
 	farRequests   = 1.5
-	// weightCold is the load that a cold upstream counts for.
+	// weightCold is added for a cold upstream.
 	weightCold = 0.5
-	// weightFlow is the load that an open flow stands for while it is idle.
+	// weightFlow is added for each open flow, as the load of a flow while it is idle.
 	weightFlow = 0.04
-	// weightUnproven and weightProbation are the extra load of an agent that has not
-	// heard of its upstream since its start, or whose upstream is tried again: it gets
-	// flows where others have half of their slots taken.
+	// weightUnproven and weightProbation are added for an agent that has received no
+	// report of its upstream since the agent started, and for one whose upstream is tried
+	// again after failures: it gets flows once other agents have half of their slots
+	// taken.
 	weightUnproven  = 0.5
 	weightProbation = 0.5
-	// weightFailing is that of an agent whose upstream fails, where it may be used.
+	// weightFailing is added for an agent whose upstream fails, where such agents may be
+	// used.
 	weightFailing = 10
-	// slowThreshold is how many times the mean of its siblings an upstream may take for an
-	// answer: kinds of requests differ by less. weightSlow is the extra load of one that
-	// takes longer, for each further mean.
+	// slowThreshold is the ratio of an upstream's answer time to the mean of its service
+	// above which it counts as slow: the answer times of different kinds of requests
+	// differ by less. weightSlow is added for each further multiple of the mean.
 	slowThreshold = 1.8
 	weightSlow    = 1.0
-	// weightRandom breaks ties, so that balancers do not all choose alike.
+	// weightRandom bounds the random load that breaks ties, so that balancers do not all
+	// choose the same agent.
 	weightRandom = 0.05
-	// statusDecay is the age at which a status tells a third of what the average
-	// of the service does; of 20, 60 ms and for good, 20 ms gave the shortest
-	// waits in BenchmarkChoices (p99 62, 71 and 218 ms at a load of 0.85).
+	// statusDecay is the age at which a status counts for a third and the average of the
+	// service for the rest. Of 20 ms, 60 ms and no decay, 20 ms gave the shortest waits
+	// in BenchmarkChoices (p99 62, 71 and 218 ms at a load of 0.85).
 	statusDecay = 20 * time.Millisecond
-	// An agent that was never heard, is suspected, or is leaving gets flows
-	// only if none is better.
+	// weightUnknown, weightSuspect and weightDraining are added for an agent that has
+	// never sent a datagram, is suspected, or is draining: it gets flows only if there is
+	// no better agent.
 	weightUnknown  = 100
 	weightSuspect  = 200
 	weightDraining = 400
 )
 
-// requirements is what a new flow needs of its agent.
+// requirements are what a new flow requires of its agent.
 type requirements struct {
 	service uint64
-	// long tells that the flow stays for many requests.
+	// long is set if the flow stays open for many requests.
 	long bool
-	// homes are the regions to which it may go, none for all; regions are those of the
-	// data centres.
+	// homes are the regions to which the flow may go, none for all; regions maps data
+	// centres to their regions.
 	homes   []string
 	regions map[string]string
 }
 
-// inHomeRegion reports whether the flow may go to an agent by its region.
+// inHomeRegion reports whether the agent is in a region to which the flow may go.
 func (w *requirements) inHomeRegion(a *agent) bool {
 	return len(w.homes) == 0 || slices.Contains(w.homes, w.regions[a.DataCentre])
 }
@@ -67,8 +71,7 @@
 // allows reports whether the flow may go to an agent's data centre.
 func (w *requirements) allows(a *agent) bool { return !a.evacuation.Evacuated && w.inHomeRegion(a) }
 
-// choose returns the best agent of a service for a new flow, nil if none may
-// take it.
+// choose returns the best agent of a service for a new flow, nil if none may take it.
 func (r *roster) choose(now time.Duration, w requirements, s Settings, tried []*agent) *agent {
 	var best *agent
 	least, mean, panicking := 0.0, r.means(w.service, s), r.panicking(w)
@@ -84,7 +87,8 @@
 	return best
 }
 
-// acceptsFlows reports whether the agent may take new flows at all.
+// acceptsFlows reports whether the agent's state allows new flows; an agent without a
+// status yet may be tried.
 func (a *agent) acceptsFlows() bool {
 	switch a.status.State {
 	case inner.StateReady, inner.StateUnproven, inner.StateProbation:
@@ -93,12 +97,12 @@
 	return a.statusAt == 0
 }
 
-// isFailing reports whether the agent's upstream isFailing what it gets.
+// isFailing reports whether the agent's upstream fails its requests.
 func (a *agent) isFailing() bool { return a.status.State == inner.StateFailing }
 
-// panicking reports whether so many upstreams of a service fail that more likely the
-// service does, or what is asked of it: then they are used, too, so that the others
-// are not overrun.
+// panicking reports whether so many upstreams of a service fail that the service itself,
+// or the requests sent to it, are more likely the cause. Failing upstreams are then used
+// as well, so that the others are not overloaded.
 func (r *roster) panicking(w requirements) bool {
 	take, fail := 0, 0
 	for _, a := range r.byService[w.service] {
@@ -113,8 +117,8 @@
 	return fail > take
 }
 
-// lastResort returns the agent that takes a flow when all have returned it: the
-// least loaded, a leaving one only if there is no other.
+// lastResort returns the agent that is sent a flow that all agents have returned: the
+// least loaded, a draining one only if there is no other.
 func (r *roster) lastResort(now time.Duration, w requirements, s Settings) *agent {
 	var best *agent
 	least, mean := 0.0, r.means(w.service, s)
@@ -133,10 +137,9 @@
 	return best
 }
 
-// running returns how many requests the upstream probably works on: what its
-// status said, the less so the older it is, and what the others of the service
-// do on average instead. Balancers that all trusted old ones would all choose
-// the same upstream.
+// running returns an estimate of the requests that the upstream works on: the number in
+// its last status, replaced by the average of the service the more, the older the status
+// is. If balancers relied on old statuses alone, they would all choose the same upstream.
 func (a *agent) running(now time.Duration, mean float64) float64 {
 	reported := float64(a.status.Running)
 	age := now - a.statusAt
@@ -144,15 +147,15 @@
 	return trust*reported + (1-trust)*mean
 }
 
-// means are what the upstreams of a service that take new flows do on average.
+// means are averages over the upstreams of a service that accept new flows.
 type means struct {
-	// running is the number of requests that one works on, answer the time that one takes
-	// for an answer, 0 where that is not to count.
+	// running is the average number of requests that an upstream works on, answer the
+	// average time that it takes for an answer, 0 if answer times are to be ignored.
 	running float64
 	answer  time.Duration
 }
 
-// means returns those of a service.
+// means returns the averages of a service.
 func (r *roster) means(service uint64, s Settings) (m means) {
 	running, n, answers := 0.0, 0, 0
 	for _, a := range r.byService[service] {
@@ -174,9 +177,10 @@
 	return m
 }
 
-// slownessLoad returns the extra load of an upstream that takes much longer for an answer
-// than its siblings. By its requests alone it looks no busier than they do until its
-// slots are taken, and each that it has then is late.
+// slownessLoad returns the load added for an upstream that takes much longer for an
+// answer than the average of its service. By its running requests alone it looks no
+// busier than the others until its slots are taken, and every request that it has by then
+// is late.
 func (m means) slownessLoad(a *agent) float64 {
 	if m.answer == 0 {
 		return 0
@@ -185,7 +189,8 @@
 	return weightSlow * max(0, times-slowThreshold)
 }
 
-// distanceLoad returns what distance counts for, in parts of an upstream's slots.
+// distanceLoad returns the load added for an agent in another data centre, as a fraction
+// of its upstream's slots.
 func distanceLoad(slots float64, long bool) float64 {
 	if long {
 		return max(weightFarLong, farRequests/slots)
@@ -193,7 +198,7 @@
 	return weightFar
 }
 
-// score returns how loaded an agent looks; less is better.
+// score returns the estimated load of an agent; lower is better.
 func (a *agent) score(now time.Duration, s Settings, long bool, mean means) float64 {
 	slots := float64(max(int(a.status.Slots), a.Slots, 1))
 	load := (a.running(now, mean.running) + float64(a.pending)) / slots
--- a/internal/packetface/steer/early.go
+++ b/internal/packetface/steer/early.go
@@ -7,27 +7,28 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// A balancer that has just started has neither routes nor agents for some 20 to 40
-// ms. After a common loss of power callers' opening packets come from the first
-// millisecond on; one that is dropped then is sent again after 0.2 or 0.4 s, and the
-// last copy not at all. So they are kept until the first list is there.
+// A balancer that has just started has neither routes nor agents for some 20 to 40 ms.
+// After a simultaneous power loss opening packets from callers arrive from the first
+// millisecond on. A dropped one is sent again after 0.2 or 0.4 s, and the last copy not
+// at all, so opening packets are buffered until the first list of agents is there.
 
 const (
-	// maxEarlyOpenings bounds the opening packets that are kept: those of 100 ms at 5,000 a
+	// maxEarlyOpenings bounds the buffered opening packets: those of 100 ms at 5,000 a
 	// second, with 31 bytes each.
 	maxEarlyOpenings = 512
-	// maxEarlyAge is the age at which one is given up: its caller has sent a copy.
+	// maxEarlyAge is the age at which a buffered packet is dropped: its caller has sent a
+	// copy.
 	maxEarlyAge = 200 * time.Millisecond
 )
 
-// earlyOpening is an opening packet that came before the first list.
+// earlyOpening is an opening packet that arrived before the first list of agents.
 type earlyOpening struct {
 	id     platform.Flow
 	at     time.Duration
 	packet []byte
 }
 
-// bufferEarly keeps an opening packet until routes and agents are known; it reports
+// bufferEarly buffers an opening packet until routes and agents are known; it reports
 // whether it did.
 func (c *Core) bufferEarly(now time.Duration, id platform.Flow, b []byte) bool {
 	if c.table != nil || len(c.early) >= maxEarlyOpenings {
@@ -37,7 +38,7 @@
 	return true
 }
 
-// placeEarly places the opening packets that were kept.
+// placeEarly places the buffered opening packets.
 func (c *Core) placeEarly(now time.Duration) {
 	if c.table == nil {
 		return
--- a/internal/packetface/steer/place.go
+++ b/internal/packetface/steer/place.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// open places a flow, or sends a copy of its opening packet after the first.
+// open places a flow, or forwards another copy of its opening packet.
 func (c *Core) open(now time.Duration, id platform.Flow, b []byte) {
 	route := c.route(id)
 	if route == nil {
@@ -36,13 +36,14 @@
 	c.place(now, id, f, route, b)
 }
 
-// hops returns how many agents have had the opening packet and not taken it.
+// hops returns how many agents have received the opening packet and not taken the flow.
 func (f *flow) hops() int { return len(f.tried) + len(f.busy) }
 
-// excluded returns the agents that a flow does not go to. In a rush all slots of all
-// upstreams are taken: a flow that was returned for that by as many agents as may
-// do so has to wait, and best where the fewest wait, which may be at one that had it
-// before. To leave those out would send the flow to the upstreams that look worst.
+// excluded returns the agents to which a flow is not sent. Under overload all slots of
+// all upstreams are taken: a flow that MaxBusyHops agents have returned as busy has to
+// wait in a queue, preferably the shortest, which may be that of an agent that has
+// returned the flow before. If those agents were excluded, the flow would go to the
+// upstreams that look worst.
 func (c *Core) excluded(f *flow) []*agent {
 	if len(f.busy) >= inner.MaxBusyHops && c.settings.Policies.On(policy.ShortestQueue) {
 		return f.tried
@@ -51,14 +52,14 @@
 }
 
 // mayRepeat reports whether an opening packet may be for a request that its caller has
-// asked for before.
+// sent before.
 func (c *Core) mayRepeat(now time.Duration, b []byte) bool {
 	p, err := platform.ParsePacket(b)
 	return err == nil && c.settings.Policies.On(policy.Repetition) && admission.MayRepeat(now-p.CopyAge())
 }
 
-// silentSincePlaced reports whether the agent has been silent since it got the opening
-// packet, for longer than an answer takes.
+// silentSincePlaced reports whether the agent has sent nothing since it was sent the
+// opening packet, and copyTimeout has passed since.
 func silentSincePlaced(f *flow, now time.Duration) bool {
 	if f.agent.removed {
 		return true
@@ -93,8 +94,8 @@
 	c.sendOpen(now, f, best, route, id, b, flags)
 }
 
-// placeLast sends an opening packet that every agent has returned to the one
-// that may take it yet, or tells the caller that nobody does.
+// placeLast sends an opening packet that every agent has returned to the agent of last
+// resort, or rejects the flow if there is none.
 func (c *Core) placeLast(now time.Duration, id platform.Flow, f *flow, route *routing.Route, w requirements, b []byte) {
 	last := c.roster.lastResort(now, w, c.settings)
 	if last == nil || f.agent == nil || f.lastTry {
@@ -118,14 +119,15 @@
 	return "no-upstream-takes-it"
 }
 
-// requirementsOf returns what a new flow of a route needs of its agent.
+// requirementsOf returns what a new flow of a route requires of its agent.
 func (c *Core) requirementsOf(route *routing.Route, service uint64) requirements {
 	return requirements{service: service, long: route.Repeatable, homes: route.Homes, regions: c.settings.Regions}
 }
 
-// reject resets a flow that nobody takes, so that its caller knows at once; nothing
-// of it has run. While the list of agents may lack some, the caller's next copy is
-// another try, and costs it none of its repetitions.
+// reject resets a flow that no agent takes, so that its caller knows at once; no request
+// of the flow has run. While the list of agents may be incomplete, the packet is dropped
+// instead unless it is the last copy: the caller's next copy is placed anew, and the
+// caller does not use up one of its repetitions.
 func (c *Core) reject(now time.Duration, id platform.Flow, reason string, b []byte) {
 	delete(c.flows, id)
 	p, err := platform.ParsePacket(b)
@@ -136,8 +138,8 @@
 	c.reset(id, 0, reason)
 }
 
-// listComplete reports whether every agent that the store or other balancers know of is
-// in the list.
+// listComplete reports whether the list has every agent that the store or other balancers
+// know of.
 func (c *Core) listComplete(now time.Duration) bool {
 	if c.settings.AwaitPeers && !c.peersAsked {
 		return false
@@ -163,7 +165,8 @@
 	c.send(a.Addr, start)
 }
 
-// noRoute answers an opening packet for a face without a route.
+// noRoute handles an opening packet for a face without a route: it resets the flow if the
+// configuration is known to be current, and drops the packet otherwise.
 func (c *Core) noRoute(id platform.Flow) {
 	if c.table != nil && c.tableFresh {
 		c.reset(id, 0, "no-route")
@@ -172,7 +175,7 @@
 	c.note(Note{Kind: KindDropped, Flow: id, Reason: "no-route-known"})
 }
 
-// placeAgain sends an opening packet that an agent returned to another one.
+// placeAgain sends an opening packet that an agent has returned to another agent.
 func (c *Core) placeAgain(now time.Duration, id platform.Flow, a *agent, head inner.Returned, packet []byte) {
 	route := c.route(id)
 	f := c.flows[id]
--- a/internal/packetface/steer/returned.go
+++ b/internal/packetface/steer/returned.go
@@ -7,10 +7,10 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// probeReturnTime is the time within which a probe comes back.
+// probeReturnTime is the time within which a probe is returned.
 const probeReturnTime = time.Second
 
-// handleReturned decides on a packet that an agent gave back.
+// handleReturned processes a packet that an agent has returned.
 func (c *Core) handleReturned(now time.Duration, a *agent, b []byte) error {
 	head, packet, err := inner.ParseReturned(b)
 	if err != nil {
@@ -30,10 +30,10 @@
 		if head.Reason == inner.ReasonUnknown {
 			c.handleVerdict(now, id, q, a, inner.VerdictNone)
 		}
-		return nil // no word of the caller; without a proof it is probed again in the next round
+		return nil // not a new packet of the caller; an agent without proof is probed again in the next round
 	}
 	if c.isDead(now, id) {
-		return nil // the caller has been told
+		return nil // the caller has been sent a reset
 	}
 	if f := c.flows[id]; f != nil && f.agent != nil {
 		if f.agent != a && !f.agent.removed {
@@ -46,9 +46,10 @@
 	return nil
 }
 
-// handleLateReturn decides on a packet that comes back from an agent that is not the
-// flow's owner: a probe that was on its way when the owner was found, which has the
-// packet by then, or one that went to an earlier owner.
+// handleLateReturn processes a packet returned by an agent that is not the flow's owner.
+// It is either a probe that was in flight when the owner was found, and the owner has
+// been sent that packet already, or a packet that was sent to an earlier owner, and is
+// forwarded to the present one.
 func (c *Core) handleLateReturn(now time.Duration, f *flow, packet []byte) {
 	if now-f.placed >= probeReturnTime {
 		c.forward(now, f.agent, packet, inner.Forward{Terms: f.terms})
