--- a/internal/packetface/steer/carry.go
+++ b/internal/packetface/steer/carry.go
@@ -8,26 +8,28 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// flow is what the balancer remembers of a flow.
+// flow is the balancer's state for a flow.
 type flow struct {
 	agent *agent
-	// placed is when its opening packet was sent to agent, seen when its last
-	// packet came.
+	// placed is when its opening packet was sent to agent, seen is when its last packet
+	// arrived.
 	placed, seen time.Duration
-	// open tells that the caller has gone on from the opening.
+	// open is set once the caller has sent a packet that follows the opening.
 	open bool
-	// terms are those of the route.
+	// terms are the request terms of the route.
 	terms inner.Terms
-	// tried are agents that have returned the opening packet or were silent, busy
-	// those that returned it as all their slots are taken; lastTry tells that all
-	// were tried, and the best once more.
+	// tried are agents that returned the opening packet or did not answer, busy those
+	// that returned it because all their slots are taken; lastTry is set once all have
+	// been tried and the best of them has been sent the packet again.
 	tried, busy []*agent
 	lastTry     bool
-	// mayRepeat tells that its caller may have asked before, on another flow.
+	// mayRepeat is set if the caller may have sent the same request before, on another
+	// flow.
 	mayRepeat bool
 }
 
-// forwardOrSearch sends a packet of a flow that was opened before.
+// forwardOrSearch sends a packet of an open flow to the flow's agent, or searches for the
+// agent if it is not known.
 func (c *Core) forwardOrSearch(now time.Duration, id platform.Flow, p *platform.Packet, b []byte) {
 	if f := c.flows[id]; f != nil && f.agent != nil && !f.agent.removed && !c.maySkip(now, id, f.agent) {
 		f.seen, f.open = now, true
@@ -42,7 +44,7 @@
 	c.searchOwner(now, id, p, b)
 }
 
-// isDead reports whether a flow was lately reset as nobody holds it.
+// isDead reports whether a flow was recently reset because no upstream holds it.
 func (c *Core) isDead(now time.Duration, id platform.Flow) bool {
 	until, ok := c.dead[id]
 	return ok && now < until
@@ -55,7 +57,8 @@
 	c.send(a.Addr, start)
 }
 
-// flagsFor asks for the agent's status if what is known is older than age.
+// flagsFor returns the flag that requests the agent's status if the last status is older
+// than age.
 func (c *Core) flagsFor(a *agent, now, age time.Duration) inner.Flags {
 	if !a.needsStatus(now, age) {
 		return 0
@@ -64,16 +67,16 @@
 	return inner.FlagStatus
 }
 
-// reset tells a caller that its flow is not held. No request in the packet
-// that asked has run.
+// reset sends a caller a reset of its flow. No request in the packet that caused the
+// reset has run.
 func (c *Core) reset(id platform.Flow, sequence uint32, reason string) {
 	c.resetWithNote(id, sequence, Note{Reason: reason})
 }
 
-// reasonHeldByNone is why a flow is reset that no upstream holds.
+// reasonHeldByNone is the reason for the reset of a flow that no upstream holds.
 const reasonHeldByNone = "held-by-none"
 
-// resetWithNote is reset with a note that tells more of the decision.
+// resetWithNote is reset with more details of the decision in the note.
 func (c *Core) resetWithNote(id platform.Flow, sequence uint32, n Note) {
 	n.Kind, n.Flow = KindReset, id
 	c.note(n)
@@ -86,10 +89,11 @@
 	})
 }
 
-// addFlow makes room for a flow and returns its memory.
+// addFlow adds a flow and returns its state; if there are too many flows, it removes
+// another one.
 func (c *Core) addFlow(id platform.Flow, now time.Duration) *flow {
 	if len(c.flows) >= maxFlows {
-		for old := range c.flows { // any: its owner is found again by asking
+		for old := range c.flows { // any one: a search finds its owner again
 			delete(c.flows, old)
 			break
 		}
@@ -99,7 +103,7 @@
 	return f
 }
 
-// sweep forgets flows that are idle or never opened.
+// sweep removes flows that are idle or were never opened, and other expired state.
 func (c *Core) sweep(now time.Duration) {
 	c.lastSweep = now
 	c.former.sweep(now)
@@ -112,8 +116,8 @@
 			delete(c.flows, id)
 		}
 	}
-	for addr, gone := range c.roster.removed {
-		if now >= gone.until {
+	for addr, removed := range c.roster.removed {
+		if now >= removed.until {
 			delete(c.roster.removed, addr)
 		}
 	}
--- a/internal/packetface/steer/check.go
+++ b/internal/packetface/steer/check.go
@@ -7,18 +7,19 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// An agent that no balancer calls asks one whether the store lists it: the poll that it
-// gets in return tells. A balancer that has not heard the store lately stays silent, and
-// the agent asks another one, or the store.
+// An agent that receives nothing from any balancer asks one whether the store lists it.
+// The balancer answers with a poll, in which FlagUnlisted is set if it does not. A
+// balancer that has not reached the store lately does not answer, and the agent asks
+// another balancer or the store.
 
-// answerCheck answers an agent that is known.
+// answerCheck polls a known agent that asks whether it is listed.
 func (c *Core) answerCheck(now time.Duration, a *agent) {
 	if c.tableFresh {
 		c.poll(now, a)
 	}
 }
 
-// pollUnknown answers an agent that neither the store lists nor this balancer knows.
+// pollUnknown polls an agent that neither the store lists nor this balancer knows.
 func (c *Core) pollUnknown(from netip.AddrPort) {
 	if !c.tableFresh {
 		return
--- a/internal/packetface/steer/evacuated.go
+++ b/internal/packetface/steer/evacuated.go
@@ -7,29 +7,34 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// Data centres that operators want empty get no new flows. The balancer goes by its
-// copy of their requests, and for each agent by what that has heard from others, if it
-// is newer: a balancer that the store turns away learns it so.
+// Evacuated data centres get no new flows. The balancer uses its copy of the operators'
+// requests and, for each agent, the state that the agent has received from other
+// balancers if that is newer. This is how a balancer that the store refuses to serve
+// learns of an evacuation.
 
-// Agents in an evacuated data centre are told until they know, and now and then after
-// that: one whose process starts anew there has forgotten, and a balancer that knows
-// less may send it something. Balancers that all told all of them at once would be too
-// many: with 780 balancers and 1,525 agents in a data centre each balancer would send 3,000
-// polls a second, 290 KB/s, of the 11 KB/s that it has for control (worked out). So at
-// each tick only some of the balancers do, whichever they are.
+// Agents in an evacuated data centre are polled until they report the evacuation, and
+// occasionally after that: an agent process that restarts has lost the information, and a
+// balancer that does not know of the evacuation may send it a flow. If all balancers
+// polled all these agents, the traffic would be too high: with 780 balancers and 1,525
+// agents in a data centre each balancer would send 3,000 polls a second, 290 KB/s, where
+// 11 KB/s are available to it for control traffic (calculated). So at each tick only some
+// randomly selected balancers poll.
 const (
-	// evacuatedPollInterval is the least time between two polls of an agent that knows.
+	// evacuatedPollInterval is the minimum time between two polls of an agent that has
+	// reported the evacuation.
 	evacuatedPollInterval = 500 * time.Millisecond
-	// pollersUninformed is how many balancers of the fleet poll an agent that does not know yet
-	// between two ticks (50 ms): it learns within one, and tells all others by its status.
+	// pollersUninformed is how many balancers of the fleet, on average, poll an agent
+	// that has not reported the evacuation between two ticks (50 ms). The agent is
+	// informed within one tick, and its status informs all other balancers.
 	pollersUninformed = 4
-	// pollersInformed is the same for one that knows: about one poll in 50 ms in all, so that a
-	// process that starts anew is told long before operators count on it (5 s).
+	// pollersInformed is the same for an agent that has reported it: about one poll in
+	// 50 ms from the whole fleet, so that a restarted agent is informed long before
+	// operators rely on the evacuation (5 s).
 	pollersInformed = 1
 )
 
-// SetEvacuations takes over the operators' requests as the store has them; it comes
-// before the list of agents that was read with them.
+// SetEvacuations applies the operators' requests from the store. It has to be called
+// before SetAgents with the list of agents that was read with them.
 func (c *Core) SetEvacuations(now time.Duration, r evacuation.Record) *Result {
 	c.begin(now)
 	c.evacuations = r
@@ -40,8 +45,8 @@
 	return &c.out
 }
 
-// pollForEvacuation polls agents that are to be told of an evacuation, some of them in a large
-// fleet.
+// pollForEvacuation polls agents that are to be informed of the state of their data
+// centre; in a large fleet this balancer polls only some of them.
 func (c *Core) pollForEvacuation(now time.Duration) {
 	balancers := 0
 	for _, a := range c.roster.list {
@@ -59,26 +64,27 @@
 
 // shouldPoll reports whether this balancer is to poll an agent now.
 func (c *Core) shouldPoll(now time.Duration, a *agent, balancers int) bool {
-	every, pollers := pollRetryInterval, float64(pollersUninformed)
+	interval, pollers := pollRetryInterval, float64(pollersUninformed)
 	if !a.misinformed() {
-		every, pollers = evacuatedPollInterval, pollersInformed
+		interval, pollers = evacuatedPollInterval, pollersInformed
 	}
-	if a.waitingSince != 0 || now-a.lastRequest <= every {
+	if a.waitingSince != 0 || now-a.lastRequest <= interval {
 		return false
 	}
 	return c.settings.Random.Float64()*float64(balancers) < pollers
 }
 
-// mergeEvacuation keeps the newest word on the data centre of an agent, the balancer's own
-// among them; it reports whether that changes what the agent may get.
+// mergeEvacuation merges a reported state of an agent's data centre with the known one
+// and the balancer's own, and keeps the newest. It reports whether the agent's evacuation
+// has started or ended by that.
 func (c *Core) mergeEvacuation(a *agent, word evacuation.Word) (changed bool) {
 	before := a.evacuation
 	a.evacuation = c.evacuations.Weigh(a.DataCentre, before.Newer(word))
 	return a.evacuation.Evacuated != before.Evacuated
 }
 
-// applyReportedEvacuation takes what an agent has heard of its data centre. It holds for all agents
-// there.
+// applyReportedEvacuation merges the state of its data centre that an agent has reported.
+// If this starts or ends an evacuation, it is applied to all agents there.
 func (c *Core) applyReportedEvacuation(now time.Duration, a *agent, s inner.Status) {
 	if !c.mergeEvacuation(a, s.Evacuation) {
 		return
@@ -91,13 +97,14 @@
 	}
 }
 
-// misinformed reports whether the agent knows less of its data centre than the balancer.
+// misinformed reports whether the agent's last status contradicts what the balancer knows
+// of the agent's data centre.
 func (a *agent) misinformed() bool {
 	return a.statusAt != 0 && a.status.Evacuation.Evacuated != a.evacuation.Evacuated
 }
 
-// countAllowed counts the agents that a flow may go to by their data centres, open, and those
-// that are in its home regions, evacuated or not.
+// countAllowed counts the agents of a service that are in the flow's home regions (home),
+// and those among them whose data centre is not evacuated (open).
 func (r *roster) countAllowed(w requirements) (open, home int) {
 	for _, a := range r.byService[w.service] {
 		if !w.inHomeRegion(a) {
--- a/internal/packetface/steer/former.go
+++ b/internal/packetface/steer/former.go
@@ -9,26 +9,28 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// A flow lives at an agent of a service that its face leads to, or led to when the
-// flow was opened. A balancer that has followed the configuration for longer than
-// any flow lives knows all of these, and asks no others: what a search costs then
+// A flow is held by an agent of a service that its face routes to now, or routed to when
+// the flow was opened. A balancer that has followed the configuration for longer than any
+// flow lasts knows all these services and asks no other agents, so the cost of a search
 // does not grow with the fleet.
 
-// formerRetentionFactor is the number of the longest lives of a flow for which a balancer
-// follows the configuration before it trusts its memory, and remembers a former
-// service: others may have placed flows by an older version for a while.
+// formerRetentionFactor is a multiple of the maximum lifetime of a flow. A balancer has
+// to follow the configuration for that long before it relies on its record of former
+// services, and keeps a former service for that long: other balancers may have placed
+// flows by an older version for a while.
 const formerRetentionFactor = 3
 
-// formerServices remembers to which services faces led.
+// formerServices records the services that faces routed to before.
 type formerServices struct {
-	// since is when the first configuration came, 0 for not yet; retention is how long
-	// a former service is remembered, 0 for never to trust it.
+	// since is when the first configuration was applied, 0 for not yet; retention is how
+	// long a former service is kept, 0 if the record must not be relied on.
 	since, retention time.Duration
-	// former holds when a service was last one of a face's.
-	former map[netip.AddrPort]map[uint64]time.Duration
+	// lastRouted holds, by face and former service, when the face last routed to the
+	// service.
+	lastRouted map[netip.AddrPort]map[uint64]time.Duration
 }
 
-// update notes which services faces no longer lead to.
+// update records the services that faces no longer route to.
 func (f *formerServices) update(now time.Duration, before, after *routing.Table) {
 	if f.since == 0 {
 		f.since = now
@@ -37,12 +39,12 @@
 		return
 	}
 	for face, route := range before.All() {
-		var kept []uint64
+		var current []uint64
 		if next := after.At(face); next != nil {
-			kept = next.Services
+			current = next.Services
 		}
 		for _, service := range route.Services {
-			if !slices.Contains(kept, service) {
+			if !slices.Contains(current, service) {
 				f.markFormer(face, service, now)
 			}
 		}
@@ -50,39 +52,39 @@
 }
 
 func (f *formerServices) markFormer(face netip.AddrPort, service uint64, now time.Duration) {
-	if f.former == nil {
-		f.former = make(map[netip.AddrPort]map[uint64]time.Duration)
+	if f.lastRouted == nil {
+		f.lastRouted = make(map[netip.AddrPort]map[uint64]time.Duration)
 	}
-	if f.former[face] == nil {
-		f.former[face] = make(map[uint64]time.Duration)
+	if f.lastRouted[face] == nil {
+		f.lastRouted[face] = make(map[uint64]time.Duration)
 	}
-	f.former[face][service] = now
+	f.lastRouted[face][service] = now
 }
 
-// sweep forgets services that no flow can be of any more.
+// sweep removes services of which no flow can be left.
 func (f *formerServices) sweep(now time.Duration) {
-	for face, services := range f.former {
+	for face, services := range f.lastRouted {
 		for service, at := range services {
 			if now-at > f.retention {
 				delete(services, service)
 			}
 		}
 		if len(services) == 0 {
-			delete(f.former, face)
+			delete(f.lastRouted, face)
 		}
 	}
 }
 
-// setRetention takes over how long a former service is remembered. What a shorter time has
-// forgotten is missing for a longer one, so the memory begins anew.
-func (f *formerServices) setRetention(now, keep time.Duration) {
-	if keep > f.retention && f.since > 0 {
+// setRetention changes how long a former service is kept. A longer time restarts the
+// record, as services that were removed after the shorter time are missing.
+func (f *formerServices) setRetention(now, retention time.Duration) {
+	if retention > f.retention && f.since > 0 {
 		f.since = now
 	}
-	f.retention = keep
+	f.retention = retention
 }
 
-// isComplete reports whether all services are isComplete that a flow may be of.
+// isComplete reports whether the record has all services whose agents may hold a flow.
 func (f *formerServices) isComplete(now time.Duration) bool {
 	return f.retention > 0 && f.since > 0 && now-f.since > f.retention
 }
@@ -99,7 +101,7 @@
 			services[service] = true
 		}
 	}
-	for service := range c.former.former[id.FaceAddr()] {
+	for service := range c.former.lastRouted[id.FaceAddr()] {
 		services[service] = true
 	}
 	for service := range services {
--- a/internal/packetface/steer/newer.go
+++ b/internal/packetface/steer/newer.go
@@ -7,37 +7,40 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// What agents have heard that this balancer lacks.
+// Detects, by what agents report, that this balancer lacks a newer configuration, list of
+// agents or evacuation.
 
-// noteReported tells of newer beliefs than the balancer's own.
-func (c *Core) noteReported(now time.Duration, a *agent, heard inner.Known, source [4]byte) {
-	c.roster.newestReported = max(c.roster.newestReported, heard.Listing)
-	newer := heard.Version > c.known().Version || heard.Listing > c.roster.age.AsOf
-	if heard.Version > c.newer.version {
-		c.newer = newerVersion{heard.Version, a.Addr, source}
+// noteReported compares the configuration version and the list of agents that an agent
+// has reported with the balancer's own, and adds a note if the reported ones are newer.
+func (c *Core) noteReported(now time.Duration, a *agent, reported inner.Known, source [4]byte) {
+	c.roster.newestReported = max(c.roster.newestReported, reported.Listing)
+	newer := reported.Version > c.known().Version || reported.Listing > c.roster.age.AsOf
+	if reported.Version > c.newer.version {
+		c.newer = newerVersion{reported.Version, a.Addr, source}
 	}
 	if newer {
-		c.noteNewer(now, a.Addr, heard.Version, source)
+		c.noteNewer(now, a.Addr, reported.Version, source)
 	}
 }
 
-// newerVersion is the newest version of the configuration that an agent has told of, and
-// from whom it has it.
+// newerVersion is the newest version of the configuration that an agent has reported,
+// with the agent and the host of the balancer from which the agent received it.
 type newerVersion struct {
 	version uint64
 	agent   netip.AddrPort
 	source  [4]byte
 }
 
-// tickNewer tells again of a version that is still missing. An idle agent tells of it
-// once, and what was told may have come to nothing.
+// tickNewer repeats the note of a version that is still missing. An idle agent reports a
+// version once, and the attempt to fetch it after the first note may have failed.
 func (c *Core) tickNewer(now time.Duration) {
 	if c.newer.version > c.known().Version && now-c.newerNotedAt >= newerRepeatInterval {
 		c.noteNewer(now, c.newer.agent, c.newer.version, c.newer.source)
 	}
 }
 
-// noteNewer tells that an agent has heard of what the balancer lacks, and from whom.
+// noteNewer adds a note that an agent has reported what the balancer lacks, with the host
+// of the balancer that has it.
 func (c *Core) noteNewer(now time.Duration, agent netip.AddrPort, version uint64, source [4]byte) {
 	if c.newerNotedAt != 0 && now-c.newerNotedAt < newerNoteInterval {
 		return
