--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -1,14 +1,15 @@
-// Package search keeps the account of a search for the agent whose upstream holds
-// a flow: who was asked, what each answer proves, whom to ask or probe next, and
-// when nothing is left in doubt. It is pure: identities of agents, verdicts and the
-// time come in; identities to ask and to probe go out. Who may hold the flow, and
-// how new a list of agents has to be, its caller knows.
+// Package search keeps the state of a search for the agent whose upstream holds a flow:
+// which agents were asked, what each answer proves, which agents to ask or probe next,
+// and whether any agent's answer is still open. It does no I/O: ids of agents, verdicts
+// and the time are its input; ids of agents to ask and to probe are its output. Its
+// caller determines which agents may hold the flow and how recent the list of agents has
+// to be.
 //
-// The load it is made for: after a common loss of power every open flow of the
-// fleet is dead, and its next packet begins a search among all agents. A balancer
-// then takes in some hundred answers a flow, on hosts with a few hundredths of a
-// core. So an answer costs a look-up among the agents asked and a count, never a
-// walk over them.
+// After a simultaneous power loss every open flow of the fleet is dead, and its next
+// packet starts a search among all agents. A balancer then processes some hundred answers
+// for each flow, on hosts with a few hundredths of a core. So processing an answer takes
+// a look-up among the agents asked and an update of a count, never a pass over all
+// agents.
 package search
 
 import (
@@ -20,53 +21,53 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// ID is an agent's number in its balancer's memory. A number is not given to
-// another agent while a search knows it: Forget it first.
+// ID identifies an agent within its balancer. An id must not be given to another agent
+// while a search contains it: call Forget first.
 type ID uint32
 
-// State is how far the proof is that an agent's upstream does not hold the flow.
+// State is how far it is proved that an agent's upstream does not hold the flow.
 type State uint8
 
 // States of an agent in a search.
 const (
 	// Waiting agents were asked and have proved nothing yet.
 	Waiting State = iota + 1
-	// Untold agents began after their upstreams, so only a packet of the flow shows
-	// whether those hold it.
-	Untold
-	// Probed agents were handed such a packet, and it has not come back.
+	// CannotTell agents started after their upstreams, so only a packet of the flow shows
+	// whether the upstreams hold it.
+	CannotTell
+	// Probed agents were sent such a packet, and it has not been returned.
 	Probed
-	// None is the proof.
-	None
+	// NotHeld agents have proved that their upstreams do not hold the flow.
+	NotHeld
 	states
 )
 
-// Times of a search.
+// Intervals and time-outs of a search.
 const (
-	// stageTime is how long one group of agents is waited for before the next is
-	// asked; an answer from another data centre takes about 3 ms.
-	stageTime = 8 * time.Millisecond
+	// stageTimeout is how long the search waits for the agents of one stage before it
+	// asks those of the next; an answer from another data centre takes about 3 ms.
+	stageTimeout = 8 * time.Millisecond
 	// roundTime is the time after which agents without an answer are asked again; it
-	// doubles up to roundMost.
-	roundTime = 100 * time.Millisecond
-	roundMost = 800 * time.Millisecond
-	// keptTime is how long a search goes on without a new packet: callers send again
-	// after 1.6 s at most.
-	keptTime = 2500 * time.Millisecond
+	// doubles with each round up to maxRoundTime.
+	roundTime    = 100 * time.Millisecond
+	maxRoundTime = 800 * time.Millisecond
+	// callerTimeout is how long a search continues without a new packet: callers repeat a
+	// packet after 1.6 s at most.
+	callerTimeout = 2500 * time.Millisecond
 )
 
-// Stage is a group of agents that are asked together, likely owners first.
+// Stage is a group of agents that are asked together, the likely owners first.
 type Stage uint8
 
 // Stages in their order.
 const (
 	// Near are the agents of the route's services in the balancer's data centre.
 	Near Stage = iota
-	// Route are the others of the route's services.
+	// Route are the other agents of the route's services.
 	Route
-	// All are all others that may hold the flow.
+	// All are all other agents that may hold the flow.
 	All
-	// End comes once all were asked.
+	// End follows once all agents were asked.
 	End
 )
 
@@ -76,18 +77,18 @@
 	state State
 }
 
-// Search is the search for the owner of one flow. Times are counted by the steady
-// clock from the process's start.
+// Search is the search for the owner of one flow. Times are counted from the start of the
+// process by the monotonic clock.
 type Search struct {
-	// Stage is the group that is asked now.
+	// Stage is the group of agents that are being asked.
 	Stage Stage
 	// Rounds is how often agents without an answer were asked again.
 	Rounds int
 	began  time.Duration
-	// last is when the caller's last packet came, staged when the stage began, round
-	// when agents were last asked.
-	last, staged, round time.Duration
-	// members are sorted by their numbers; order has them as they were asked.
+	// lastPacket is when the caller's last packet arrived, stageAskedAt when the agents
+	// of the stage were asked, roundBegan when the round began.
+	lastPacket, stageAskedAt, roundBegan time.Duration
+	// members are sorted by id; order has the ids in the order in which they were asked.
 	members []member
 	order   []ID
 	counts  [states]int
@@ -95,48 +96,48 @@
 
 // New returns a search that begins now.
 func New(now time.Duration) *Search {
-	return &Search{began: now, last: now, staged: now, round: now}
+	return &Search{began: now, lastPacket: now, stageAskedAt: now, roundBegan: now}
 }
 
 // Age returns how long the search has lasted.
 func (s *Search) Age(now time.Duration) time.Duration { return now - s.began }
 
-// Packet notes that another packet of the flow has come.
-func (s *Search) Packet(now time.Duration) { s.last = now }
+// NotePacket records that another packet of the flow has arrived.
+func (s *Search) NotePacket(now time.Duration) { s.lastPacket = now }
 
-// GivenUp reports whether the caller has sent nothing for so long that it has gone.
-func (s *Search) GivenUp(now time.Duration) bool { return now-s.last > keptTime }
+// CallerGone reports whether the caller has sent nothing for longer than callerTimeout.
+func (s *Search) CallerGone(now time.Duration) bool { return now-s.lastPacket > callerTimeout }
 
-// Staged notes that the agents of a stage were asked.
-func (s *Search) Staged(now time.Duration) { s.staged = now }
+// NoteStageAsked records that the agents of a stage were asked.
+func (s *Search) NoteStageAsked(now time.Duration) { s.stageAskedAt = now }
 
-// StageDue reports whether the agents of the stage are slow to answer, so that the
-// next are to be asked. slow is how late the process's own work is: where its
-// processor is short, the answers of a stage wait unread, and asking more agents
-// only lengthens the queue.
-func (s *Search) StageDue(now, slow time.Duration) bool {
-	return s.Stage < End && now-s.staged > max(stageTime, 2*slow)
+// StageDue reports whether the agents of the stage are slow to answer, so that those of
+// the next stage are to be asked. tickInterval is the time between the process's ticks:
+// if its processor is overloaded, the answers of the stage wait unread, and asking more
+// agents would only lengthen the queue.
+func (s *Search) StageDue(now, tickInterval time.Duration) bool {
+	return s.Stage < End && now-s.stageAskedAt > max(stageTimeout, 2*tickInterval)
 }
 
 // RoundDue reports whether agents without an answer are to be asked again.
 func (s *Search) RoundDue(now time.Duration) bool {
-	return now-s.round > min(roundTime<<min(s.Rounds, 8), roundMost)
+	return now-s.roundBegan > min(roundTime<<min(s.Rounds, 8), maxRoundTime)
 }
 
-// BeginRound starts a round: agents that were probed may be probed again, as a
-// packet or its return may be lost, and the stages are gone through once more for
-// agents that were listed meanwhile.
+// BeginRound starts a round. Agents that were probed may be probed again, as the packet
+// or its return may be lost, and the search goes through the stages again for agents that
+// were listed meanwhile.
 func (s *Search) BeginRound(now time.Duration) {
-	s.round, s.Stage = now, Near
+	s.roundBegan, s.Stage = now, Near
 	s.Rounds++
 	for i := range s.members {
 		if s.members[i].state == Probed {
-			s.set(&s.members[i], Untold)
+			s.set(&s.members[i], CannotTell)
 		}
 	}
 }
 
-// Ask adds an agent; it reports whether it is new, and so has to be asked.
+// Ask adds an agent. It reports whether the agent is new, so that it has to be asked.
 func (s *Search) Ask(id ID) bool {
 	at, found := s.index(id)
 	if found {
@@ -148,35 +149,36 @@
 	return true
 }
 
-// Take takes an agent's answer, other than that its upstream holds the flow. One
-// that is not sure whether it knows of the newest list of agents proves nothing.
-func (s *Search) Take(id ID, verdict inner.Verdict) {
+// RecordVerdict records an agent's answer, other than that its upstream holds the flow.
+// VerdictUnsure, the answer of an agent that may not know of the newest list of agents,
+// proves nothing.
+func (s *Search) RecordVerdict(id ID, verdict inner.Verdict) {
 	m := s.find(id)
 	if m == nil {
 		return
 	}
 	switch verdict {
 	case inner.VerdictNone:
-		s.set(m, None)
+		s.set(m, NotHeld)
 	case inner.VerdictMaybe:
 		if m.state == Waiting {
-			s.set(m, Untold)
+			s.set(m, CannotTell)
 		}
 	case inner.VerdictUnsure:
-		if m.state != None {
+		if m.state != NotHeld {
 			s.set(m, Waiting)
 		}
 	}
 }
 
-// Probe returns agents that are to be handed a packet of the flow, limit at most,
-// and counts them as probed. Those that were asked first come first: likely owners.
+// Probe returns the agents that are to be sent a packet of the flow, at most limit, and
+// records them as probed. Those asked first, the likely owners, come first.
 func (s *Search) Probe(limit int) []ID {
 	var chosen []ID
-	if s.counts[Untold] == 0 {
+	if s.counts[CannotTell] == 0 {
 		return nil
 	}
-	for id := range s.In(Untold) {
+	for id := range s.InState(CannotTell) {
 		if len(chosen) == limit {
 			break
 		}
@@ -188,22 +190,22 @@
 	return chosen
 }
 
-// AskAgain notes that an agent is asked once more; it reports whether it was asked
-// before and has proved nothing.
+// AskAgain records that an agent is asked once more. It reports whether the agent was
+// asked before and has proved nothing.
 func (s *Search) AskAgain(id ID) bool {
 	m := s.find(id)
-	if m == nil || m.state == None {
+	if m == nil || m.state == NotHeld {
 		return false
 	}
 	s.set(m, Waiting)
 	return true
 }
 
-// WasAsked reports whether the agent was asked: a packet that it gives back is a
-// probe then, which may be late or doubled.
+// WasAsked reports whether the agent was asked. If so, a packet that it returns is a
+// probe, which may be late or duplicated.
 func (s *Search) WasAsked(id ID) bool { return s.find(id) != nil }
 
-// Forget drops an agent that is gone: its upstream can't hold anything up.
+// Forget removes an agent that has left, so that the search does not wait for it.
 func (s *Search) Forget(id ID) {
 	m := s.find(id)
 	if m == nil {
@@ -214,21 +216,20 @@
 	s.order = slices.DeleteFunc(s.order, func(o ID) bool { return o == id })
 }
 
-// Asked returns how many agents were asked, Count how many are in a state.
+// Asked returns how many agents were asked.
 func (s *Search) Asked() int { return len(s.members) }
 
 // Count returns how many agents are in a state.
 func (s *Search) Count(state State) int { return s.counts[state] }
 
-// Proved reports whether the agent has proved that its upstream does not hold the
-// flow.
+// Proved reports whether the agent has proved that its upstream does not hold the flow.
 func (s *Search) Proved(id ID) bool {
 	m := s.find(id)
-	return m != nil && m.state == None
+	return m != nil && m.state == NotHeld
 }
 
-// In returns the agents in a state in the order in which they were asked.
-func (s *Search) In(state State) iter.Seq[ID] {
+// InState returns the agents in a state in the order in which they were asked.
+func (s *Search) InState(state State) iter.Seq[ID] {
 	return func(yield func(ID) bool) {
 		for _, id := range s.order {
 			if m := s.find(id); m != nil && m.state == state && !yield(id) {
@@ -253,7 +254,7 @@
 	return &s.members[at]
 }
 
-// index returns where an agent is among the members, or belongs.
+// index returns the position of an agent among the members, or where to insert it.
 func (s *Search) index(id ID) (at int, found bool) {
 	return slices.BinarySearchFunc(s.members, id, func(m member, id ID) int { return cmp.Compare(m.id, id) })
 }
--- a/internal/packetface/search/search_test.go
+++ b/internal/packetface/search/search_test.go
@@ -12,7 +12,7 @@
 	"github.com/saltbend/saltbend/internal/packetface/search"
 )
 
-// asked returns a search in which the agents were asked in their order.
+// asked returns a search in which the agents were asked in the given order.
 func asked(ids ...search.ID) *search.Search {
 	s := search.New(time.Second)
 	for _, id := range ids {
@@ -21,38 +21,38 @@
 	return s
 }
 
-func TestAnswersAreCounted(t *testing.T) {
+func TestVerdictsAreCountedByState(t *testing.T) {
 	w := NewWithT(t)
 	s := asked(5, 2, 9, 7)
 	w.Expect(s.Ask(2)).To(BeFalse())
-	s.Take(5, inner.VerdictNone)
-	s.Take(2, inner.VerdictMaybe)
-	s.Take(9, inner.VerdictUnsure)
-	s.Take(44, inner.VerdictNone) // was not asked
-	w.Expect(s.Count(search.None)).To(Equal(1))
-	w.Expect(s.Count(search.Untold)).To(Equal(1))
-	w.Expect(slices.Collect(s.In(search.Waiting))).To(Equal([]search.ID{9, 7}))
+	s.RecordVerdict(5, inner.VerdictNone)
+	s.RecordVerdict(2, inner.VerdictMaybe)
+	s.RecordVerdict(9, inner.VerdictUnsure)
+	s.RecordVerdict(44, inner.VerdictNone) // this agent was not asked
+	w.Expect(s.Count(search.NotHeld)).To(Equal(1))
+	w.Expect(s.Count(search.CannotTell)).To(Equal(1))
+	w.Expect(slices.Collect(s.InState(search.Waiting))).To(Equal([]search.ID{9, 7}))
 	w.Expect(s.Proved(5)).To(BeTrue())
 	w.Expect(s.Proved(44)).To(BeFalse())
 }
 
-// What was proved once stays proved: a late answer of an agent that was unsure when
-// it gave it takes nothing back.
-func TestAProofStays(t *testing.T) {
+// An agent's proof stands: a late answer that the agent gave before, when it was still
+// unsure, does not revoke it.
+func TestLaterVerdictsDoNotRevokeProof(t *testing.T) {
 	w := NewWithT(t)
 	s := asked(1)
-	s.Take(1, inner.VerdictNone)
-	s.Take(1, inner.VerdictUnsure)
-	s.Take(1, inner.VerdictMaybe)
+	s.RecordVerdict(1, inner.VerdictNone)
+	s.RecordVerdict(1, inner.VerdictUnsure)
+	s.RecordVerdict(1, inner.VerdictMaybe)
 	w.Expect(s.AskAgain(1)).To(BeFalse())
 	w.Expect(s.Proved(1)).To(BeTrue())
 }
 
-func TestLikelyOwnersAreProbedFirst(t *testing.T) {
+func TestAgentsAreProbedInOrderAsked(t *testing.T) {
 	w := NewWithT(t)
 	s := asked(8, 3, 6)
 	for _, id := range []search.ID{3, 6, 8} {
-		s.Take(id, inner.VerdictMaybe)
+		s.RecordVerdict(id, inner.VerdictMaybe)
 	}
 	w.Expect(s.Probe(2)).To(Equal([]search.ID{8, 3}))
 	w.Expect(s.Count(search.Probed)).To(Equal(2))
@@ -60,23 +60,23 @@
 	w.Expect(s.WasAsked(9)).To(BeFalse())
 	w.Expect(s.Probe(2)).To(Equal([]search.ID{6}))
 	w.Expect(s.Probe(2)).To(BeEmpty())
-	s.BeginRound(2 * time.Second) // a probe, or its return, may be lost
+	s.BeginRound(2 * time.Second) // probes or their returns may be lost
 	w.Expect(s.Probe(3)).To(Equal([]search.ID{8, 3, 6}))
 }
 
-func TestAForgottenAgentHoldsNothingUp(t *testing.T) {
+func TestForgottenAgentIsNotCounted(t *testing.T) {
 	w := NewWithT(t)
 	s := asked(1, 2)
-	s.Take(1, inner.VerdictMaybe)
+	s.RecordVerdict(1, inner.VerdictMaybe)
 	s.Probe(1)
 	s.Forget(1)
 	s.Forget(1)
 	w.Expect(s.Asked()).To(Equal(1))
 	w.Expect(s.Count(search.Probed)).To(BeZero())
-	w.Expect(s.Ask(1)).To(BeTrue()) // its number is another agent's now
+	w.Expect(s.Ask(1)).To(BeTrue()) // the id belongs to another agent now
 }
 
-func TestRoundsBecomeRarer(t *testing.T) {
+func TestTimeBetweenRoundsDoublesUpToMaximum(t *testing.T) {
 	w := NewWithT(t)
 	s := asked(1)
 	now, due := time.Second, []time.Duration(nil)
@@ -91,12 +91,12 @@
 	w.Expect(due).To(Equal([]time.Duration{100 * ms, 200 * ms, 400 * ms, 800 * ms, 800 * ms}))
 }
 
-// Where the process is late with its own work the answers of a stage wait unread:
-// more questions would only lengthen the queue.
-func TestAStageWaitsForABusyProcess(t *testing.T) {
+// If the process's ticks are late, the answers of a stage wait unread, and more questions
+// would only lengthen the queue.
+func TestStageWaitsLongerIfProcessIsLate(t *testing.T) {
 	w := NewWithT(t)
 	s := asked(1)
-	s.Staged(time.Second)
+	s.NoteStageAsked(time.Second)
 	later := time.Second + 20*time.Millisecond
 	w.Expect(s.StageDue(later, 0)).To(BeTrue())
 	w.Expect(s.StageDue(later, 50*time.Millisecond)).To(BeFalse())
@@ -104,9 +104,9 @@
 	w.Expect(s.StageDue(later, 0)).To(BeFalse())
 }
 
-// Whatever comes in whatever order, the counts are those of the states, and only an
-// agent's own word, or that of its upstream, proves anything.
-func TestCountsAreTrue(t *testing.T) {
+// Whatever the order of calls, the counts match the states, and only an agent's own
+// verdict proves that its upstream does not hold the flow.
+func TestCountsMatchStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := search.New(0)
 		proved := map[search.ID]bool{}
@@ -118,7 +118,7 @@
 			case 2:
 				verdict := rapid.SampledFrom([]inner.Verdict{inner.VerdictNone, inner.VerdictMaybe, inner.VerdictUnsure}).Draw(t, "verdict")
 				_, known := index(s, id)
-				s.Take(id, verdict)
+				s.RecordVerdict(id, verdict)
 				if known && verdict == inner.VerdictNone {
 					proved[id] = true
 				}
@@ -133,29 +133,29 @@
 				s.AskAgain(id)
 			}
 			total := 0
-			for _, state := range []search.State{search.Waiting, search.Untold, search.Probed, search.None} {
-				in := slices.Collect(s.In(state))
+			for _, state := range []search.State{search.Waiting, search.CannotTell, search.Probed, search.NotHeld} {
+				in := slices.Collect(s.InState(state))
 				if len(in) != s.Count(state) {
-					t.Fatalf("%d agents in state %d, counted %d", len(in), state, s.Count(state))
+					t.Fatalf("%d agents are in state %d, but Count returns %d", len(in), state, s.Count(state))
 				}
 				total += len(in)
 			}
 			if total != s.Asked() {
-				t.Fatalf("%d agents in all, %d asked", total, s.Asked())
+				t.Fatalf("%d agents are in any state, but Asked returns %d", total, s.Asked())
 			}
 			for id := range search.ID(10) {
 				if s.Proved(id) != proved[id] {
-					t.Fatalf("agent %d: proved %t, told %t", id, s.Proved(id), proved[id])
+					t.Fatalf("agent %d: Proved returns %t, want %t", id, s.Proved(id), proved[id])
 				}
 			}
 		}
 	})
 }
 
-// index reports whether an agent was asked.
+// index returns the state of an agent, and whether it was asked.
 func index(s *search.Search, id search.ID) (search.State, bool) {
-	for _, state := range []search.State{search.Waiting, search.Untold, search.Probed, search.None} {
-		if slices.Contains(slices.Collect(s.In(state)), id) {
+	for _, state := range []search.State{search.Waiting, search.CannotTell, search.Probed, search.NotHeld} {
+		if slices.Contains(slices.Collect(s.InState(state)), id) {
 			return state, true
 		}
 	}
--- a/internal/packetface/steer/agents_test.go
+++ b/internal/packetface/steer/agents_test.go
@@ -17,10 +17,10 @@
 
 // An agent that speaks of its own accord has not heard of the newer list by that:
 // it is polled until it says so.
-func TestSiblingsAreToldUntilTheyKnow(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestSiblingsArePolledUntilTheyReportNewList(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a"), at(102, "a")}, listAge(2))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a"), agentAt(102, "a")}, listAge(2))
 	b.Expect(b.sent(inner.KindPoll)).To(ContainElement(address(101, 1)))
 	b.status(101, inner.Status{Known: inner.Known{Listing: 1}}) // the poll was lost
 	b.now += 150 * time.Millisecond
@@ -34,8 +34,8 @@
 
 // An agent that probed for a balancer with an outdated list tells so with the
 // packet that it gives back: the flow may live at an agent that the list lacks.
-func TestAProbeGivenBackTellsOfANewerList(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestReturnedProbeReportingNewerListPreventsReset(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
@@ -48,8 +48,8 @@
 
 // What a paused balancer has not read says nothing about an agent: right after
 // the pause its flows are not passed on.
-func TestAPausedBalancerHoldsNoAgentForSilent(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "a"), at(103, "a"), at(104, "a"))
+func TestPausedBalancerDoesNotSuspectAgents(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"), agentAt(104, "a"))
 	for n := 101; n <= 104; n++ {
 		b.status(n, inner.Status{Known: inner.Known{Listing: 1}})
 	}
@@ -72,28 +72,28 @@
 	b := newBench(t)
 	b.core = steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2)), AwaitPeers: true})
 	b.core.SetTable(b.now, table(), time.Minute)
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, listAge(1))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(1))
 	b.status(101, inner.Status{})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.answer(101, caller(1), inner.VerdictNone, 1)
 	b.Expect(b.resets()).To(BeZero())
-	b.last = b.core.SetPeersAsked(b.now, []steer.Agent{at(102, "a")})
+	b.last = b.core.SetPeersAsked(b.now, []steer.Agent{agentAt(102, "a")})
 	b.Expect(b.sent(inner.KindPoll)).To(Equal([]netip.AddrPort{address(102, 1)}))
 	b.status(102, inner.Status{})
 	b.wait(400 * time.Millisecond) // it is asked, too
 	b.answer(102, caller(1), inner.VerdictHeld, 1)
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{address(102, 1)}))
-	b.Expect(b.core.Known()).To(Equal([]steer.Agent{at(101, "a"), at(102, "a")}))
+	b.Expect(b.core.Known()).To(Equal([]steer.Agent{agentAt(101, "a"), agentAt(102, "a")}))
 }
 
 // An agent that was frozen while its entry lapsed is forgotten; its first word
 // afterwards brings it back, before the store lists it again.
-func TestAForgottenAgentThatSpeaksIsBack(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "a"))
+func TestRemovedAgentIsRestoredByItsStatus(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"))
 	b.status(101, inner.Status{})
 	b.status(102, inner.Status{})
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, listAge(2))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(2))
 	for range 30 {
 		b.wait(100 * time.Millisecond)
 		b.status(101, inner.Status{})
@@ -110,9 +110,9 @@
 
 // The agent that registered last has left before this balancer read the store:
 // its list is as new as that of those that saw the entry.
-func TestAListReadAfterARemovalIsNotOutdated(t *testing.T) {
+func TestListReadAfterRemovalIsNotOutdated(t *testing.T) {
 	b := newBench(t)
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, steer.ListAge{AsOf: 10, Newest: 3})
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, steer.ListAge{AsOf: 10, Newest: 3})
 	b.status(101, inner.Status{Known: inner.Known{Listing: 9}})
 	b.Expect(b.notes(steer.KindNewer)).To(BeEmpty())
 	b.now += time.Second
@@ -121,9 +121,9 @@
 	b.Expect(b.resets()).To(Equal(1))
 }
 
-func TestAListOlderThanOneHeardOfMakesNoReset(t *testing.T) {
+func TestListOlderThanReportedOnePreventsReset(t *testing.T) {
 	b := newBench(t)
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, steer.ListAge{AsOf: 8, Newest: 3})
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, steer.ListAge{AsOf: 8, Newest: 3})
 	b.status(101, inner.Status{Known: inner.Known{Listing: 9}})
 	b.Expect(b.notes(steer.KindNewer)).To(HaveLen(1))
 	b.now += time.Second
@@ -132,8 +132,8 @@
 	b.Expect(b.resets()).To(BeZero())
 }
 
-func TestABalancerThatHearsNoAgentIsBlind(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "b"))
+func TestBalancerIsBlindIfNoAgentAnswers(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	told := inner.Status{Known: inner.Known{Listing: 1}} // by the first polls
 	b.status(101, told)
 	b.status(102, told)
@@ -147,8 +147,8 @@
 	b.Expect(b.core.Blind(b.now)).To(BeFalse())
 }
 
-func TestAListedAgentThatAnswersStays(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestUnlistedAgentStaysWhileItAnswers(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
 	b.last = b.core.SetAgents(b.now, nil, listAge(1))
 	for range 20 {
@@ -160,12 +160,12 @@
 	b.Expect(b.core.Counts(b.now).Agents).To(BeZero())
 }
 
-func TestAReusedAddressIsAnotherAgent(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestReusedAddressReplacesAgent(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	reused := at(101, "a")
+	reused := agentAt(101, "a")
 	reused.Service = inner.ServiceID("other")
 	b.last = b.core.SetAgents(b.now, []steer.Agent{reused}, listAge(2))
 	b.callerSends(caller(1), platform.FlagACK, 30)
@@ -173,12 +173,12 @@
 }
 
 // An agent that is listed while a flow's owner is searched for is asked, too.
-func TestAnAgentListedMeanwhileIsAsked(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestAgentListedDuringSearchIsAsked(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a"), at(102, "a")}, listAge(2))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a"), agentAt(102, "a")}, listAge(2))
 	b.answer(101, caller(1), inner.VerdictNone, 2)
 	b.Expect(b.resets()).To(BeZero())
 	var asked []netip.AddrPort
@@ -194,11 +194,11 @@
 
 // One that left says so, and its last words do not bring it back; an upstream that
 // is there again does.
-func TestAnAgentThatLeftStaysForgotten(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "a"))
+func TestAgentWithUpstreamDownIsNotRestored(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"))
 	b.status(101, inner.Status{})
 	b.status(102, inner.Status{})
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, listAge(2))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(2))
 	b.now += 10 * time.Millisecond
 	b.status(102, inner.Status{State: inner.StateDown})
 	b.wait(10 * time.Millisecond)
@@ -213,10 +213,10 @@
 }
 
 // An agent whose entry another writer has overwritten stays, and is told of it.
-func TestAnAgentWithADamagedEntryIsTold(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestAgentWithDamagedEntryIsPolledAsUnlisted(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
-	damaged := at(101, "a")
+	damaged := agentAt(101, "a")
 	damaged.Damaged = true
 	b.last = b.core.SetAgents(b.now, []steer.Agent{damaged}, listAge(2))
 	b.now += 250 * time.Millisecond
--- a/internal/packetface/steer/ask.go
+++ b/internal/packetface/steer/ask.go
@@ -11,46 +11,50 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// A search for a flow's owner: package search keeps its account, here questions and
-// probes are sent and what the roster knows is added.
+// Searches for the owner of a flow, the agent whose upstream holds it. Package search
+// keeps the state of each search; this file sends its questions and probes and adds what
+// the roster knows of the agents.
 
-// Limits and times of searches.
+// Limits and intervals of searches.
 const (
-	// flushInterval is the least time between two batches of questions.
+	// flushInterval is the minimum time between two batches of questions.
 	flushInterval = 3 * time.Millisecond
-	// maxTickDelay bounds the lateness of the process's own ticks that searches are
-	// stretched by: callers repeat a packet after 200 ms.
-	maxTickDelay = 100 * time.Millisecond
-	// searchesPerTick bounds the searches that begin between two ticks: 6,400 a second,
-	// fewer where ticks come late. Each asks every agent that may hold the flow, so
-	// packets of flows that never were would reach agents many times over: 50,000 a
-	// second at one balancer as some 100,000 datagrams a second to 140 agents (worked
-	// out). What goes over is dropped; a living caller sends it again after 200 ms.
+	// maxTickInterval bounds how far searches are slowed down because ticks are late:
+	// callers repeat a packet after 200 ms.
+	maxTickInterval = 100 * time.Millisecond
+	// searchesPerTick bounds the searches that start between two ticks: 6,400 a second,
+	// fewer if ticks are late. Each search asks every agent that may hold the flow, so
+	// packets of flows that never existed would be multiplied: 50,000 a second at one
+	// balancer would cause some 100,000 datagrams a second to 140 agents (calculated).
+	// Packets above the limit are dropped; a caller that is still running sends its
+	// packet again after 200 ms.
 	searchesPerTick = 32
-	// probesPerTick bounds the packets that all searches hand to agents for their
-	// upstreams to tell. A tick comes every 5 ms, and later where the processor is
-	// short: 4,800 a second at most, fewer on a host that has no time for them.
+	// probesPerTick bounds the probes of all searches together. A probe is a packet of
+	// the flow that is sent to an agent so that its upstream shows whether it holds the
+	// flow. A tick comes every 5 ms, and later if the processor is overloaded: 4,800
+	// probes a second at most, fewer on a host that has no time for them.
 	probesPerTick = 24
-	// maxHeldPackets bounds the packets kept for one flow: a caller has at most
-	// 16 on their way.
+	// maxHeldPackets bounds the packets buffered for one flow: a caller has at most 16 in
+	// flight.
 	maxHeldPackets = 16
-	// maxSearches bounds the flows that are asked for at once.
+	// maxSearches bounds the searches that run at once.
 	maxSearches = 4096
-	// questionsPerTick bounds the questions between two ticks, to whichever agents: some
-	// 480 datagrams. In a larger fleet fewer searches get all of theirs at once, and the
-	// others the rest with their next round.
+	// questionsPerTick bounds the questions between two ticks, to all agents together:
+	// some 480 datagrams. In a larger fleet fewer searches send all their questions at
+	// once, and the others send the rest in their next round.
 	questionsPerTick = 32 << 10
 )
 
 // ownerSearch is the search for the agent whose upstream holds a flow.
 type ownerSearch struct {
 	search *search.Search
-	// packets are kept for the owner; acknowledged is the caller's last count.
+	// packets are buffered for the owner; acknowledged is the acknowledgement number of
+	// the caller's last packet.
 	packets      [][]byte
 	acknowledged uint32
 }
 
-// searchOwner begins or goes on with the search for a flow's owner.
+// searchOwner starts or continues the search for a flow's owner.
 func (c *Core) searchOwner(now time.Duration, id platform.Flow, p *platform.Packet, b []byte) {
 	q := c.searches[id]
 	if q != nil {
@@ -71,17 +75,17 @@
 	c.askNextStage(now, id, q)
 }
 
-// holdPacket keeps a copy of a packet until the owner is found.
+// holdPacket buffers a copy of a packet until the owner is found.
 func (c *Core) holdPacket(q *ownerSearch, now time.Duration, p *platform.Packet, b []byte) {
-	q.search.Packet(now)
+	q.search.NotePacket(now)
 	q.acknowledged = p.Acknowledge
 	if len(q.packets) < maxHeldPackets {
 		q.packets = append(q.packets, slices.Clone(b))
 	}
 }
 
-// askNextStage asks the agents of the current stage, or of the next that has any. It
-// reports whether there was one to ask.
+// askNextStage asks the agents of the current stage, or of the next stage that has any
+// left to ask. It reports whether it asked an agent.
 func (c *Core) askNextStage(now time.Duration, id platform.Flow, q *ownerSearch) bool {
 	for ; q.search.Stage < search.End; q.search.Stage++ {
 		sent := 0
@@ -93,15 +97,16 @@
 			}
 		}
 		if sent > 0 {
-			q.search.Staged(now)
+			q.search.NoteStageAsked(now)
 			return true
 		}
 	}
 	return false
 }
 
-// candidates returns the agents among which those of a stage are. Only the last
-// stage looks at all of a large fleet, and that only while the balancer is young.
+// candidates returns the agents from which those of a stage are selected. Only the last
+// stage considers all agents of a large fleet, and only until the balancer has a complete
+// record of former services.
 func (c *Core) candidates(now time.Duration, id platform.Flow, stage search.Stage) []*agent {
 	route := c.route(id)
 	switch {
@@ -119,7 +124,7 @@
 	return all
 }
 
-// inStage reports whether an agent that is likely in a stage is asked in it.
+// inStage reports whether a candidate for a stage is asked in it.
 func (c *Core) inStage(stage search.Stage, a *agent) bool {
 	return stage != search.Near || a.DataCentre == c.settings.DataCentre
 }
@@ -132,11 +137,12 @@
 	a.questions = append(a.questions, inner.Question{Flow: id, Acknowledged: q.acknowledged})
 }
 
-// flushQuestions sends all questions, those to one agent together. The first goes at
-// once, what comes soon after it waits a little for more, and for longer where the
-// processor is short: each datagram and its answer cost as much as many questions.
+// flushQuestions sends all queued questions, batched by agent. The first question is sent
+// at once; questions that follow soon after it wait for flushInterval, so that more can
+// be batched, and for longer if ticks are late: a datagram and its answer cost as much as
+// many questions.
 func (c *Core) flushQuestions(now time.Duration) {
-	if len(c.questioned) == 0 || now-c.lastFlush < max(flushInterval, c.tickDelay) {
+	if len(c.questioned) == 0 || now-c.lastFlush < max(flushInterval, c.tickInterval) {
 		return
 	}
 	c.lastFlush = now
@@ -152,12 +158,12 @@
 	c.questioned = c.questioned[:0]
 }
 
-// repeatQuestions repeats the question to agents that have not answered, asks those that
-// are new, and probes once more those that can't tell. Each time it waits for
-// longer.
+// repeatQuestions starts a new round of a search: it repeats the question to agents that
+// have not answered, asks new agents, and probes those again that cannot tell. The time
+// between rounds grows.
 func (c *Core) repeatQuestions(now time.Duration, id platform.Flow, q *ownerSearch) {
 	q.search.BeginRound(now)
-	for member := range q.search.In(search.Waiting) {
+	for member := range q.search.InState(search.Waiting) {
 		if a := c.roster.byID[member]; !a.isSuspect(now) {
 			c.queueQuestion(id, q, a)
 		}
@@ -166,9 +172,10 @@
 	c.advance(now, id, q)
 }
 
-// askNowProven asks an agent that can tell only now for all flows that it could not tell
-// of: it has heard of an upstream that began after it. After a common loss of power
-// most do so within some 10 ms, long before the next round.
+// askNowProven repeats the questions of all searches that an agent could not answer
+// before. It can answer them now, as it has received a report of its upstream, which
+// started after it. After a simultaneous power loss most agents get there within some
+// 10 ms, long before the next round.
 func (c *Core) askNowProven(a *agent) {
 	for id, q := range c.searches {
 		if q.search.AskAgain(a.id) {
@@ -177,7 +184,7 @@
 	}
 }
 
-// handleAnswers takes the handleAnswers of an agent.
+// handleAnswers processes the answers of an agent.
 func (c *Core) handleAnswers(now time.Duration, a *agent, b []byte) error {
 	answers, listing, err := inner.ParseAnswers(c.answerBuffer[:0], b)
 	if err != nil {
@@ -193,17 +200,17 @@
 	return nil
 }
 
-// handleVerdict takes an agent's verdict on a flow.
+// handleVerdict processes an agent's verdict on a flow.
 func (c *Core) handleVerdict(now time.Duration, id platform.Flow, q *ownerSearch, a *agent, verdict inner.Verdict) {
 	if verdict == inner.VerdictHeld {
 		c.ownerFound(now, id, q, a)
 		return
 	}
-	q.search.Take(a.id, verdict)
+	q.search.RecordVerdict(a.id, verdict)
 	c.advance(now, id, q)
 }
 
-// ownerFound remembers the owner and sends it the packets that were kept.
+// ownerFound records the owner and sends it the buffered packets.
 func (c *Core) ownerFound(now time.Duration, id platform.Flow, q *ownerSearch, a *agent) {
 	c.note(Note{Kind: KindFound, Flow: id, Agent: a.Addr, Count: q.search.Asked(), Age: q.search.Age(now)})
 	f := c.addFlow(id, now)
@@ -217,8 +224,9 @@
 	}
 }
 
-// advance probes agents that can't tell, goes on to the next stage once all of this
-// one have answered, and resets the flow after the last if nobody holds it.
+// advance probes agents that cannot tell, continues with the next stage once all agents
+// of this one have answered, and resets the flow after the last stage if no agent holds
+// it.
 func (c *Core) advance(now time.Duration, id platform.Flow, q *ownerSearch) {
 	for {
 		c.probe(now, q)
@@ -236,24 +244,25 @@
 	}
 }
 
-// hasUnanswered reports whether an agent that was asked has proved nothing yet.
+// hasUnanswered reports whether the search waits for the answer of an agent.
 func (c *Core) hasUnanswered(now time.Duration, id platform.Flow, q *ownerSearch) bool {
 	return c.isBlocked(now, id, q, search.Waiting)
 }
 
-// hasUnproven reports whether an agent can't tell and its upstream has not told either.
+// hasUnproven reports whether the search waits for an agent that cannot tell, and whose
+// upstream has not answered a probe either.
 func (c *Core) hasUnproven(now time.Duration, id platform.Flow, q *ownerSearch) bool {
-	return c.isBlocked(now, id, q, search.Untold) || c.isBlocked(now, id, q, search.Probed)
+	return c.isBlocked(now, id, q, search.CannotTell) || c.isBlocked(now, id, q, search.Probed)
 }
 
-// isBlocked reports whether an agent in a state keeps a search from going on: all do
-// but those that may be passed over.
+// isBlocked reports whether an agent in the given state keeps a search from continuing:
+// all do except those that may be skipped.
 func (c *Core) isBlocked(now time.Duration, id platform.Flow, q *ownerSearch, state search.State) bool {
 	count := q.search.Count(state)
 	if count == 0 || count > c.roster.absentCount {
 		return count > 0
 	}
-	for member := range q.search.In(state) {
+	for member := range q.search.InState(state) {
 		if !c.maySkip(now, id, c.roster.byID[member]) {
 			return true
 		}
@@ -271,10 +280,10 @@
 	c.resetWithNote(id, q.acknowledged, Note{Reason: reasonHeldByNone, Count: q.search.Asked(), Age: q.search.Age(now)})
 }
 
-// provenUnheld reports whether every agent that may hold a flow has said that it
-// does not. A list that is older than one that an agent has heard of may lack
-// the agent that does, and so may one without any agent of the route. A few
-// agents may be passed over as absent.
+// provenUnheld reports whether every agent that may hold the flow has answered that its
+// upstream does not. The list of agents may lack the owner if an agent has reported a
+// newer list, or if a service of the route has no agent listed; then nothing is proved. A
+// limited number of agents may be skipped as absent.
 func (c *Core) provenUnheld(now time.Duration, id platform.Flow, q *ownerSearch) bool {
 	if !c.listComplete(now) {
 		return false
@@ -310,15 +319,15 @@
 	return "agents-unsure"
 }
 
-// maySkip reports whether an agent need not be asked, as it is absent: a
-// flow that it may hold stands still, and its caller can repeat its requests.
+// maySkip reports whether a search may skip an agent because it is absent: a flow that it
+// may hold makes no progress, and the caller can repeat its requests.
 func (c *Core) maySkip(now time.Duration, id platform.Flow, a *agent) bool {
 	route := c.route(id)
 	return route != nil && route.Repeatable && a.isAbsent(now, c.settings.AbsentAfter)
 }
 
-// probe hands a packet of a flow to agents that can't tell, as many as the tick
-// allows.
+// probe sends a packet of a flow to agents that cannot tell, as many as the budget of the
+// tick allows.
 func (c *Core) probe(now time.Duration, q *ownerSearch) {
 	if c.probeBudget <= 0 {
 		return
@@ -329,20 +338,20 @@
 	}
 }
 
-// tickSearches asks the next agents where some are slow to answer, and ends asks
-// whose caller has given up.
+// tickSearches asks the agents of the next stage where some are slow to answer, and ends
+// searches whose caller has given up.
 func (c *Core) tickSearches(now time.Duration) {
-	c.measureTickDelay(now)
+	c.measureTickInterval(now)
 	c.probeBudget, c.searchBudget, c.questionBudget = probesPerTick, searchesPerTick, questionsPerTick
 	if !c.settings.Policies.On(policy.BoundedSearches) {
-		c.probeBudget, c.searchBudget, c.questionBudget, c.tickDelay = math.MaxInt, math.MaxInt, math.MaxInt, 0
+		c.probeBudget, c.searchBudget, c.questionBudget, c.tickInterval = math.MaxInt, math.MaxInt, math.MaxInt, 0
 	}
 	for id, q := range c.searches {
 		switch {
-		case q.search.GivenUp(now):
+		case q.search.CallerGone(now):
 			delete(c.searches, id)
-			c.note(Note{Kind: KindDropped, Flow: id, Reason: "owner-not-found-" + c.blockReason(now, id, q), Count: q.search.Asked() - q.search.Count(search.None), Age: q.search.Age(now)})
-		case q.search.StageDue(now, c.tickDelay):
+			c.note(Note{Kind: KindDropped, Flow: id, Reason: "owner-not-found-" + c.blockReason(now, id, q), Count: q.search.Asked() - q.search.Count(search.NotHeld), Age: q.search.Age(now)})
+		case q.search.StageDue(now, c.tickInterval):
 			q.search.Stage++
 			c.askNextStage(now, id, q)
 		case q.search.RoundDue(now):
@@ -353,13 +362,12 @@
 	}
 }
 
-// measureTickDelay notes how long after each other ticks come while searches last: each
-// is asked for 5 ms after the one before, and comes later where the processor is
-// short.
-func (c *Core) measureTickDelay(now time.Duration) {
-	c.tickDelay = 0
+// measureTickInterval records the time between ticks while searches run: each tick is
+// requested 5 ms after the previous one, and comes later if the processor is overloaded.
+func (c *Core) measureTickInterval(now time.Duration) {
+	c.tickInterval = 0
 	if c.searching {
-		c.tickDelay = min(now-c.lastTick, maxTickDelay)
+		c.tickInterval = min(now-c.lastTick, maxTickInterval)
 	}
 	c.lastTick, c.searching = now, c.Waiting()
 }
--- a/internal/packetface/steer/bench_test.go
+++ b/internal/packetface/steer/bench_test.go
@@ -12,13 +12,13 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// prepared returns a balancer with seven agents, as one service has.
-func prepared() *steer.Core {
+// newCoreWithAgents returns a balancer with seven agents, as one service has.
+func newCoreWithAgents() *steer.Core {
 	c := steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2))})
 	c.SetTable(time.Second, table(), time.Minute)
 	var agents []steer.Agent
 	for n := range 7 {
-		agents = append(agents, at(100+n, "a"))
+		agents = append(agents, agentAt(100+n, "a"))
 	}
 	c.SetAgents(time.Second, agents, listAge(1))
 	for n := range 7 {
@@ -28,7 +28,7 @@
 }
 
 func BenchmarkKnownFlow(b *testing.B) {
-	c := prepared()
+	c := newCoreWithAgents()
 	_, _ = c.FromCaller(time.Second, packet(caller(1), 1, 0, platform.FlagSYN, 0))
 	p := packet(caller(1), 1, 77, platform.FlagACK, 200)
 	b.ReportAllocs()
@@ -38,7 +38,7 @@
 }
 
 func BenchmarkNewFlow(b *testing.B) {
-	c := prepared()
+	c := newCoreWithAgents()
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		_, _ = c.FromCaller(time.Second, packet(caller(n), 1, 0, platform.FlagSYN, 0))
@@ -46,7 +46,7 @@
 }
 
 func BenchmarkReturnedFlow(b *testing.B) {
-	c := prepared()
+	c := newCoreWithAgents()
 	from := address(100, 1)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
@@ -58,10 +58,10 @@
 // Sizes of fleets for docs/CAPACITY.md: agents of services with seven each.
 var capacitySizes = []int{700, 2100, 4200, 6300}
 
-func fleet(size int) []steer.Agent {
+func agentsOf(size int) []steer.Agent {
 	agents := make([]steer.Agent, size)
 	for n := range agents {
-		agents[n] = at(n, "a")
+		agents[n] = agentAt(n, "a")
 		agents[n].Service = inner.ServiceID(fmt.Sprintf("s-%d", n/7))
 	}
 	return agents
@@ -70,7 +70,7 @@
 func BenchmarkCapacityPacketList(b *testing.B) {
 	for _, size := range capacitySizes {
 		b.Run(fmt.Sprintf("agents=%d", size), func(b *testing.B) {
-			agents := fleet(size)
+			agents := agentsOf(size)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -91,7 +91,7 @@
 	for _, size := range capacitySizes {
 		b.Run(fmt.Sprintf("agents=%d", size), func(b *testing.B) {
 			c := steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2))})
-			c.SetAgents(time.Second, fleet(size), listAge(1))
+			c.SetAgents(time.Second, agentsOf(size), listAge(1))
 			for n := range size {
 				_, _ = c.FromAgent(time.Second, address(n, 1), inner.AppendStatus(nil, inner.Status{State: inner.StateReady}))
 			}
@@ -105,7 +105,7 @@
 func BenchmarkCapacityPacketFlows(b *testing.B) {
 	for _, size := range []int{1000, 5000, 25000} {
 		b.Run(fmt.Sprintf("flows=%d", size), func(b *testing.B) {
-			c := prepared()
+			c := newCoreWithAgents()
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -130,8 +130,8 @@
 			c := steer.New(steer.Settings{
 				DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2)), FlowMaxAge: time.Minute,
 			})
-			c.SetTable(time.Second, leadsTo(1, "s-0"), time.Minute)
-			c.SetAgents(time.Second, fleet(size), listAge(1))
+			c.SetTable(time.Second, tableRoutedTo(1, "s-0"), time.Minute)
+			c.SetAgents(time.Second, agentsOf(size), listAge(1))
 			now, n, bytes := 10*time.Minute, 0, 0
 			for b.Loop() {
 				n++
--- a/internal/packetface/steer/check_test.go
+++ b/internal/packetface/steer/check_test.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-func TestAnAgentThatAsksIsToldWhetherItIsListed(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestCheckIsAnsweredByPollWithListingState(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.core.SetTableFresh(true)
 	b.Expect(b.check(101).Flags & inner.FlagUnlisted).To(BeZero())
 	b.Expect(b.check(102).Flags&inner.FlagUnlisted).NotTo(BeZero(), "it is not known")
@@ -36,8 +36,8 @@
 }
 
 // A balancer that has not heard the store lately does not know.
-func TestABalancerThatTheStoreTurnsAwayTellsNothing(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestCheckIsNotAnsweredWithoutFreshConfiguration(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.core.SetTableFresh(false)
 	NewWithT(t).Expect(b.check(101)).To(BeNil())
 	NewWithT(t).Expect(b.check(102)).To(BeNil())
@@ -47,8 +47,8 @@
 // When it woke it took that time for silence and forgot all agents: "agent-gone"
 // reason=unlisted age_ms=2437. Those whose datagrams had waited came back at once, one did
 // not, and its flows were reset as "held-by-none" count=2, though it lived.
-func TestAPauseIsNoSilenceOfUnlistedAgents(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "a"))
+func TestPauseDoesNotRemoveUnlistedAgents(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"))
 	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
 	b.status(102, inner.Status{Known: inner.Known{Listing: 1}})
 	b.last = b.core.SetAgents(b.now, nil, listAge(2))
--- a/internal/packetface/steer/choices_test.go
+++ b/internal/packetface/steer/choices_test.go
@@ -22,7 +22,7 @@
 const (
 	simBalancers, simAgents, simSlots = 4, 7, 5
 	simWork                           = 45 * time.Millisecond
-	simWay                            = 1500 * time.Microsecond
+	simDelay                          = 1500 * time.Microsecond
 	simRequests                       = 20000
 )
 
@@ -72,13 +72,13 @@
 
 func (s *simulation) load(n int) int { return s.running[n] + len(s.queues[n]) }
 
-// real sends requests through real balancers, whose agents give an opening
+// throughBalancers sends requests through throughBalancers balancers, whose agents give an opening
 // packet back once while all slots are taken, and answer with their status.
-func (s *simulation) real() func() {
+func (s *simulation) throughBalancers() func() {
 	var cores [simBalancers]*steer.Core
 	var agents []steer.Agent
 	for n := range simAgents {
-		agents = append(agents, at(n, "a"))
+		agents = append(agents, agentAt(n, "a"))
 	}
 	for i := range cores {
 		cores[i] = steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: s.random})
@@ -96,7 +96,7 @@
 				continue
 			}
 			b := slices.Clone(a.Bytes)
-			s.After(simWay, func() { s.open(c, a.To, b, began, deliver) })
+			s.After(simDelay, func() { s.open(c, a.To, b, began, deliver) })
 		}
 	}
 	return func() {
@@ -114,7 +114,7 @@
 	n := int(to.Addr().As4()[3])
 	head, packet, _ := inner.ParseOpen(b)
 	reply := func(datagram []byte) {
-		s.After(simWay, func() {
+		s.After(simDelay, func() {
 			r, _ := c.FromAgent(s.Now+time.Millisecond, to, datagram)
 			deliver(c, r, began)
 		})
@@ -132,7 +132,7 @@
 func BenchmarkChoices(b *testing.B) {
 	choices := map[string]func(s *simulation) func(){
 		"hash": func(s *simulation) func() { // of a flow: as good as random
-			return func() { n, sent := s.random.IntN(simAgents), s.Now; s.After(simWay, func() { s.arrive(n, sent) }) }
+			return func() { n, sent := s.random.IntN(simAgents), s.Now; s.After(simDelay, func() { s.arrive(n, sent) }) }
 		},
 		"two-exact": func(s *simulation) func() { // the less loaded of two, known exactly
 			return func() {
@@ -140,10 +140,10 @@
 				if s.load(m) < s.load(n) {
 					n = m
 				}
-				s.After(simWay, func() { s.arrive(n, sent) })
+				s.After(simDelay, func() { s.arrive(n, sent) })
 			}
 		},
-		"balancers": (*simulation).real,
+		"balancers": (*simulation).throughBalancers,
 		"ideal": func(s *simulation) func() { // a single queue: always the least loaded, at once
 			return func() {
 				best := 0
--- a/internal/packetface/steer/evacuated_test.go
+++ b/internal/packetface/steer/evacuated_test.go
@@ -30,12 +30,12 @@
 	b.last = b.core.SetEvacuations(b.now, recordOf(asOf, dataCentres...))
 }
 
-func TestNewFlowsStayOutOfAnEvacuatedDataCentre(t *testing.T) {
-	b := newBench(t, at(1, "a"), at(2, "b"))
+func TestNewFlowsAvoidEvacuatedDataCentre(t *testing.T) {
+	b := newBench(t, agentAt(1, "a"), agentAt(2, "b"))
 	b.status(1, inner.Status{Slots: 4})
 	b.status(2, inner.Status{Slots: 4, Running: 40})
 	b.evacuate(5, "a")
-	b.Expect(b.tellsWithin(200*time.Millisecond, 1)).To(BeTrue(), "its agents are told")
+	b.Expect(b.pollsWithin(200*time.Millisecond, 1)).To(BeTrue(), "its agents are told")
 	for n := range 20 {
 		b.callerSends(caller(n), platform.FlagSYN, 0)
 		b.Expect(b.sent(inner.KindOpen)).To(ConsistOf(address(2, 1)))
@@ -45,8 +45,8 @@
 	b.Expect(b.sent(inner.KindOpen)).To(ConsistOf(address(1, 1)))
 }
 
-// tellsWithin reports whether an agent is polled within a time.
-func (b *bench) tellsWithin(d time.Duration, agent int) bool {
+// pollsWithin reports whether an agent is polled within a time.
+func (b *bench) pollsWithin(d time.Duration, agent int) bool {
 	for end := b.now + d; b.now < end; b.now += 50 * time.Millisecond {
 		b.last = b.core.Tick(b.now)
 		if slices.Contains(b.sent(inner.KindPoll), address(agent, 1)) {
@@ -57,9 +57,9 @@
 }
 
 // In a large fleet only some balancers tell an agent, and it tells the others.
-func TestFewBalancersOfManyTellAnAgent(t *testing.T) {
+func TestFewBalancersOfLargeFleetPollEvacuatedAgents(t *testing.T) {
 	const agents, balancers, tick = 200, 400, 50 * time.Millisecond
-	b := many(t, agents)
+	b := benchOf(t, agents)
 	for n := range agents {
 		b.status(101+n, inner.Status{Slots: 4, Known: inner.Known{Listing: 1}, Balancers: balancers})
 	}
@@ -79,8 +79,8 @@
 }
 
 // The last resort for a flow that all have returned is none there either.
-func TestAServiceThatIsEvacuatedWholeTurnsAway(t *testing.T) {
-	b := newBench(t, at(1, "a"), at(2, "a"))
+func TestFullyEvacuatedServiceResetsNewFlows(t *testing.T) {
+	b := newBench(t, agentAt(1, "a"), agentAt(2, "a"))
 	b.status(1, inner.Status{State: inner.StateFailing})
 	b.status(2, inner.Status{})
 	b.evacuate(5, "a")
@@ -91,8 +91,8 @@
 	b.Expect(b.notes(steer.KindReset)[0].Reason).To(Equal("service-evacuated"))
 }
 
-func TestOpenFlowsStayInAnEvacuatedDataCentre(t *testing.T) {
-	b := newBench(t, at(1, "a"))
+func TestOpenFlowsStayInEvacuatedDataCentre(t *testing.T) {
+	b := newBench(t, agentAt(1, "a"))
 	b.status(1, inner.Status{})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
 	b.callerSends(caller(1), platform.FlagACK, 20)
@@ -102,8 +102,8 @@
 }
 
 // A balancer that the store turns away hears of it from any agent there.
-func TestABalancerHearsOfAnEvacuationFromAnAgent(t *testing.T) {
-	b := newBench(t, at(1, "a"), at(2, "a"), at(3, "b"))
+func TestBalancerLearnsOfEvacuationFromAgent(t *testing.T) {
+	b := newBench(t, agentAt(1, "a"), agentAt(2, "a"), agentAt(3, "b"))
 	for n := range 3 {
 		b.status(n+1, inner.Status{Slots: 4})
 	}
@@ -119,8 +119,8 @@
 	b.Expect(b.sent(inner.KindOpen)).To(ConsistOf(address(3, 1)))
 }
 
-func TestAnAgentIsToldUntilItKnows(t *testing.T) {
-	b := newBench(t, at(1, "a"))
+func TestAgentIsPolledUntilItReportsEvacuation(t *testing.T) {
+	b := newBench(t, agentAt(1, "a"))
 	b.status(1, inner.Status{})
 	b.evacuate(5, "a")
 	b.status(1, inner.Status{})
@@ -137,7 +137,7 @@
 }
 
 // evacuateOrTakeBack changes what the operator asks for data centre b.
-func (w *world) evacuateOrTakeBack(o *operator) {
+func (w *simFleet) evacuateOrTakeBack(o *operator) {
 	w.revision++
 	request := evacuation.Request{DataCentre: "b", At: w.revision}
 	o.record.Apply([]evacuation.Change{{Request: request, Withdrawn: o.since != 0}}, w.revision)
@@ -146,44 +146,44 @@
 	} else {
 		o.since = 0
 	}
-	w.tell("operator: evacuated %v as of %d", o.since != 0, w.revision)
+	w.logEvent("operator: evacuated %v as of %d", o.since != 0, w.revision)
 }
 
-// tellOperators lets balancers that the store serves read it.
-func (w *world) tellOperators(o *operator) {
+// sendEvacuations lets balancers that the store serves read it.
+func (w *simFleet) sendEvacuations(o *operator) {
 	for _, b := range w.balancers {
 		if !b.refused {
-			b.told.Replace(o.record.Requests(), w.revision)
-			w.fromBalancer(b.addr, b.core.SetEvacuations(w.now, b.told.Clone()))
+			b.evacuations.Replace(o.record.Requests(), w.revision)
+			w.fromBalancer(b.addr, b.core.SetEvacuations(w.now, b.evacuations.Clone()))
 		}
 	}
 }
 
 const (
-	// newsTime is the time within which the store tells those that it serves of a
+	// storeDelay is the time within which the store tells those that it serves of a
 	// change; evacuateWithin is that after which no opening may reach an upstream.
-	newsTime       = 300 * time.Millisecond
+	storeDelay     = 300 * time.Millisecond
 	evacuateWithin = 3 * time.Second
 )
 
 // Whatever order the news comes in, and whoever is turned away by the store or starts
 // anew, no opening reaches an evacuated data centre later than the bound, while any
 // balancer has the store.
-func TestNoOpeningReachesAnEvacuatedDataCentre(t *testing.T) {
+func TestNoOpeningReachesEvacuatedDataCentre(t *testing.T) {
 	const mostLoss = 0.1
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorldOf(t, 4, 3, mostLoss, steer.DefaultAbsentAfter)
-		for i, s := range w.sites {
+		w := newSimFleetOf(t, 4, 3, mostLoss, steer.DefaultAbsentAfter)
+		for i, s := range w.agents {
 			s.dataCentre = string("ab"[i%2])
 		}
 		for _, b := range w.balancers {
-			w.list(b, nil)
+			w.sendList(b, nil)
 		}
 		var o operator
-		w.opened = func(s *site, held bool) {
+		w.opened = func(s *simAgent, held bool) {
 			late := o.since != 0 && w.now-o.since > evacuateWithin && w.now-s.started > evacuateWithin
 			if s.dataCentre == "b" && late && !held {
-				w.t.Fatalf("at %s an opening reached %s, evacuated for %s\n%s", w.now, s.addr, w.now-o.since, w.story(platform.Flow{}))
+				w.t.Fatalf("at %s an opening reached %s, evacuated for %s\n%s", w.now, s.addr, w.now-o.since, w.flowLog(platform.Flow{}))
 			}
 		}
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
@@ -192,32 +192,32 @@
 	})
 }
 
-func (w *world) evacuationStep(o *operator) {
-	s := w.sites[w.random.IntN(len(w.sites))]
+func (w *simFleet) evacuationStep(o *operator) {
+	s := w.agents[w.random.IntN(len(w.agents))]
 	served := w.balancers[1:] // the first always has the store
 	switch rapid.IntRange(0, 8).Draw(w.t, "step") {
 	case 0, 1:
 		w.evacuateOrTakeBack(o)
-		w.openSome(3)
-		w.run(newsTime)
-		w.tellOperators(o)
+		w.openFlows(3)
+		w.run(storeDelay)
+		w.sendEvacuations(o)
 	case 2:
 		w.startAgent(s)
 		s.sequence = max(s.sequence, 1)
 	case 3: // it forgets what it heard from agents, and callers come before they answer
 		w.startBalancer(w.anyBalancer())
-		w.openSome(30)
+		w.openFlows(30)
 	case 4:
 		b := served[w.random.IntN(len(served))]
 		b.refused = !b.refused
-		w.tellOperators(o)
+		w.sendEvacuations(o)
 	case 5:
 		w.losePower()
 	case 6:
 		w.heartbeat(s)
 	default:
-		w.openSome(6)
+		w.openFlows(6)
 	}
 	w.run(time.Duration(rapid.SampledFrom([]int{20, 300, 900, 3500}).Draw(w.t, "ms")) * time.Millisecond)
-	w.openSome(6)
+	w.openFlows(6)
 }
--- a/internal/packetface/steer/former_test.go
+++ b/internal/packetface/steer/former_test.go
@@ -14,31 +14,31 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// leadsTo returns a table whose face leads to a service.
-func leadsTo(version uint64, to string) *routing.Table {
+// tableRoutedTo returns a table whose face leads to a service.
+func tableRoutedTo(version uint64, to string) *routing.Table {
 	return routing.NewTable(platform.Configuration{Version: version, Routes: []platform.Route{
 		{Name: "r", Face: face, Shares: []platform.Share{{Service: to, Weight: 1}}, Repeatable: true},
 	}})
 }
 
-// newOldBench returns a balancer with an agent of each of three services, which
+// newBenchOfAge returns a balancer with an agent of each of three services, which
 // has followed the configuration for so long.
-func newOldBench(t *testing.T, age time.Duration) *bench {
+func newBenchOfAge(t *testing.T, age time.Duration) *bench {
 	b := newBench(t)
 	b.core = steer.New(steer.Settings{
 		DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2)), FlowMaxAge: time.Minute,
 	})
-	agents := []steer.Agent{at(101, "a"), at(102, "a"), at(103, "a")}
+	agents := []steer.Agent{agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a")}
 	agents[1].Service, agents[2].Service = inner.ServiceID("former"), inner.ServiceID("other")
 	b.last = b.core.SetAgents(b.now, agents, listAge(1))
-	b.core.SetTable(b.now, leadsTo(1, "former"), time.Minute)
+	b.core.SetTable(b.now, tableRoutedTo(1, "former"), time.Minute)
 	b.now += age
 	return b
 }
 
-// askedFor returns the agents that are asked for an unknown flow, each of which
+// searchUnheld returns the agents that are asked for an unknown flow, each of which
 // says that it does not hold it.
-func (b *bench) askedFor(id platform.Flow) (asked []netip.AddrPort) {
+func (b *bench) searchUnheld(id platform.Flow) (asked []netip.AddrPort) {
 	b.callerSends(id, platform.FlagACK, 30)
 	for range 20 {
 		for _, to := range b.sent(inner.KindAsk) {
@@ -55,58 +55,58 @@
 }
 
 // What was forgotten after a shorter life of flows may hold flows of a longer one.
-func TestALongerLifeOfFlowsBeginsTheMemoryAnew(t *testing.T) {
-	b := newOldBench(t, 20*time.Minute)
-	b.core.SetTable(b.now, leadsTo(2, service), time.Minute)
+func TestLongerFlowMaxAgeRestartsRecordOfFormerServices(t *testing.T) {
+	b := newBenchOfAge(t, 20*time.Minute)
+	b.core.SetTable(b.now, tableRoutedTo(2, service), time.Minute)
 	b.now += 4 * time.Minute
 	b.last = b.core.Tick(b.now) // the former service is forgotten
 	b.core.SetFlowMaxAge(5 * time.Minute)
-	b.Expect(b.askedFor(caller(1))).To(ContainElement(address(102, 1)))
+	b.Expect(b.searchUnheld(caller(1))).To(ContainElement(address(102, 1)))
 }
 
-func TestAYoungBalancerAsksAllAgents(t *testing.T) {
-	b := newOldBench(t, time.Minute)
-	b.core.SetTable(b.now, leadsTo(2, service), time.Minute)
-	b.Expect(b.askedFor(caller(1))).To(ConsistOf(address(101, 1), address(102, 1), address(103, 1)))
+func TestRecentlyStartedBalancerAsksAllAgents(t *testing.T) {
+	b := newBenchOfAge(t, time.Minute)
+	b.core.SetTable(b.now, tableRoutedTo(2, service), time.Minute)
+	b.Expect(b.searchUnheld(caller(1))).To(ConsistOf(address(101, 1), address(102, 1), address(103, 1)))
 	b.Expect(b.resets()).To(Equal(1))
 }
 
 // What a search costs does not grow with the fleet: once the balancer knows to
 // which services a face has led, it asks only their agents.
-func TestAnOldBalancerAsksTheServicesOfAFace(t *testing.T) {
-	b := newOldBench(t, 4*time.Minute)
-	b.core.SetTable(b.now, leadsTo(2, service), time.Minute)
+func TestBalancerWithCompleteRecordAsksServicesOfFace(t *testing.T) {
+	b := newBenchOfAge(t, 4*time.Minute)
+	b.core.SetTable(b.now, tableRoutedTo(2, service), time.Minute)
 	b.now += time.Minute
-	b.Expect(b.askedFor(caller(1))).To(Equal([]netip.AddrPort{address(101, 1), address(102, 1)}))
+	b.Expect(b.searchUnheld(caller(1))).To(Equal([]netip.AddrPort{address(101, 1), address(102, 1)}))
 	b.Expect(b.resets()).To(Equal(1))
 
 	b.now += 4 * time.Minute // no flow of the former service lives any more
 	b.last = b.core.Tick(b.now)
-	b.Expect(b.askedFor(caller(2))).To(Equal([]netip.AddrPort{address(101, 1)}))
+	b.Expect(b.searchUnheld(caller(2))).To(Equal([]netip.AddrPort{address(101, 1)}))
 	b.Expect(b.resets()).To(Equal(1))
 }
 
 // The flows of a dropped route live at the services that it had.
-func TestADroppedRouteHasHadServices(t *testing.T) {
-	b := newOldBench(t, 4*time.Minute)
+func TestFlowOfRemovedRouteIsSearchedAtFormerServices(t *testing.T) {
+	b := newBenchOfAge(t, 4*time.Minute)
 	b.core.SetTable(b.now, routing.NewTable(platform.Configuration{Version: 2}), time.Minute)
-	b.Expect(b.askedFor(caller(1))).To(Equal([]netip.AddrPort{address(102, 1)}))
+	b.Expect(b.searchUnheld(caller(1))).To(Equal([]netip.AddrPort{address(102, 1)}))
 }
 
 // Many agents of other services neither hold up a reset nor are asked.
-func TestAResetInALargeFleet(t *testing.T) {
+func TestResetInLargeFleetAsksOnlyServicesOfFace(t *testing.T) {
 	g := NewWithT(t)
-	b := newOldBench(t, 0)
+	b := newBenchOfAge(t, 0)
 	b.now += 4 * time.Minute
-	agents := []steer.Agent{at(102, "a")}
+	agents := []steer.Agent{agentAt(102, "a")}
 	agents[0].Service = inner.ServiceID("former")
 	for n := range 2000 {
-		other := at(1000+n, "a")
+		other := agentAt(1000+n, "a")
 		other.Service = inner.ServiceID("other")
 		agents = append(agents, other)
 	}
 	b.last = b.core.SetAgents(b.now, agents, listAge(1))
 	b.now += time.Second
-	g.Expect(b.askedFor(caller(1))).To(Equal([]netip.AddrPort{address(102, 1)}))
+	g.Expect(b.searchUnheld(caller(1))).To(Equal([]netip.AddrPort{address(102, 1)}))
 	g.Expect(b.resets()).To(Equal(1))
 }
--- a/internal/packetface/steer/homes_test.go
+++ b/internal/packetface/steer/homes_test.go
@@ -31,8 +31,8 @@
 	return b
 }
 
-func TestAFlowStaysInTheHomesOfItsRoute(t *testing.T) {
-	b := newHomeBench(t, "r2", at(1, "a"), at(2, "b"), at(3, "c"))
+func TestNewFlowsStayInHomeRegionsOfRoute(t *testing.T) {
+	b := newHomeBench(t, "r2", agentAt(1, "a"), agentAt(2, "b"), agentAt(3, "c"))
 	b.status(1, inner.Status{Slots: 4})
 	b.status(2, inner.Status{Slots: 4, Running: 30})
 	b.status(3, inner.Status{Slots: 4, State: inner.StateDraining})
@@ -49,20 +49,20 @@
 	b.Expect(b.notes(steer.KindReset)[0].Reason).To(Equal("service-evacuated"))
 }
 
-func TestARouteWithoutAnUpstreamAtHomeTurnsAway(t *testing.T) {
-	b := newHomeBench(t, "r3", at(1, "a"))
+func TestRouteWithoutAgentInHomeRegionResetsNewFlows(t *testing.T) {
+	b := newHomeBench(t, "r3", agentAt(1, "a"))
 	b.status(1, inner.Status{Slots: 4})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
 	b.Expect(b.notes(steer.KindReset)[0].Reason).To(Equal("no-upstream-at-home"))
 }
 
 // What upstreams of a service have shown counts where the configuration does not tell.
-func TestAgentsAreToldTheWarmUpOfTheirService(t *testing.T) {
+func TestPollsContainObservedWarmUpOfService(t *testing.T) {
 	b := newBenchWithout(t, nil)
-	b.core.SetTable(b.now, leadsTo(2, service), time.Minute)
-	shown := at(1, "a")
+	b.core.SetTable(b.now, tableRoutedTo(2, service), time.Minute)
+	shown := agentAt(1, "a")
 	shown.Warmup = 3 * time.Second
-	b.last = b.core.SetAgents(b.now, []steer.Agent{shown, at(2, "a")}, listAge(2))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{shown, agentAt(2, "a")}, listAge(2))
 	polls := 0
 	for _, a := range b.last.Actions {
 		if poll, err := inner.ParsePoll(a.Bytes); err == nil {
--- a/internal/packetface/steer/lives_test.go
+++ b/internal/packetface/steer/lives_test.go
@@ -13,7 +13,7 @@
 
 // newLife begins another life: under another id, or under the same with another start,
 // which is earlier where the host's clock was set back.
-func (s *site) newLife(random *rand.Rand) {
+func (s *simAgent) newLife(random *rand.Rand) {
 	life := s.lives[len(s.lives)-1]
 	switch random.IntN(4) {
 	case 0:
@@ -26,38 +26,38 @@
 	s.lives = append(s.lives, life)
 }
 
-func (w *world) startAgent(s *site) {
+func (w *simFleet) startAgent(s *simAgent) {
 	s.incarnation++
 	s.started = w.now
-	s.due = w.now + time.Duration(w.random.Int64N(int64(50*time.Millisecond)))
+	s.listedAt = w.now + time.Duration(w.random.Int64N(int64(50*time.Millisecond)))
 	s.gate = gate.New(gate.Settings{
 		Service: service, CallerPort: callerPort,
 		Times: gate.Times{DrainWithin: 3 * time.Second, FlowMaxAge: time.Minute, HeartbeatEvery: 1200 * time.Millisecond},
 	})
 }
 
-func (w *world) heartbeat(s *site) {
+func (w *simFleet) heartbeat(s *simAgent) {
 	s.sequence++
 	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Life: s.lives[s.life], Slots: 2, Sequence: s.sequence, ColdFor: s.coldFor(w.now), Age: s.age(w.now)})
-	s.heard = w.now
+	s.acknowledged = w.now
 	w.fromAgent(s, r)
 }
 
 // age returns how long ago the upstream began by its host's clock.
-func (s *site) age(now time.Duration) time.Duration { return max(0, now-s.born+s.stepped) }
+func (s *simAgent) age(now time.Duration) time.Duration { return max(0, now-s.born+s.clockOffset) }
 
 // stepClock sets a host's clock back or ahead, by little or by much.
-func (w *world) stepClock(s *site) {
+func (w *simFleet) stepClock(s *simAgent) {
 	most := []time.Duration{2 * time.Second, 10 * time.Second}[w.random.IntN(2)]
-	s.stepped += time.Duration(w.random.Int64N(int64(2*most))) - most
+	s.clockOffset += time.Duration(w.random.Int64N(int64(2*most))) - most
 }
 
 // coldFor returns what an upstream tells of its start. Real ones report at once when they
 // start, until they are heard, and then not for a heartbeat's time; where this one has
 // not, it tells nothing.
-func (s *site) coldFor(now time.Duration) time.Duration {
-	unheard := s.heard == 0 && now-max(s.born, s.started) <= retryTime
-	regular := s.heard != 0 && now-s.heard >= 1200*time.Millisecond
+func (s *simAgent) coldFor(now time.Duration) time.Duration {
+	unheard := s.acknowledged == 0 && now-max(s.born, s.started) <= retryTime
+	regular := s.acknowledged != 0 && now-s.acknowledged >= 1200*time.Millisecond
 	if !unheard && !regular {
 		return 0
 	}
@@ -66,8 +66,8 @@
 
 // restartAgents starts all agents at once, as after a fault of all hosts whose
 // upstreams live on.
-func (w *world) restartAgents() {
-	for _, s := range w.sites {
+func (w *simFleet) restartAgents() {
+	for _, s := range w.agents {
 		w.startAgent(s)
 		s.sequence = max(s.sequence, 1)
 	}
@@ -75,13 +75,13 @@
 
 // losePower starts everything at once: all flows are dead. Some upstreams report at
 // once, others are late.
-func (w *world) losePower() {
-	for _, s := range w.sites {
-		w.replace(s, true)
+func (w *simFleet) losePower() {
+	for _, s := range w.agents {
+		w.replaceUpstream(s, true)
 		s.sequence = w.random.Uint64N(3) // some reports found no process
 	}
 	w.now += time.Duration(w.random.IntN(60)) * time.Millisecond
-	for _, s := range w.sites {
+	for _, s := range w.agents {
 		w.startAgent(s)
 		if w.random.IntN(8) != 0 {
 			w.heartbeat(s)
@@ -95,7 +95,7 @@
 }
 
 // lateHeartbeat delivers one of a life before, which was delayed until now.
-func (w *world) lateHeartbeat(s *site) {
+func (w *simFleet) lateHeartbeat(s *simAgent) {
 	if s.life == 0 || s.sequence == 0 {
 		return // the life of now has not reported yet
 	}
@@ -103,11 +103,11 @@
 	w.fromAgent(s, r)
 }
 
-// replace ends the upstream; a new life begins and reports.
-func (w *world) replace(s *site, late bool) {
+// replaceUpstream ends the upstream; a new life begins and reports.
+func (w *simFleet) replaceUpstream(s *simAgent, late bool) {
 	s.newLife(w.random)
 	s.life++
-	s.sequence, s.born, s.heard, s.stepped = 0, w.now, 0, 0
+	s.sequence, s.born, s.acknowledged, s.clockOffset = 0, w.now, 0, 0
 	s.held = map[platform.Flow]bool{}
 	if !late {
 		w.heartbeat(s)
--- a/internal/packetface/steer/owner_test.go
+++ b/internal/packetface/steer/owner_test.go
@@ -14,8 +14,8 @@
 
 // Tests of how the owner of a flow is found, and of resets where there is none.
 
-func TestTheOwnerOfAnUnknownFlowIsAskedFor(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "b"))
+func TestOwnerOfUnknownFlowIsSearched(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.Expect(b.sent(inner.KindAsk)).To(Equal([]netip.AddrPort{address(101, 1)})) // the likely one first
 	b.now += 5 * time.Millisecond
@@ -28,16 +28,16 @@
 	b.Expect(b.sent(inner.KindAsk)).To(BeEmpty())
 }
 
-func TestASlowAgentDoesNotHoldUpTheSearch(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "b"))
+func TestSlowAgentDoesNotDelaySearch(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.now += 10 * time.Millisecond
 	b.last = b.core.Tick(b.now)
 	b.Expect(b.sent(inner.KindAsk)).To(Equal([]netip.AddrPort{address(102, 1)}))
 }
 
-func TestQuestionsToOneAgentTravelTogether(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestQuestionsToOneAgentAreBatched(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.Expect(b.sent(inner.KindAsk)).To(HaveLen(1))
 	b.callerSends(caller(2), platform.FlagACK, 30)
@@ -51,7 +51,7 @@
 	b.Expect(questions).To(HaveLen(2))
 }
 
-func TestAFlowThatNobodyHoldsIsReset(t *testing.T) {
+func TestFlowIsResetOnlyIfProvenUnheld(t *testing.T) {
 	cases := []struct {
 		name    string
 		verdict inner.Verdict
@@ -67,7 +67,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, at(101, "a"))
+			b := newBench(t, agentAt(101, "a"))
 			b.status(101, inner.Status{})
 			b.now += c.age
 			b.callerSends(caller(1), platform.FlagACK, 30)
@@ -84,8 +84,8 @@
 	}
 }
 
-func TestAnAgentThatCannotTellIsProbed(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestAgentThatCannotTellIsProbed(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
@@ -95,8 +95,8 @@
 	b.Expect(b.resets()).To(Equal(1))
 }
 
-func TestAnAbsentAgentIsPassedOver(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "a"), at(103, "a"), at(104, "b"))
+func TestSearchSkipsAbsentAgent(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"), agentAt(104, "b"))
 	for n := 101; n <= 104; n++ {
 		b.status(n, inner.Status{})
 	}
@@ -115,8 +115,8 @@
 	b.Expect(resets).To(Equal(1))
 }
 
-func TestFlowsOfAnAbsentAgentGoElsewhere(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "b"), at(103, "b"))
+func TestFlowOfAbsentAgentIsSearchedAndReset(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"), agentAt(103, "b"))
 	for n := 101; n <= 103; n++ {
 		b.status(n, inner.Status{})
 	}
@@ -137,8 +137,8 @@
 
 // An agent that can't tell and has only just started returns a probe unsure; it
 // is probed again without a further packet of the caller.
-func TestAProbeIsRepeatedByItself(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestProbeReturnedUnsureIsRepeatedOnTick(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
--- a/internal/packetface/steer/place_test.go
+++ b/internal/packetface/steer/place_test.go
@@ -16,7 +16,7 @@
 
 // Tests of where new flows go.
 
-func TestNewFlowsGoToTheLeastLoadedNearby(t *testing.T) {
+func TestNewFlowsGoToAgentWithLowestScore(t *testing.T) {
 	cases := []struct {
 		name string
 		one  inner.Status
@@ -36,7 +36,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, at(101, "a"), at(102, "a"), at(103, "b"))
+			b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "b"))
 			b.status(101, c.one)
 			b.status(102, c.two)
 			b.status(103, c.far)
@@ -46,8 +46,8 @@
 	}
 }
 
-func TestAReturnedOpeningGoesToAnother(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "b"))
+func TestReturnedOpeningIsSentToAnotherAgent(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	b.status(101, inner.Status{})
 	b.status(102, inner.Status{})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
@@ -71,7 +71,7 @@
 // In a rush every agent has more to do than slots. The load: three agents return a
 // flow as busy, with 9, 5 and 12 requests there; a fourth has 20. The flow waits
 // where the fewest do, and not at the fourth because it has not returned it yet.
-func TestAFlowThatFindsAllSlotsTakenWaitsWhereTheFewestDo(t *testing.T) {
+func TestFlowReturnedAsBusyGoesToShortestQueue(t *testing.T) {
 	cases := []struct {
 		name string
 		off  []string
@@ -82,7 +82,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchWithout(t, c.off, at(101, "a"), at(102, "a"), at(103, "a"), at(104, "a"))
+			b := newBenchWithout(t, c.off, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"), agentAt(104, "a"))
 			for n, running := range map[int]uint16{101: 3, 102: 3, 103: 3, 104: 20} {
 				b.status(n, inner.Status{Running: running})
 			}
@@ -105,8 +105,8 @@
 
 // Where more of a service fail than not, it is the service that does, or what is asked
 // of it: then all are used, and told that they must take it.
-func TestAFailingServiceIsNotShutOut(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "a"), at(103, "a"))
+func TestFailingUpstreamsAreUsedIfMostOfServiceFail(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"))
 	b.status(101, inner.Status{State: inner.StateFailing})
 	b.status(102, inner.Status{Running: 60})
 	b.status(103, inner.Status{Running: 60})
@@ -123,7 +123,7 @@
 
 // After a common loss of power opening packets come before the balancer has read the
 // store. They are kept, and placed with the first list.
-func TestOpeningsBeforeTheFirstListAreKept(t *testing.T) {
+func TestOpeningsBeforeFirstListAreBuffered(t *testing.T) {
 	cases := []struct {
 		name string
 		off  []string
@@ -143,16 +143,16 @@
 			}
 			b.now += 30 * time.Millisecond
 			b.core.SetTable(b.now, table(), time.Minute)
-			b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, listAge(1))
+			b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(1))
 			b.Expect(b.sent(inner.KindOpen)).To(HaveLen(c.want))
-			b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, listAge(2))
+			b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(2))
 			b.Expect(b.sent(inner.KindOpen)).To(BeEmpty()) // once
 		})
 	}
 }
 
 // What is older than the callers' next copy is not placed, and the number is bounded.
-func TestFewOpeningsAreKeptForLong(t *testing.T) {
+func TestBufferedOpeningsAreBoundedInAgeAndNumber(t *testing.T) {
 	b := &bench{WithT: NewWithT(t), now: time.Millisecond}
 	b.core = steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2))})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
@@ -162,13 +162,13 @@
 	}
 	b.Expect(b.notes(steer.KindDropped)).To(HaveLen(1))
 	b.core.SetTable(b.now, table(), time.Minute)
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a")}, listAge(1))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(1))
 	b.Expect(b.sent(inner.KindOpen)).To(HaveLen(511))
 }
 
 // A balancer that has just started takes flows for repetitions: callers whose opening
 // packets were lost begin anew for as long as their last copies may still come.
-func TestFlowsRightAfterAStartMayBeRepetitions(t *testing.T) {
+func TestOpeningsSoonAfterStartAreFlaggedAsRepetitions(t *testing.T) {
 	cases := []struct {
 		name   string
 		at     time.Duration
@@ -184,7 +184,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchWithout(t, c.off, at(101, "a"))
+			b := newBenchWithout(t, c.off, agentAt(101, "a"))
 			r, err := b.core.FromCaller(c.at, packet(caller(1), 1, c.copies, platform.FlagSYN, 0))
 			b.Expect(err).NotTo(HaveOccurred())
 			head, _, err := inner.ParseOpen(r.Actions[0].Bytes)
@@ -196,7 +196,7 @@
 
 // A flow that all agents return is reset at once, as its caller may ask elsewhere; while
 // the list may lack agents, the next copy tries again and no repetition is burnt.
-func TestNobodyTakesIt(t *testing.T) {
+func TestFlowReturnedByAllAgentsIsResetOrRetried(t *testing.T) {
 	cases := []struct {
 		name   string
 		age    time.Duration
@@ -209,7 +209,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, at(101, "a"))
+			b := newBench(t, agentAt(101, "a"))
 			b.now += c.age
 			opening := packet(caller(1), 1, c.copies, platform.FlagSYN, 0)
 			_, err := b.core.FromCaller(b.now, opening)
@@ -229,10 +229,10 @@
 
 // Many agents start beside upstreams that are gone: a flow finds the one that lives
 // behind more of them than may return it for want of a slot.
-func TestAFlowPassesManyAgentsWithoutAnUpstream(t *testing.T) {
-	agents := []steer.Agent{at(120, "b")}
+func TestFlowIsPlacedAfterManyAgentsWithoutUpstream(t *testing.T) {
+	agents := []steer.Agent{agentAt(120, "b")}
 	for n := range 15 {
-		agents = append(agents, at(101+n, "a"))
+		agents = append(agents, agentAt(101+n, "a"))
 	}
 	b := newBench(t, agents...)
 	b.now += 300 * time.Millisecond
@@ -249,10 +249,10 @@
 
 // An agent that has just started hears from balancers how many slots its upstream
 // has; where the store lists none for it, those of another of the service count.
-func TestAnOpeningTellsTheListedSlots(t *testing.T) {
-	unknown := at(101, "a")
+func TestOpeningContainsListedSlots(t *testing.T) {
+	unknown := agentAt(101, "a")
 	unknown.Slots = 0
-	for _, agents := range [][]steer.Agent{{at(101, "a")}, {unknown, at(102, "b")}} {
+	for _, agents := range [][]steer.Agent{{agentAt(101, "a")}, {unknown, agentAt(102, "b")}} {
 		b := newBench(t, agents...)
 		b.callerSends(caller(1), platform.FlagSYN, 0)
 		head, _, err := inner.ParseOpen(b.last.Actions[0].Bytes)
@@ -261,8 +261,8 @@
 	}
 }
 
-func TestACopyGoesElsewhereOnlyIfTheAgentIsSilent(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "b"))
+func TestCopyGoesToAnotherAgentOnlyIfFirstIsSilent(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	b.status(101, inner.Status{})
 	b.status(102, inner.Status{})
 	b.now += time.Millisecond
@@ -276,8 +276,8 @@
 	b.Expect(b.sent(inner.KindOpen)).To(Equal([]netip.AddrPort{address(102, 1)}))
 }
 
-func TestAHandOffTellsHowLongTheAgentBeforeHadIt(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "b"))
+func TestMovedFlowNoteContainsTimeAtPreviousAgent(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	b.status(101, inner.Status{})
 	b.status(102, inner.Status{})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
--- a/internal/packetface/steer/search_bench_test.go
+++ b/internal/packetface/steer/search_bench_test.go
@@ -20,7 +20,7 @@
 			c.SetTable(time.Second, table(), time.Minute)
 			var agents []steer.Agent
 			for n := range size {
-				agents = append(agents, at(n+1, "a"))
+				agents = append(agents, agentAt(n+1, "a"))
 			}
 			c.SetAgents(time.Second, agents, listAge(1))
 			now, answers, flow := 2*time.Second, make([][]byte, size), 0
--- a/internal/packetface/steer/search_test.go
+++ b/internal/packetface/steer/search_test.go
@@ -16,11 +16,11 @@
 
 // Tests of searches among many agents.
 
-// many returns a bench with agents of which each has answered a poll.
-func many(t *testing.T, count int) *bench {
+// benchOf returns a bench with agents of which each has answered a poll.
+func benchOf(t *testing.T, count int) *bench {
 	var agents []steer.Agent
 	for n := range count {
-		agents = append(agents, at(101+n, "a"))
+		agents = append(agents, agentAt(101+n, "a"))
 	}
 	b := newBench(t, agents...)
 	for n := range count {
@@ -32,13 +32,13 @@
 
 // An agent beside an upstream that never came back can't tell of any flow. When it
 // has left and the store lists it no more, a search that waited for it ends.
-func TestAnAgentThatIsGoneHoldsUpNoSearch(t *testing.T) {
-	b := many(t, 3)
+func TestSearchDoesNotWaitForRemovedAgent(t *testing.T) {
+	b := benchOf(t, 3)
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.answer(101, caller(1), inner.VerdictNone, 1)
 	b.answer(102, caller(1), inner.VerdictNone, 1)
 	b.answer(103, caller(1), inner.VerdictMaybe, 1)
-	b.last = b.core.SetAgents(b.now, []steer.Agent{at(101, "a"), at(102, "a")}, listAge(2))
+	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a"), agentAt(102, "a")}, listAge(2))
 	b.now += time.Millisecond
 	b.status(103, inner.Status{State: inner.StateDown})
 	resets := 0
@@ -52,8 +52,8 @@
 
 // An agent that can tell as soon as its upstream has reported is asked again at once,
 // and for all flows in one datagram.
-func TestAnAgentIsAskedAgainOnceItCanTell(t *testing.T) {
-	b := many(t, 1)
+func TestAgentIsAskedAgainOnceItCanTell(t *testing.T) {
+	b := benchOf(t, 1)
 	b.status(101, inner.Status{State: inner.StateUnproven})
 	for n := 1; n <= 3; n++ {
 		b.callerSends(caller(n), platform.FlagACK, 30)
@@ -72,7 +72,7 @@
 // for: each probe is a packet to an upstream and back.
 func TestProbesAreBoundedBetweenTicks(t *testing.T) {
 	const agents, flows, most = 60, 40, 24
-	b := many(t, agents)
+	b := benchOf(t, agents)
 	for n := 1; n <= flows; n++ {
 		b.callerSends(caller(n), platform.FlagACK, 30)
 	}
@@ -91,8 +91,8 @@
 
 // A process that is late with its own work asks in larger batches: each datagram
 // and its answer cost as much as many questions.
-func TestABusyProcessAsksInLargerBatches(t *testing.T) {
-	b := many(t, 50)
+func TestLateTicksIncreaseBatchesOfQuestions(t *testing.T) {
+	b := benchOf(t, 50)
 	datagrams := func(gap time.Duration) int {
 		count := 0
 		for n := range 80 {
@@ -110,15 +110,15 @@
 		return count
 	}
 	prompt := datagrams(5 * time.Millisecond)
-	b = many(t, 50)
+	b = benchOf(t, 50)
 	late := datagrams(50 * time.Millisecond)
 	b.Expect(late).To(BeNumerically("<=", prompt/4))
 }
 
 // An agent that is silent keeps no other from being probed, and one that hears of its
 // upstream before its first status is asked again.
-func TestASilentAgentHoldsUpNoProbe(t *testing.T) {
-	b := newBench(t, at(101, "a"), at(102, "a"), at(103, "a"))
+func TestSilentAgentDoesNotDelayProbes(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"))
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.answer(101, caller(1), inner.VerdictMaybe, 1)
@@ -132,9 +132,9 @@
 
 // A flood of packets of flows that never were takes neither the balancer's memory nor
 // the agents, and the packets of its open flows go on at once.
-func TestAFloodOfUnknownFlowsCostsOpenFlowsNothing(t *testing.T) {
+func TestFloodOfUnknownFlowsDoesNotDelayOpenFlows(t *testing.T) {
 	const agents, perMillisecond, seconds = 20, 50, 2
-	b := many(t, agents)
+	b := benchOf(t, agents)
 	b.callerSends(caller(1), platform.FlagSYN, 0)
 	owner := b.sent(inner.KindOpen)[0]
 	b.fromAgent(int(owner.Addr().As4()[3]), inner.AppendStatus(nil, inner.Status{State: inner.StateReady, Known: inner.Known{Listing: 1}}))
@@ -167,8 +167,8 @@
 
 // A packet that comes back late or twice from a probe is no word of the caller: it
 // keeps no search alive.
-func TestAReturnedProbeKeepsNoSearchAlive(t *testing.T) {
-	b := many(t, 2)
+func TestReturnedProbeDoesNotExtendSearch(t *testing.T) {
+	b := benchOf(t, 2)
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.answer(101, caller(1), inner.VerdictMaybe, 1) // 102 is silent
 	for range 24 {
@@ -182,10 +182,10 @@
 // Probes that are on their way when the owner is found, or the flow reset, come back:
 // they begin no search anew, and cost the owner no further packets. Each such search
 // would send probes of its own.
-func TestALateReturnOfAProbeBeginsNoSearch(t *testing.T) {
+func TestLateReturnedProbeStartsNoSearch(t *testing.T) {
 	back := inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonUnknown}, packet(caller(1), 1, 77, platform.FlagACK, 30))
 	for _, end := range []inner.Verdict{inner.VerdictHeld, inner.VerdictNone} {
-		b := many(t, 3)
+		b := benchOf(t, 3)
 		b.callerSends(caller(1), platform.FlagACK, 30)
 		b.answer(101, caller(1), inner.VerdictMaybe, 1)
 		b.answer(102, caller(1), inner.VerdictNone, 1)
@@ -203,10 +203,10 @@
 
 // A balancer that has only just started has to ask every agent for a flow that nobody
 // holds, in the largest fleet in service, at twice that and beyond.
-func TestAYoungBalancerResetsInALargeFleet(t *testing.T) {
+func TestRecentlyStartedBalancerResetsFlowsInLargeFleet(t *testing.T) {
 	for _, agents := range []int{678, 1356, 3000} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
-			b := many(t, agents)
+			b := benchOf(t, agents)
 			const flows = 32 // as many as begin between two ticks
 			resets, most := 0, 0
 			for n := range flows {
--- a/internal/packetface/steer/slow_test.go
+++ b/internal/packetface/steer/slow_test.go
@@ -13,12 +13,12 @@
 
 const usualAnswer = 45 * time.Millisecond
 
-// sevenWith returns a bench of seven upstreams that answer in their times, with running
+// benchOfSeven returns a bench of seven upstreams that answer in their times, with running
 // requests each.
-func sevenWith(t *testing.T, off []string, running uint16, answers [7]time.Duration) *bench {
+func benchOfSeven(t *testing.T, off []string, running uint16, answers [7]time.Duration) *bench {
 	var agents []steer.Agent
 	for n := range answers {
-		agents = append(agents, at(n+1, "a"))
+		agents = append(agents, agentAt(n+1, "a"))
 	}
 	b := newBenchWithout(t, off, agents...)
 	for n, answer := range answers {
@@ -43,7 +43,7 @@
 
 // One upstream of seven turns five times slower; its siblings work on two requests of four
 // at once, as it does.
-func TestFlowsKeepAwayFromASlowUpstream(t *testing.T) {
+func TestNewFlowsAvoidSlowUpstream(t *testing.T) {
 	answers := [7]time.Duration{5 * usualAnswer}
 	for n := range 6 {
 		answers[n+1] = usualAnswer + time.Duration(n)*time.Millisecond
@@ -56,18 +56,18 @@
 			}
 		}
 	}
-	b := sevenWith(t, nil, 2, answers)
+	b := benchOfSeven(t, nil, 2, answers)
 	b.Expect(b.placed(1000, 140, 1, again(b, 5*usualAnswer))).To(BeZero())
 	b.Expect(b.placed(2000, 140, 1, again(b, 0))).To(BeNumerically(">", 5), "it has answered nothing lately: it is tried")
 	b.Expect(b.placed(3000, 140, 1, again(b, usualAnswer))).To(BeNumerically(">", 5))
 
-	without := sevenWith(t, []string{"slow-upstreams"}, 2, answers)
+	without := benchOfSeven(t, []string{"slow-upstreams"}, 2, answers)
 	without.Expect(without.placed(1000, 140, 1, again(without, 5*usualAnswer))).To(BeNumerically(">", 5))
 }
 
 // A slow one is better than a queue, and where all take long none is slow.
-func TestASlowUpstreamIsBetterThanAQueue(t *testing.T) {
-	b := sevenWith(t, nil, 0, [7]time.Duration{3 * usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer})
+func TestSlowUpstreamIsPreferredToLongQueues(t *testing.T) {
+	b := benchOfSeven(t, nil, 0, [7]time.Duration{3 * usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer})
 	b.Expect(b.placed(1000, 20, 1, func() {
 		b.status(1, inner.Status{Slots: 4, Answer: 3 * usualAnswer})
 		for n := range 6 {
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -1,13 +1,17 @@
-// Package steer decides for a balancer of the packet face where each packet of
-// a caller goes. It is pure: packets, datagrams of agents, lists of agents,
-// routes and the time come in; datagrams and notes on decisions go out. A Core
-// is owned by one caller at a time.
+// Package steer decides for a balancer of the packet face where each packet of a caller
+// is sent. It does no I/O: packets, datagrams of agents, lists of agents, routes and the
+// time are its input; datagrams to send and notes on decisions are its output. A Core
+// must not be used by two goroutines at once.
 //
-// A packet that opens a flow goes to the agent that looks best. All others
-// follow the balancer's memory of the flow. Where it has none (it started
-// lately, or the fabric moved the flow) it asks the agents who holds the flow:
-// each agent sees all packets of its upstream. A flow is reset only once every
-// agent has said that its upstream does not hold it.
+// An agent is the process in front of an upstream and sees all packets of it. A face is
+// an address and port to which callers open flows; its route names the services that the
+// flows are distributed to. A slot is room for one request that an upstream works on.
+//
+// A packet that opens a flow is sent to the agent with the lowest score. All other
+// packets follow the balancer's table of flows. If a flow is not in the table, because
+// the balancer started recently or the network now routes the flow to it, the balancer
+// asks the agents which upstream holds the flow. A flow is reset only once every agent
+// that may hold it has answered that its upstream does not.
 package steer
 
 import (
@@ -22,24 +26,25 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Settings of a Core.
+// Settings configure a Core.
 type Settings struct {
-	// DataCentre is that of the balancer's host.
+	// DataCentre is the data centre of the balancer's host.
 	DataCentre string
-	// Regions are those of the data centres.
+	// Regions maps data centres to their regions.
 	Regions map[string]string
-	// CallerPort is the port at which callers take packets.
+	// CallerPort is the port at which callers receive packets.
 	CallerPort uint16
-	// AbsentAfter is the silence of an agent after which flows that it holds are
-	// reset where their requests can be repeated, 0 for never.
+	// AbsentAfter is the time without an answer from an agent after which flows that it
+	// may hold are reset, if their requests can be repeated; 0 for never.
 	AbsentAfter time.Duration
-	// FlowMaxAge is the longest life of a flow, 0 where it is not known.
+	// FlowMaxAge is the maximum lifetime of a flow, 0 if it is not known.
 	FlowMaxAge time.Duration
-	// AwaitPeers tells that no flow is reset until SetPeersAsked is called.
+	// AwaitPeers holds back resets of flows that no upstream holds until SetPeersAsked is
+	// called.
 	AwaitPeers bool
-	// Policies tells which decisions are made.
+	// Policies are the optional decisions that are enabled.
 	Policies policy.Set
-	// Random breaks ties between agents.
+	// Random breaks ties between agents and selects the agents to poll about evacuations.
 	Random *rand.Rand
 }
 
@@ -47,7 +52,7 @@
 type Action struct {
 	To    netip.AddrPort
 	Bytes []byte
-	// ToCaller tells that the datagram is a packet for a caller.
+	// ToCaller is set if the datagram is a packet for a caller.
 	ToCaller bool
 }
 
@@ -70,22 +75,23 @@
 	KindNewer     Kind = "newer-version-heard"
 )
 
-// Note tells of one decision: its id, its inputs with their age, its outcome.
+// Note describes a decision: its kind, its inputs with their age, and its outcome.
 type Note struct {
 	Kind   Kind
 	Flow   platform.Flow
 	Agent  netip.AddrPort
 	Reason string
-	// Version is that of the configuration decided by.
+	// Version is the version of the configuration on which the decision is based.
 	Version uint64
-	// Age is that of the belief on the agent decided by.
+	// Age is the age of the information on the agent on which the decision is based.
 	Age time.Duration
-	// Took is how long the agent before had an opening packet that is handed on.
+	// Took is how long the previous agent had an opening packet that is sent to another
+	// agent.
 	Took time.Duration
-	// Source is the host of a balancer that knows a newer version.
+	// Source is the host of a balancer that has a newer version.
 	Source netip.Addr
-	// Count depends on the kind: hops of a placement, agents asked, the state
-	// before (0: none was known).
+	// Count depends on the kind: the hops of a placement, the number of agents asked, or
+	// the previous state (0: none was known).
 	Count int
 }
 
@@ -95,77 +101,80 @@
 	Notes   []Note
 }
 
-// Limits and times of the decisions.
+// Limits and time-outs of the decisions.
 const (
-	// copyTimeout is the silence of an agent after which a copy of an opening
-	// packet goes to another; callers send copies after 200 and 600 ms.
+	// copyTimeout is the silence of an agent after which a copy of an opening packet goes
+	// to another agent; callers send copies after 200 and 600 ms.
 	copyTimeout = 150 * time.Millisecond
 	// maxHops bounds how many agents are tried with one opening packet. Three may return
-	// it for want of a slot, the others for want of an upstream: many at once where hosts
-	// start beside upstreams that are gone. 24 take some 70 ms, less than the time to
-	// the caller's next copy.
+	// it because they have no free slot, the others because they have no upstream, as
+	// many agents do at once when hosts start whose upstreams are gone. 24 tries take
+	// some 70 ms, less than the time to the caller's next copy.
 	maxHops = 24
-	// listSettleTime is the time after the first list of agents before which the
-	// list is not taken for whole: entries that lapsed may be on their way back.
+	// listSettleTime is how long the list counts as incomplete after the first one
+	// arrived: agents whose entries expired may be about to be listed again.
 	listSettleTime = 250 * time.Millisecond
-	// relistSettleTime is the same after the store came back from a copy. Agents whose entries
-	// it lost hear of it from the balancers that notice last, after some 1.5 s, look for
-	// their entries within 2 s, and are listed again.
+	// relistSettleTime is the same after the store was restored from a copy. Agents whose
+	// entries it lost learn of the restore from balancers, the last of which detect it
+	// after some 1.5 s, check their entries within 2 s, and are listed again.
 	relistSettleTime = 4 * time.Second
-	// deadFlowRetention is how long a flow counts as reset without asking again.
+	// deadFlowRetention is how long a flow that was reset is remembered: further packets
+	// of it are reset without another search.
 	deadFlowRetention = 5 * time.Second
-	// openingTimeout is how long an opening flow is remembered without an answer.
+	// openingTimeout is how long an opening flow is kept without a further packet.
 	openingTimeout = 5 * time.Second
-	// sweepInterval is the time between two searches for forgotten flows.
+	// sweepInterval is the time between two removals of expired state.
 	sweepInterval = 5 * time.Second
-	// maxFlows bounds the flows that a balancer remembers: four times the
-	// planned 25,000 of a node (docs/CAPACITY.md).
+	// maxFlows bounds the table of flows: four times the planned 25,000 of a node
+	// (docs/CAPACITY.md).
 	maxFlows = 100_000
-	// pauseThreshold is the time between two calls of a Core after which the process
-	// counts as paused: ticks come every 50 ms.
+	// pauseThreshold is the time between two calls of a Core after which the process is
+	// taken to have been paused: ticks come every 50 ms.
 	pauseThreshold = 400 * time.Millisecond
-	// newerNoteInterval bounds how often a newer version is told of.
+	// newerNoteInterval is the minimum time between two notes of what the balancer lacks.
 	newerNoteInterval = 200 * time.Millisecond
-	// newerRepeatInterval is the time after which a version that is still missing is told of
-	// again: longer than changes are collected before a balancer takes them over (1.2 s).
+	// newerRepeatInterval is the time after which the note of a version that is still
+	// missing is repeated. It is longer than the time for which changes are collected
+	// before a balancer applies them (1.2 s).
 	newerRepeatInterval = 1500 * time.Millisecond
 )
 
-// Core is the state of a balancer's decisions. Times are counted from the
-// start of the process by the steady clock.
+// Core makes the decisions of a balancer and holds the state for them. Times are counted
+// from the start of the process by the monotonic clock.
 type Core struct {
 	settings Settings
 	table    *routing.Table
-	// tableFresh tells that the configuration has lately been confirmed.
+	// tableFresh is set if the configuration has recently been confirmed to be current.
 	tableFresh bool
 	idleLimit  time.Duration
 	roster     roster
 	former     formerServices
-	// evacuations are the operators' requests to empty data centres.
+	// evacuations are the operators' requests to evacuate data centres.
 	evacuations evacuation.Record
 	flows       map[platform.Flow]*flow
 	searches    map[platform.Flow]*ownerSearch
 	dead        map[platform.Flow]time.Duration
 	lastSweep   time.Duration
-	// lastTick is when the last tick was, searching whether searches were under way
-	// then, tickDelay how long after each other ticks come meanwhile, 0 for not known.
-	lastTick, tickDelay time.Duration
-	searching           bool
-	// probeBudget, searchBudget and questionBudget are how many of them may begin until the next tick.
+	// lastTick is when the last tick was, searching whether searches were running then,
+	// and tickInterval the time between two ticks while they run, 0 if not known.
+	lastTick, tickInterval time.Duration
+	searching              bool
+	// probeBudget, searchBudget and questionBudget are how many probes, searches and
+	// questions may start until the next tick.
 	probeBudget, searchBudget, questionBudget int
-	// lastCall is when the Core was last lastCall, 0 for not yet.
+	// lastCall is when the Core was last called, 0 for not yet.
 	lastCall time.Duration
-	// newer is the newest version that was heard of, toldNewer when one was told of, 0 for
-	// never.
+	// newer is the newest version that an agent has reported; newerNotedAt is when the
+	// last note of it was added, 0 for never.
 	newer        newerVersion
 	newerNotedAt time.Duration
-	// questioned are the agents with questions to be sent, flushed is when the
-	// last were.
+	// questioned are the agents with questions to send; lastFlush is when questions were
+	// last sent.
 	questioned []*agent
-	// peersAsked tells that other balancers have told which agents they know.
+	// peersAsked is set once other balancers have reported which agents they know.
 	peersAsked bool
 	lastFlush  time.Duration
-	// early are opening packets that came before the first list.
+	// early are opening packets that arrived before the first list of agents.
 	early  []earlyOpening
 	out    Result
 	buffer []byte
@@ -187,22 +196,22 @@
 	}
 }
 
-// SetTable puts a version of the configuration in force.
+// SetTable applies a version of the configuration.
 func (c *Core) SetTable(now time.Duration, t *routing.Table, idleLimit time.Duration) {
 	c.former.update(now, c.table, t)
 	c.table, c.idleLimit = t, idleLimit
 }
 
-// SetFlowMaxAge takes over a bound that has changed.
+// SetFlowMaxAge changes the maximum lifetime of a flow.
 func (c *Core) SetFlowMaxAge(d time.Duration) {
 	c.former.setRetention(c.lastCall, formerRetentionFactor*d)
 }
 
-// SetTableFresh tells whether the configuration is known to be the newest:
-// only then is an unknown face certainly none.
+// SetTableFresh sets whether the configuration is known to be current: only then does a
+// missing route prove that a face does not exist.
 func (c *Core) SetTableFresh(fresh bool) { c.tableFresh = fresh }
 
-// Counts of what a Core holds.
+// Counts are the sizes of a Core's state.
 type Counts struct {
 	Flows, Asks, Agents, Suspected int
 }
@@ -218,7 +227,7 @@
 	return n
 }
 
-// Serving reports whether some agent has answered, so that flows can be placed.
+// Serving reports whether an agent has sent a datagram, so that flows can be placed.
 func (c *Core) Serving() bool {
 	for _, a := range c.roster.list {
 		if a.lastReceived > 0 {
@@ -228,8 +237,8 @@
 	return false
 }
 
-// Blind reports whether agents are listed and not one of them answers: then it
-// is likely the balancer that is cut off.
+// Blind reports whether agents are listed and none of them answers: the balancer itself
+// is probably cut off then.
 func (c *Core) Blind(now time.Duration) bool {
 	for _, a := range c.roster.list {
 		if !a.isSuspect(now) {
@@ -239,7 +248,8 @@
 	return len(c.roster.list) > 0
 }
 
-// Balancers returns how many balancers the agents hear of, at least 1.
+// Balancers returns the number of balancers in the fleet, which agents count by the
+// datagrams that they receive; it is at least 1.
 func (c *Core) Balancers() int {
 	n := 1
 	for _, a := range c.roster.list {
@@ -264,12 +274,12 @@
 	c.out.Notes = append(c.out.Notes, n)
 }
 
-// send queues the bytes that were appended to the buffer since start.
+// send adds an action with the bytes that were appended to the buffer since start.
 func (c *Core) send(to netip.AddrPort, start int) {
 	c.out.Actions = append(c.out.Actions, Action{To: to, Bytes: c.buffer[start:]})
 }
 
-// FromCaller decides on a packet that came from a caller.
+// FromCaller processes a packet from a caller.
 func (c *Core) FromCaller(now time.Duration, b []byte) (*Result, error) {
 	c.begin(now)
 	p, err := platform.ParsePacket(b)
@@ -293,7 +303,7 @@
 	return c.table.Find(id)
 }
 
-// FromAgent decides on a datagram that came from an agent.
+// FromAgent processes a datagram from an agent.
 func (c *Core) FromAgent(now time.Duration, from netip.AddrPort, b []byte) (*Result, error) {
 	c.begin(now)
 	a := c.roster.agents[from]
@@ -348,7 +358,7 @@
 	return nil
 }
 
-// known returns how new the balancer's beliefs are.
+// known returns which configuration and list of agents the balancer has.
 func (c *Core) known() inner.Known {
 	k := inner.Known{Listing: c.roster.age.Newest}
 	if c.table != nil {
@@ -357,8 +367,8 @@
 	return k
 }
 
-// coldOf returns what is known of how upstreams of a service warm up: where the
-// configuration does not tell for how long, what they have shown.
+// coldOf returns how upstreams of a service warm up. If the configuration does not
+// contain the duration, it is the observed or else the estimated one.
 func (c *Core) coldOf(service uint64) (cold inner.Cold) {
 	if c.table != nil {
 		cold = c.table.Cold(service)
@@ -372,7 +382,7 @@
 	return cold
 }
 
-// Tick does what is due by time alone.
+// Tick runs the timers: retries, time-outs and the removal of expired state.
 func (c *Core) Tick(now time.Duration) *Result {
 	c.begin(now)
 	c.tickSearches(now)
@@ -386,5 +396,5 @@
 	return &c.out
 }
 
-// Waiting reports whether asks wait for answers, so that ticks are wanted soon.
+// Waiting reports whether searches are running, so that the next tick is needed soon.
 func (c *Core) Waiting() bool { return len(c.searches) > 0 }
--- a/internal/packetface/steer/steer_test.go
+++ b/internal/packetface/steer/steer_test.go
@@ -52,8 +52,8 @@
 	return steer.ListAge{AsOf: revision, Newest: revision}
 }
 
-// at returns an agent of the service in a data centre.
-func at(n int, dataCentre string) steer.Agent {
+// agentAt returns an agent of the service in a data centre.
+func agentAt(n int, dataCentre string) steer.Agent {
 	return steer.Agent{Addr: address(n, 1), Service: inner.ServiceID(service), DataCentre: dataCentre, Slots: 4}
 }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-func TestUnknownFacesAreResetOnlyOnFreshKnowledge(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestUnknownFacesAreResetOnlyWithFreshConfiguration(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	id := caller(1)
 	id.FacePort = 80
 	b.callerSends(id, platform.FlagSYN, 0)
@@ -132,10 +132,10 @@
 
 // Where a route's shares change, open flows stay, also at a balancer that has
 // never seen them; the agents of all services are asked.
-func TestOpenFlowsStayWhereSharesChange(t *testing.T) {
-	other := at(102, "a")
+func TestOpenFlowsStayWhenSharesChange(t *testing.T) {
+	other := agentAt(102, "a")
 	other.Service = inner.ServiceID("other")
-	b := newBench(t, at(101, "a"), other)
+	b := newBench(t, agentAt(101, "a"), other)
 	b.status(101, inner.Status{})
 	b.status(102, inner.Status{})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
@@ -159,8 +159,8 @@
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{address(101, 1)}))
 }
 
-func TestBadPacketsAreRefused(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestMalformedDatagramsAreRejected(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	_, err := b.core.FromCaller(b.now, []byte("short"))
 	b.Expect(err).To(HaveOccurred())
 	for _, datagram := range [][]byte{nil, {99}, {byte(inner.KindStatus)}, inner.AppendReturned(nil, inner.Returned{Reason: 1}, []byte("short"))} {
--- a/internal/packetface/steer/warmup_test.go
+++ b/internal/packetface/steer/warmup_test.go
@@ -10,12 +10,12 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// told returns the warm-up that a balancer tells agents after some have told theirs. The
+// polledWarmup returns the warm-up that a balancer tells agents after some have polledWarmup theirs. The
 // configuration has none.
-func told(t *testing.T, estimates ...time.Duration) time.Duration {
+func polledWarmup(t *testing.T, estimates ...time.Duration) time.Duration {
 	var agents []steer.Agent
 	for n := range max(len(estimates), 1) {
-		agents = append(agents, at(101+n, "a"))
+		agents = append(agents, agentAt(101+n, "a"))
 	}
 	b := newBench(t, agents...)
 	b.core.SetTable(b.now, routing.NewTable(platform.Configuration{Version: 2, Routes: []platform.Route{
@@ -33,7 +33,7 @@
 	return 0
 }
 
-func TestAWarmUpIsEstimatedByManyHosts(t *testing.T) {
+func TestWarmUpIsEstimatedAsUpperQuartile(t *testing.T) {
 	const warmup, back, ahead = 3 * time.Second, 300 * time.Millisecond, 9 * time.Second
 	for name, c := range map[string]struct {
 		told []time.Duration
@@ -47,7 +47,7 @@
 		"two set ahead":         {[]time.Duration{warmup, warmup, ahead, ahead, warmup}, ahead},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := told(t, c.told...); got != c.want {
+			if got := polledWarmup(t, c.told...); got != c.want {
 				t.Errorf("%s instead of %s", got, c.want)
 			}
 		})
--- a/internal/packetface/steer/world_test.go
+++ b/internal/packetface/steer/world_test.go
@@ -22,13 +22,13 @@
 const (
 	service    = "results"
 	callerPort = 9000
-	maxLate    = 400 * time.Millisecond
+	maxDelay   = 400 * time.Millisecond
 )
 
 var face = netip.MustParseAddrPort("198.18.0.1:443")
 
-// site is an agent with its upstream.
-type site struct {
+// simAgent is an agent with its upstream.
+type simAgent struct {
 	addr netip.AddrPort
 	gate *gate.Gate
 	// lives are all lives of the upstream, the last is that of now.
@@ -37,24 +37,26 @@
 	sequence    uint64
 	incarnation uint64
 	dataCentre  string
-	// started is when the process last began, born when the upstream did, heard when any
+	// started is when the process last began, born when the upstream did, acknowledged when any
 	// process last acknowledged a heartbeat of this life, 0 for not yet.
-	started, born, heard time.Duration
-	// due is when the process, started anew, is listed; 0 when that is past.
-	due time.Duration
-	// lost tells that the store came back without the entry, era is the store's as the
+	started, born, acknowledged time.Duration
+	// listedAt is when the process, started anew, is listed; 0 when that is past.
+	listedAt time.Duration
+	// entryLost tells that the store came back without the entry, era is the store's as the
 	// process knows it, verify when it looks for its entry, 0 for not.
-	lost   bool
-	era    uint64
-	verify time.Duration
-	// stepped is by how much the host's clock was set ahead since the upstream began.
-	stepped time.Duration
+	entryLost bool
+	era       uint64
+	verifyAt  time.Duration
+	// clockOffset is by how much the host's clock was set ahead since the upstream began.
+	clockOffset time.Duration
 	// held are the flows that the upstream holds: true once they are open.
 	held map[platform.Flow]bool
 }
 
 // answer returns the count of the upstream's answer to an opening packet.
-func (s *site) answer() uint32 { return uint32(s.addr.Addr().As4()[3])*1_000_000 + uint32(s.life)*1000 }
+func (s *simAgent) answer() uint32 {
+	return uint32(s.addr.Addr().As4()[3])*1_000_000 + uint32(s.life)*1000
+}
 
 // balancer is a balancer at its address.
 type balancer struct {
@@ -62,26 +64,26 @@
 	core *steer.Core
 	// refused tells that the store turns the balancer away.
 	refused bool
-	// reads is when it notices that the store came back, 0 once it has.
-	reads time.Duration
-	// told is what it was last told of evacuations.
-	told evacuation.Record
+	// readsAt is when it notices that the store came back, 0 once it has.
+	readsAt time.Duration
+	// evacuations is what it was last evacuations of evacuations.
+	evacuations evacuation.Record
 }
 
-// world is a small fleet with a network that loses, doubles and delays.
-type world struct {
+// simFleet is a small fleet with a network that loses, doubles and delays.
+type simFleet struct {
 	t         *rapid.T
 	random    *rand.Rand
 	now       time.Duration
 	balancers []*balancer
-	sites     []*site
-	// balancerAt and siteAt are the same by their addresses.
-	balancerAt map[netip.AddrPort]*balancer
-	siteAt     map[netip.AddrPort]*site
-	letters    []letter
-	flows      []platform.Flow
-	nextPort   uint16
-	told       []string
+	agents    []*simAgent
+	// balancerByAddr and siteAt are the same by their addresses.
+	balancerByAddr map[netip.AddrPort]*balancer
+	agentByAddr    map[netip.AddrPort]*simAgent
+	inFlight       []datagram
+	flows          []platform.Flow
+	nextPort       uint16
+	eventLog       []string
 	// accepted holds what callers acknowledge: the answer that they go on with.
 	accepted map[platform.Flow]uint32
 	// began is when callers sent their first opening packet.
@@ -89,7 +91,7 @@
 	loss  float64
 	// cuts are the ways on which nothing arrives, until when; one at a time, and
 	// cutEnd is when the last ends.
-	cuts   map[way]time.Duration
+	cuts   map[link]time.Duration
 	cutEnd time.Duration
 	// absentAfter is the setting of all balancers.
 	absentAfter time.Duration
@@ -100,7 +102,7 @@
 	settleAt time.Duration
 	// opened, if any, is called with each opening packet that an upstream gets, and
 	// whether it holds the flow already.
-	opened func(s *site, held bool)
+	opened func(s *simAgent, held bool)
 }
 
 func address(host, port int) netip.AddrPort {
@@ -116,15 +118,15 @@
 	}, Services: []platform.Service{{Name: service, Warmup: warmup}}})
 }
 
-func newWorld(t *rapid.T, mostLoss float64, absentAfter time.Duration) *world {
+func newSimFleet(t *rapid.T, mostLoss float64, absentAfter time.Duration) *simFleet {
 	agents := rapid.IntRange(1, 4).Draw(t, "agents")
-	return newWorldOf(t, agents, rapid.IntRange(1, 3).Draw(t, "balancers"), mostLoss, absentAfter)
+	return newSimFleetOf(t, agents, rapid.IntRange(1, 3).Draw(t, "balancers"), mostLoss, absentAfter)
 }
 
-// newWorldOf returns a world of a size.
-func newWorldOf(t *rapid.T, agents, balancers int, mostLoss float64, absentAfter time.Duration) *world {
-	w := &world{
-		t: t, now: time.Millisecond, absentAfter: absentAfter, revision: 1, accepted: map[platform.Flow]uint32{}, began: map[platform.Flow]time.Duration{}, cuts: map[way]time.Duration{}, balancerAt: map[netip.AddrPort]*balancer{}, siteAt: map[netip.AddrPort]*site{},
+// newSimFleetOf returns a world of a size.
+func newSimFleetOf(t *rapid.T, agents, balancers int, mostLoss float64, absentAfter time.Duration) *simFleet {
+	w := &simFleet{
+		t: t, now: time.Millisecond, absentAfter: absentAfter, revision: 1, accepted: map[platform.Flow]uint32{}, began: map[platform.Flow]time.Duration{}, cuts: map[link]time.Duration{}, balancerByAddr: map[netip.AddrPort]*balancer{}, agentByAddr: map[netip.AddrPort]*simAgent{},
 		random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 		loss:   rapid.Float64Range(0, mostLoss).Draw(t, "loss"),
 	}
@@ -132,62 +134,62 @@
 		w.warmup = warmup
 	}
 	for range agents {
-		w.addSite()
+		w.addAgent()
 	}
 	for i := range balancers {
 		w.balancers = append(w.balancers, &balancer{addr: address(i+1, 2)})
-		w.balancerAt[w.balancers[i].addr] = w.balancers[i]
+		w.balancerByAddr[w.balancers[i].addr] = w.balancers[i]
 		w.startBalancer(w.balancers[i])
 	}
 	return w
 }
 
-func (w *world) addSite() {
-	s := &site{addr: address(100+len(w.sites), 1), dataCentre: "a", lives: []platform.Life{{ID: fmt.Sprintf("i-%d", len(w.sites)), Born: 1_000_000}}, held: map[platform.Flow]bool{}}
-	w.sites, w.siteAt[s.addr] = append(w.sites, s), s
+func (w *simFleet) addAgent() {
+	s := &simAgent{addr: address(100+len(w.agents), 1), dataCentre: "a", lives: []platform.Life{{ID: fmt.Sprintf("i-%d", len(w.agents)), Born: 1_000_000}}, held: map[platform.Flow]bool{}}
+	w.agents, w.agentByAddr[s.addr] = append(w.agents, s), s
 	w.startAgent(s)
 	w.heartbeat(s)
-	w.listed(s)
+	w.registerAgent(s)
 }
 
-// listed writes a site's entry; balancers that the store serves are told. A process
+// registerAgent writes a site's entry; balancers that the store serves are told. A process
 // that began anew finds the entry of the one before and only reads it.
-func (w *world) listed(s *site) {
-	s.due = 0
-	if s.incarnation > 1 && !s.lost {
+func (w *simFleet) registerAgent(s *simAgent) {
+	s.listedAt = 0
+	if s.incarnation > 1 && !s.entryLost {
 		w.fromAgent(s, s.gate.SetSeen(w.now, w.revision))
 		return
 	}
-	w.write(s)
+	w.writeEntry(s)
 }
 
-// write writes a site's entry; balancers that follow the store are told.
-func (w *world) write(s *site) {
-	s.lost = false
+// writeEntry writes a site's entry; balancers that follow the store are told.
+func (w *simFleet) writeEntry(s *simAgent) {
+	s.entryLost = false
 	w.revision++
 	w.fromAgent(s, s.gate.SetSeen(w.now, w.revision))
 	for _, b := range w.balancers {
-		if !b.refused && b.reads == 0 {
-			w.list(b, nil)
+		if !b.refused && b.readsAt == 0 {
+			w.sendList(b, nil)
 		}
 	}
 }
 
-func (w *world) startBalancer(b *balancer) {
+func (w *simFleet) startBalancer(b *balancer) {
 	c := steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: w.random, AbsentAfter: w.absentAfter})
 	c.SetTable(w.now, tableOf(w.warmup), time.Minute)
 	c.SetTableFresh(true)
 	b.core = c
-	w.fromBalancer(b.addr, c.SetEvacuations(w.now, b.told.Clone()))
-	w.list(b, nil)
+	w.fromBalancer(b.addr, c.SetEvacuations(w.now, b.evacuations.Clone()))
+	w.sendList(b, nil)
 }
 
-// list gives a balancer the list of agents without one.
-func (w *world) list(b *balancer, without *site) {
-	b.reads = 0
+// sendList gives a balancer the sendList of agents without one.
+func (w *simFleet) sendList(b *balancer, without *simAgent) {
+	b.readsAt = 0
 	var agents []steer.Agent
-	for _, s := range w.sites {
-		if s != without && !s.lost && (s.due == 0 || s.incarnation > 1) {
+	for _, s := range w.agents {
+		if s != without && !s.entryLost && (s.listedAt == 0 || s.incarnation > 1) {
 			agents = append(agents, steer.Agent{Addr: s.addr, Service: inner.ServiceID(service), DataCentre: s.dataCentre, Slots: 2})
 		}
 	}
@@ -203,22 +205,22 @@
 	retryTime = 50 * time.Millisecond
 )
 
-func (w *world) fromBalancer(addr netip.AddrPort, r *steer.Result) {
+func (w *simFleet) fromBalancer(addr netip.AddrPort, r *steer.Result) {
 	for _, n := range r.Notes {
-		w.tell("balancer %s %s %s agent %s %s", addr, n.Kind, n.Flow, n.Agent, n.Reason)
+		w.logEvent("balancer %s %s %s agent %s %s", addr, n.Kind, n.Flow, n.Agent, n.Reason)
 	}
 	for _, a := range r.Actions {
 		if a.ToCaller {
 			w.checkReset(a.Bytes, "balancer "+addr.String())
 			continue
 		}
-		w.post(addr, a.To, a.Bytes)
+		w.send(addr, a.To, a.Bytes)
 	}
 }
 
-func (w *world) fromAgent(s *site, r *gate.Result) {
+func (w *simFleet) fromAgent(s *simAgent, r *gate.Result) {
 	for _, n := range r.Notes {
-		w.tell("agent %s %s %s balancer %s %s", s.addr, n.Kind, n.Flow, n.Peer, n.Reason)
+		w.logEvent("agent %s %s %s balancer %s %s", s.addr, n.Kind, n.Flow, n.Peer, n.Reason)
 	}
 	actions := append([]gate.Action(nil), r.Actions...)
 	for i := range actions { // the upstream's reply comes before all are done
@@ -228,7 +230,7 @@
 		b := a.Bytes
 		switch a.Target {
 		case gate.ToBalancer:
-			w.post(s.addr, a.To, b)
+			w.send(s.addr, a.To, b)
 		case gate.ToUpstream:
 			w.upstream(s, b)
 		case gate.ToCaller:
@@ -241,9 +243,9 @@
 // it up; the platform's callers give up after 1.4 s.
 const openingLimit = 4 * time.Second
 
-// gaveUp forgets a flow that was not opened in time; it reports whether it did.
-func (w *world) gaveUp(id platform.Flow) bool {
-	for _, s := range w.sites {
+// openingExpired forgets a flow that was not opened in time; it reports whether it did.
+func (w *simFleet) openingExpired(id platform.Flow) bool {
+	for _, s := range w.agents {
 		if s.held[id] {
 			return false // it is open
 		}
@@ -257,7 +259,7 @@
 
 // toCaller takes what an agent sends a caller, who goes on with the first answer
 // to its opening packets.
-func (w *world) toCaller(s *site, b []byte) {
+func (w *simFleet) toCaller(s *simAgent, b []byte) {
 	p, err := platform.ParsePacket(b)
 	if err != nil {
 		w.t.Fatalf("caller got %x: %v", b, err)
@@ -273,7 +275,7 @@
 
 // upstream is the upstream's side: it holds what was opened there, bounces the
 // rest, and answers data.
-func (w *world) upstream(s *site, b []byte) {
+func (w *simFleet) upstream(s *simAgent, b []byte) {
 	p, err := platform.ParsePacket(b)
 	if err != nil {
 		w.t.Fatalf("upstream got %x: %v", b, err)
@@ -294,7 +296,7 @@
 		w.reply(s, b)
 	default:
 		if !open {
-			w.tell("upstream of %s opened %s", s.addr, id)
+			w.logEvent("upstream of %s opened %s", s.addr, id)
 		}
 		s.held[id] = true
 		if p.Length > 0 {
@@ -303,7 +305,7 @@
 	}
 }
 
-func (w *world) reply(s *site, b []byte) {
+func (w *simFleet) reply(s *simAgent, b []byte) {
 	r, err := s.gate.FromUpstream(w.now, b)
 	if err != nil {
 		w.t.Fatalf("agent refused a packet of its upstream: %v", err)
@@ -312,45 +314,45 @@
 }
 
 // checkReset fails if the flow of a reset is open at an upstream.
-func (w *world) checkReset(b []byte, by string) {
+func (w *simFleet) checkReset(b []byte, by string) {
 	p, err := platform.ParsePacket(b)
 	if err != nil {
 		w.t.Fatalf("%s sent a caller %x: %v", by, b, err)
 	}
 	id := p.FromUpstream()
 	const window = 76_800 // a reset further from the caller's count is ignored
-	for _, s := range w.sites {
+	for _, s := range w.agents {
 		if s.held[id] && p.Sequence-w.accepted[id]+window <= 2*window {
-			w.t.Fatalf("at %s %s reset %s, which is open at %s\n%s", w.now, by, id, s.addr, w.story(id))
+			w.t.Fatalf("at %s %s reset %s, which is open at %s\n%s", w.now, by, id, s.addr, w.flowLog(id))
 		}
 	}
 	// A caller goes on with another flow.
 	w.flows = slices.DeleteFunc(w.flows, func(f platform.Flow) bool { return f == id })
 }
 
-// tell keeps what happened, for the report of a failure.
-func (w *world) tell(format string, args ...any) {
-	w.told = append(w.told, fmt.Sprintf("%s ", w.now)+fmt.Sprintf(format, args...))
+// logEvent keeps what happened, for the report of a failure.
+func (w *simFleet) logEvent(format string, args ...any) {
+	w.eventLog = append(w.eventLog, fmt.Sprintf("%s ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// story returns what happened to a flow, and to no flow.
-func (w *world) story(id platform.Flow) string {
-	kept := slices.DeleteFunc(slices.Clone(w.told), func(line string) bool {
+// flowLog returns what happened to a flow, and to no flow.
+func (w *simFleet) flowLog(id platform.Flow) string {
+	kept := slices.DeleteFunc(slices.Clone(w.eventLog), func(line string) bool {
 		return strings.Contains(line, ">198.18") && !strings.Contains(line, id.String())
 	})
 	return strings.Join(kept[max(0, len(kept)-60):], "\n")
 }
 
-// register lets a process be listed in its time.
-func (w *world) register(s *site) {
-	if s.due != 0 && w.now >= s.due {
-		w.listed(s)
+// registerDue lets a process be listed in its time.
+func (w *simFleet) registerDue(s *simAgent) {
+	if s.listedAt != 0 && w.now >= s.listedAt {
+		w.registerAgent(s)
 	}
-	w.verify(s)
+	w.verifyEntry(s)
 }
 
 // callerSends sends a packet of a flow through any balancer.
-func (w *world) callerSends(id platform.Flow, flags platform.Flags, ack uint32, size int) {
+func (w *simFleet) callerSends(id platform.Flow, flags platform.Flags, ack uint32, size int) {
 	b := w.anyBalancer()
 	r, err := b.core.FromCaller(w.now, packet(id, 1, ack, flags, size))
 	if err != nil {
@@ -359,4 +361,4 @@
 	w.fromBalancer(b.addr, r)
 }
 
-func (w *world) anyBalancer() *balancer { return w.balancers[w.random.IntN(len(w.balancers))] }
+func (w *simFleet) anyBalancer() *balancer { return w.balancers[w.random.IntN(len(w.balancers))] }
