--- a/internal/packetface/steer/evacuated_test.go
+++ b/internal/packetface/steer/evacuated_test.go
@@ -15,7 +15,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// recordOf returns a record that knows every change up to a revision.
+// recordOf returns a record of all changes up to a position, with the given data centres
+// evacuated.
 func recordOf(asOf store.Position, dataCentres ...string) evacuation.Record {
 	var r evacuation.Record
 	var all []evacuation.Request
@@ -35,7 +36,7 @@
 	b.status(1, inner.Status{Slots: 4})
 	b.status(2, inner.Status{Slots: 4, Running: 40})
 	b.evacuate(5, "a")
-	b.Expect(b.pollsWithin(200*time.Millisecond, 1)).To(BeTrue(), "its agents are told")
+	b.Expect(b.pollsWithin(200*time.Millisecond, 1)).To(BeTrue(), "the agents of the evacuated data centre are polled")
 	for n := range 20 {
 		b.callerSends(caller(n), platform.FlagSYN, 0)
 		b.Expect(b.sent(inner.KindOpen)).To(ConsistOf(address(2, 1)))
@@ -56,7 +57,8 @@
 	return false
 }
 
-// In a large fleet only some balancers tell an agent, and it tells the others.
+// In a large fleet only some balancers poll an uninformed agent; its status then informs
+// the other balancers.
 func TestFewBalancersOfLargeFleetPollEvacuatedAgents(t *testing.T) {
 	const agents, balancers, tick = 200, 400, 50 * time.Millisecond
 	b := benchOf(t, agents)
@@ -75,10 +77,10 @@
 			b.status(int(host[2])<<8+int(host[3]), inner.Status{Slots: 4, Known: inner.Known{Listing: 1}, Balancers: balancers, Evacuation: evacuation.Word{Evacuated: true, AsOf: 5}})
 		}
 	}
-	b.Expect(polls).To(And(BeNumerically(">", 5), BeNumerically("<", 120)), "of 4,000 if each told all at each tick")
+	b.Expect(polls).To(And(BeNumerically(">", 5), BeNumerically("<", 120)), "4,000 polls if the balancer polled all agents at each tick")
 }
 
-// The last resort for a flow that all have returned is none there either.
+// The agent of last resort must not be in an evacuated data centre either.
 func TestFullyEvacuatedServiceResetsNewFlows(t *testing.T) {
 	b := newBench(t, agentAt(1, "a"), agentAt(2, "a"))
 	b.status(1, inner.Status{State: inner.StateFailing})
@@ -101,7 +103,8 @@
 	b.Expect(b.sent(inner.KindForward)).To(ConsistOf(address(1, 1)))
 }
 
-// A balancer that the store turns away hears of it from any agent there.
+// A balancer that the store refuses to serve learns of an evacuation from any agent in
+// the data centre.
 func TestBalancerLearnsOfEvacuationFromAgent(t *testing.T) {
 	b := newBench(t, agentAt(1, "a"), agentAt(2, "a"), agentAt(3, "b"))
 	for n := range 3 {
@@ -114,7 +117,7 @@
 		b.callerSends(caller(n), platform.FlagSYN, 0)
 		b.Expect(b.sent(inner.KindOpen)).To(ConsistOf(address(3, 1)))
 	}
-	b.evacuate(6) // an older copy of the store changes nothing
+	b.evacuate(6) // an older state of the store has no effect
 	b.callerSends(caller(30), platform.FlagSYN, 0)
 	b.Expect(b.sent(inner.KindOpen)).To(ConsistOf(address(3, 1)))
 }
@@ -126,17 +129,17 @@
 	b.status(1, inner.Status{})
 	b.now += 150 * time.Millisecond
 	b.last = b.core.Tick(b.now)
-	b.Expect(b.sent(inner.KindPoll)).NotTo(BeEmpty(), "its status shows that it does not know")
+	b.Expect(b.sent(inner.KindPoll)).NotTo(BeEmpty(), "the agent's status does not report the evacuation")
 }
 
-// What the operator has asked for, in the property test.
+// operator holds what the operator has requested, in the property test.
 type operator struct {
 	record evacuation.Record
-	// since is when the request that stands was made, 0 for none.
+	// since is when the present request was made, 0 if there is none.
 	since time.Duration
 }
 
-// evacuateOrTakeBack changes what the operator asks for data centre b.
+// evacuateOrTakeBack makes or withdraws the operator's request to evacuate data centre b.
 func (w *simFleet) evacuateOrTakeBack(o *operator) {
 	w.revision++
 	request := evacuation.Request{DataCentre: "b", At: w.revision}
@@ -149,7 +152,7 @@
 	w.logEvent("operator: evacuated %v as of %d", o.since != 0, w.revision)
 }
 
-// sendEvacuations lets balancers that the store serves read it.
+// sendEvacuations gives the requests to the balancers that the store serves.
 func (w *simFleet) sendEvacuations(o *operator) {
 	for _, b := range w.balancers {
 		if !b.refused {
@@ -160,19 +163,20 @@
 }
 
 const (
-	// storeDelay is the time within which the store tells those that it serves of a
-	// change; evacuateWithin is that after which no opening may reach an upstream.
+	// storeDelay is the time within which the store notifies the balancers that it serves
+	// of a change; evacuateWithin is the time after which no opening packet may reach an
+	// upstream in the data centre.
 	storeDelay     = 300 * time.Millisecond
 	evacuateWithin = 3 * time.Second
 )
 
-// Whatever order the news comes in, and whoever is turned away by the store or starts
-// anew, no opening reaches an evacuated data centre later than the bound, while any
-// balancer has the store.
+// Whatever the order in which processes learn of a request, and whichever balancers the
+// store refuses to serve or processes restart, no opening packet reaches an evacuated
+// data centre after evacuateWithin as long as one balancer can reach the store.
 func TestNoOpeningReachesEvacuatedDataCentre(t *testing.T) {
-	const mostLoss = 0.1
+	const maxLoss = 0.1
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimFleetOf(t, 4, 3, mostLoss, steer.DefaultAbsentAfter)
+		w := newSimFleetOf(t, 4, 3, maxLoss, steer.DefaultAbsentAfter)
 		for i, s := range w.agents {
 			s.dataCentre = string("ab"[i%2])
 		}
@@ -194,7 +198,7 @@
 
 func (w *simFleet) evacuationStep(o *operator) {
 	s := w.agents[w.random.IntN(len(w.agents))]
-	served := w.balancers[1:] // the first always has the store
+	served := w.balancers[1:] // the store always serves the first
 	switch rapid.IntRange(0, 8).Draw(w.t, "step") {
 	case 0, 1:
 		w.evacuateOrTakeBack(o)
@@ -204,7 +208,7 @@
 	case 2:
 		w.startAgent(s)
 		s.sequence = max(s.sequence, 1)
-	case 3: // it forgets what it heard from agents, and callers come before they answer
+	case 3: // it loses what agents reported, and callers send before agents answer again
 		w.startBalancer(w.anyBalancer())
 		w.openFlows(30)
 	case 4:
--- a/internal/packetface/steer/lives_test.go
+++ b/internal/packetface/steer/lives_test.go
@@ -9,10 +9,10 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// The lives of a world's agents and upstreams.
+// Starts and restarts of the simulated agents and upstreams.
 
-// newLife begins another life: under another id, or under the same with another start,
-// which is earlier where the host's clock was set back.
+// newLife starts another instance of the upstream: with another id, or with the same id
+// and another start time, which is earlier if the host's clock was set back.
 func (s *simAgent) newLife(random *rand.Rand) {
 	life := s.lives[len(s.lives)-1]
 	switch random.IntN(4) {
@@ -43,18 +43,19 @@
 	w.fromAgent(s, r)
 }
 
-// age returns how long ago the upstream began by its host's clock.
+// age returns how long ago the upstream started by its host's clock.
 func (s *simAgent) age(now time.Duration) time.Duration { return max(0, now-s.born+s.clockOffset) }
 
-// stepClock sets a host's clock back or ahead, by little or by much.
+// stepClock sets a host's clock back or ahead, by up to 2 s or up to 10 s.
 func (w *simFleet) stepClock(s *simAgent) {
-	most := []time.Duration{2 * time.Second, 10 * time.Second}[w.random.IntN(2)]
-	s.clockOffset += time.Duration(w.random.Int64N(int64(2*most))) - most
+	maxStep := []time.Duration{2 * time.Second, 10 * time.Second}[w.random.IntN(2)]
+	s.clockOffset += time.Duration(w.random.Int64N(int64(2*maxStep))) - maxStep
 }
 
-// coldFor returns what an upstream tells of its start. Real ones report at once when they
-// start, until they are heard, and then not for a heartbeat's time; where this one has
-// not, it tells nothing.
+// coldFor returns what an upstream reports of how long it stays cold, 0 for nothing. A
+// real upstream reports at once when it starts, repeats that until a report is
+// acknowledged, and then waits for a heartbeat's interval. A simulated upstream that has
+// not kept to that reports nothing.
 func (s *simAgent) coldFor(now time.Duration) time.Duration {
 	unheard := s.acknowledged == 0 && now-max(s.born, s.started) <= retryTime
 	regular := s.acknowledged != 0 && now-s.acknowledged >= 1200*time.Millisecond
@@ -64,8 +65,8 @@
 	return max(0, warmup-(now-s.born))
 }
 
-// restartAgents starts all agents at once, as after a fault of all hosts whose
-// upstreams live on.
+// restartAgents restarts all agents at once, as after a fault of all hosts that their
+// upstreams survive.
 func (w *simFleet) restartAgents() {
 	for _, s := range w.agents {
 		w.startAgent(s)
@@ -73,12 +74,12 @@
 	}
 }
 
-// losePower starts everything at once: all flows are dead. Some upstreams report at
-// once, others are late.
+// losePower restarts everything at once, so that all flows are dead. Some upstreams
+// report at once, others late.
 func (w *simFleet) losePower() {
 	for _, s := range w.agents {
 		w.replaceUpstream(s, true)
-		s.sequence = w.random.Uint64N(3) // some reports found no process
+		s.sequence = w.random.Uint64N(3) // some reports were sent before the agent had started
 	}
 	w.now += time.Duration(w.random.IntN(60)) * time.Millisecond
 	for _, s := range w.agents {
@@ -94,16 +95,17 @@
 	}
 }
 
-// lateHeartbeat delivers one of a life before, which was delayed until now.
+// lateHeartbeat delivers a delayed heartbeat of an earlier instance of the upstream.
 func (w *simFleet) lateHeartbeat(s *simAgent) {
 	if s.life == 0 || s.sequence == 0 {
-		return // the life of now has not reported yet
+		return // there is no earlier instance, or the present one has not reported yet
 	}
 	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Life: s.lives[w.random.IntN(s.life)], Slots: 2, Sequence: 2 + w.random.Uint64N(20)})
 	w.fromAgent(s, r)
 }
 
-// replaceUpstream ends the upstream; a new life begins and reports.
+// replaceUpstream ends the upstream and starts a new instance, which reports at once
+// unless late is set.
 func (w *simFleet) replaceUpstream(s *simAgent, late bool) {
 	s.newLife(w.random)
 	s.life++
--- a/internal/packetface/steer/network_test.go
+++ b/internal/packetface/steer/network_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// The network of a world: it loses, doubles, delays and cuts.
+// The simulated network: it loses, duplicates and delays datagrams, and cuts links.
 
-// datagram is a datagram on its way.
+// datagram is a datagram in flight.
 type datagram struct {
 	due      time.Duration
 	from, to netip.AddrPort
 	bytes    []byte
 }
 
-// link is a direction between two processes.
+// link is one direction between two processes.
 type link struct{ from, to netip.AddrPort }
 
 func (w *simFleet) send(from, to netip.AddrPort, b []byte) {
@@ -30,40 +30,41 @@
 		copies++
 	}
 	for range copies {
-		late := time.Duration(w.random.Int64N(int64(4 * time.Millisecond)))
+		delay := time.Duration(w.random.Int64N(int64(4 * time.Millisecond)))
 		if w.random.Float64() < w.loss/4 {
-			late = time.Duration(w.random.Int64N(int64(maxDelay)))
+			delay = time.Duration(w.random.Int64N(int64(maxDelay)))
 		}
-		w.inFlight = append(w.inFlight, datagram{due: w.now + late, from: from, to: to, bytes: append([]byte(nil), b...)})
+		w.inFlight = append(w.inFlight, datagram{due: w.now + delay, from: from, to: to, bytes: append([]byte(nil), b...)})
 	}
 }
 
-// cutLink loses all that one of the two sends the other for a while. Where
-// absent agents are passed over, a cut makes one look so, as it shall. An agent
-// whose entry has lapsed and that is silent for 2 s is gone, as it shall, too: so
-// the entry is back before a cut, and does not lapse during one. A balancer that
-// the store refuses learns of newer lists from agents; where the only one that
-// could tell it is cut off, it can't know: so no balancer is refused meanwhile.
+// cutLink drops everything that one of the two sends to the other for a while. It does
+// nothing where the balancer would rightly reset a flow or miss an agent. If absent
+// agents may be skipped, a cut agent counts as absent. An agent that is unlisted and
+// silent for 2 s is removed, so the agent is listed before the cut, and its entry does
+// not expire during it. A balancer that the store refuses to serve learns of newer lists
+// from agents only, possibly only from the one that is cut off, so there is no cut while
+// a balancer is refused, and no balancer is refused during a cut.
 func (w *simFleet) cutLink(b *balancer, s *simAgent) {
 	refused := slices.ContainsFunc(w.balancers, func(b *balancer) bool { return b.refused })
 	if w.absentAfter != 0 || refused || w.now < w.cutEnd {
 		return
 	}
 	w.sendList(b, nil)
-	lost := link{b.addr, s.addr}
+	cut := link{b.addr, s.addr}
 	if w.random.IntN(2) == 0 {
-		lost = link{s.addr, b.addr}
+		cut = link{s.addr, b.addr}
 	}
 	w.cutEnd = w.now + time.Duration(w.random.Int64N(int64(5*time.Second)))
-	w.cuts[lost] = w.cutEnd
+	w.cuts[cut] = w.cutEnd
 }
 
-// cut reports whether one of the two does not hear the other.
+// cut reports whether datagrams from one of the two do not reach the other.
 func (w *simFleet) cut(b *balancer, s *simAgent) bool {
 	return w.cuts[link{b.addr, s.addr}] > w.now || w.cuts[link{s.addr, b.addr}] > w.now
 }
 
-// run lets time pass and delivers what is due.
+// run advances the time and delivers the datagrams that are due.
 func (w *simFleet) run(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += time.Millisecond {
 		due := w.inFlight
--- a/internal/packetface/steer/property_test.go
+++ b/internal/packetface/steer/property_test.go
@@ -11,8 +11,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// The property: whatever is lost, doubled or late, and whoever restarts, no
-// flow that its upstream holds is reset by a balancer or an agent.
+// The property: whatever is lost, duplicated or delayed, and whichever processes restart,
+// no flow that its upstream holds is reset by a balancer or an agent.
 
 func (w *simFleet) step() {
 	s := w.agents[w.random.IntN(len(w.agents))]
@@ -42,19 +42,19 @@
 		}
 	case 7:
 		w.startAgent(s)
-		s.sequence = max(s.sequence, 1) // a first heartbeat that was on its way is lost
+		s.sequence = max(s.sequence, 1) // a first heartbeat that was in flight is lost
 	case 8:
 		w.replaceUpstream(s, rapid.Bool().Draw(w.t, "late"))
 	case 9:
 		w.heartbeat(s)
-	case 10: // an entry lapses for a balancer that runs, and comes back
+	case 10: // the list of a balancer lacks an agent, as if its entry had expired
 		if b := w.anyBalancer(); !b.refused && !w.cut(b, s) {
 			w.sendList(b, s)
 		}
-	case 11: // the store turns a balancer away, or serves it again
+	case 11: // the store starts or stops refusing a balancer
 		b := w.anyBalancer()
 		if !b.refused && w.now < w.cutEnd {
-			break // the one that tells it of newer lists may be cut off
+			break // the agent that would report newer lists to it may be cut off
 		}
 		b.refused = !b.refused
 		if !b.refused {
@@ -79,23 +79,23 @@
 }
 
 func TestNoHeldFlowIsReset(t *testing.T) {
-	const mostLoss, never = 0.4, 0
-	rapid.Check(t, func(t *rapid.T) { runRandomSteps(t, newSimFleet(t, mostLoss, never)) })
+	const maxLoss, never = 0.4, 0
+	rapid.Check(t, func(t *rapid.T) { runRandomSteps(t, newSimFleet(t, maxLoss, never)) })
 }
 
-// With agents that count as absent once they are silent for long, losses must
-// not make one that lives look so.
+// Agents count as absent after a long silence. Lost datagrams must not make a running
+// agent count as absent.
 func TestNoHeldFlowIsResetWithAbsentAgents(t *testing.T) {
-	const mostLoss = 0.05
-	rapid.Check(t, func(t *rapid.T) { runRandomSteps(t, newSimFleet(t, mostLoss, steer.DefaultAbsentAfter)) })
+	const maxLoss = 0.05
+	rapid.Check(t, func(t *rapid.T) { runRandomSteps(t, newSimFleet(t, maxLoss, steer.DefaultAbsentAfter)) })
 }
 
-// The same where the configuration does not tell for how long upstreams are cold, so that
-// agents estimate it by clocks, some of which are set back or ahead.
+// The configuration does not contain how long upstreams are cold, so it is estimated from
+// the reports of agents, whose hosts' clocks may be set back or ahead.
 func TestNoHeldFlowIsResetWithEstimatedWarmUp(t *testing.T) {
-	const mostLoss = 0.1
+	const maxLoss = 0.1
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimFleetOf(t, rapid.IntRange(5, 7).Draw(t, "agents"), 2, mostLoss, steer.DefaultAbsentAfter)
+		w := newSimFleetOf(t, rapid.IntRange(5, 7).Draw(t, "agents"), 2, maxLoss, steer.DefaultAbsentAfter)
 		for _, b := range w.balancers {
 			w.warmup = 0
 			w.startBalancer(b)
@@ -104,8 +104,9 @@
 	})
 }
 
-// Agents whose upstreams began a moment before them know all flows once others have told
-// for how long upstreams are cold, though nobody has seen one start.
+// The upstreams start shortly before their agents, and nobody has observed a start of
+// one. The agents know all flows of their upstreams once the estimate of how long
+// upstreams are cold has reached them.
 func TestAgentsKnowAllFlowsSoonAfterPowerLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimFleetOf(t, 8, 2, 0, steer.DefaultAbsentAfter)
@@ -114,7 +115,7 @@
 			w.startBalancer(b)
 		}
 		w.run(time.Second)
-		for _, s := range w.agents { // each reports once before its agent is there
+		for _, s := range w.agents { // each upstream reports once before its agent has started
 			w.replaceUpstream(s, true)
 			s.sequence = 1
 		}
@@ -133,25 +134,25 @@
 		w.run(200 * time.Millisecond)
 		for _, s := range w.agents {
 			if !s.gate.Status(w.now).Whole {
-				t.Fatalf("%s can't tell\n%s", s.addr, w.flowLog(platform.Flow{}))
+				t.Fatalf("agent %s does not know all flows of its upstream\n%s", s.addr, w.flowLog(platform.Flow{}))
 			}
 		}
 	})
 }
 
-// The same for a fleet of the size of today's largest: what is bounded, batched and
-// put off there must not make a search more certain than it is.
+// The same property in a fleet of the size of today's largest: searches that are bounded,
+// batched and deferred there must not reset a flow without proof.
 func TestNoHeldFlowIsResetInLargeFleet(t *testing.T) {
-	const agents, balancers, mostLoss, steps = 150, 60, 0.1, 8
+	const agents, balancers, maxLoss, steps = 150, 60, 0.1, 8
 	if testing.Short() {
-		t.Skip("a minute of processor time")
+		t.Skip("takes a minute of processor time")
 	}
 	checks := 0
 	rapid.Check(t, func(t *rapid.T) {
 		if checks++; checks > maxLargeChecks {
-			return // one takes as long as some hundred of a small fleet
+			return // one check takes as long as some hundred of a small fleet
 		}
-		w := newSimFleetOf(t, agents, balancers, mostLoss, steer.DefaultAbsentAfter)
+		w := newSimFleetOf(t, agents, balancers, maxLoss, steer.DefaultAbsentAfter)
 		w.run(50 * time.Millisecond)
 		for range steps {
 			w.openFlows(40)
@@ -160,12 +161,12 @@
 	})
 }
 
-// maxLargeChecks is the number of histories of a large fleet in one run.
+// maxLargeChecks is the number of checks with a large fleet in one run.
 const maxLargeChecks = 1
 
-// openFlows lets callers open flows and send on those that are open.
-func (w *simFleet) openFlows(flows int) {
-	for range flows {
+// openFlows opens flows and sends a packet on each flow that was answered.
+func (w *simFleet) openFlows(count int) {
+	for range count {
 		id := platform.Flow{Caller: [4]byte{100, 64, 0, 1}, CallerPort: w.nextPort, Face: [4]byte{198, 18, 0, 1}, FacePort: 443}
 		w.nextPort++
 		w.flows, w.began[id] = append(w.flows, id), w.now
--- a/internal/packetface/steer/return_test.go
+++ b/internal/packetface/steer/return_test.go
@@ -14,20 +14,22 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// The store comes back from a copy: positions of a later era, without some entries.
+// Tests of a store that is restored from a copy: its positions are of a later era, and
+// some entries are missing.
 
 const (
-	// maxNoticeTime is the time within which a balancer that the store serves notices it,
-	// verifyWithin that within which agents look for their entries once they have heard.
+	// maxNoticeTime is the time within which a balancer that the store serves detects the
+	// restore, maxVerifyTime the time within which agents check their entries once they
+	// have learned of it.
 	maxNoticeTime = 1500 * time.Millisecond
 	maxVerifyTime = 2 * time.Second
-	// callTime is what a look for an entry takes.
+	// callTime is how long a check of an entry takes.
 	callTime = 20 * time.Millisecond
-	// settleWithin is the time after which a balancer notes a return as settled.
+	// settleWithin is the time after which a balancer takes the restore as settled.
 	settleWithin = 8 * time.Second
 )
 
-// restoreStore lets the store return from a copy that lacks some entries.
+// restoreStore restores the store from a copy that lacks some entries.
 func (w *simFleet) restoreStore() {
 	before := w.revision
 	w.revision = store.At(before.Era()+1, max(1, before.Revision()-w.random.Uint64N(before.Revision())))
@@ -40,18 +42,20 @@
 		}
 	}
 	w.settleAt = w.now + settleWithin
-	w.logEvent("the store came back at %s, %s before", w.revision, before)
+	w.logEvent("the store was restored at position %s, its position before was %s", w.revision, before)
 }
 
-// readRestoredStore lets a balancer read a store that came back, once it notices.
+// readRestoredStore gives a balancer the list of a restored store once the balancer has
+// detected the restore.
 func (w *simFleet) readRestoredStore(b *balancer) {
 	if b.readsAt != 0 && w.now >= b.readsAt && !b.refused {
 		w.sendList(b, nil)
 	}
 }
 
-// verifyEntry lets an agent look for its entry after the store came back: some time after it
-// has heard of it, soon when a balancer misses the entry or none calls.
+// verifyEntry checks an agent's entry after a restore of the store: within maxVerifyTime
+// after the agent has learned of the restore, or after callTime if a balancer reports the
+// entry as missing or no balancer sends anything.
 func (w *simFleet) verifyEntry(s *simAgent) {
 	if w.revision.Era() == 0 {
 		return
@@ -76,12 +80,12 @@
 	w.fromAgent(s, s.gate.SetSeen(w.now, w.revision))
 }
 
-// The same property, also while the store comes back from copies, twice in a row, and
-// right after a loss of power.
+// The same property while the store is restored from copies, also twice in a row and
+// right after a power loss.
 func TestNoHeldFlowIsResetWhenStoreIsRestored(t *testing.T) {
-	const mostLoss, never = 0.2, 0
+	const maxLoss, never = 0.2, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimFleet(t, mostLoss, never)
+		w := newSimFleet(t, maxLoss, never)
 		w.run(50 * time.Millisecond)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			if rapid.IntRange(0, 5).Draw(t, "return") == 0 {
@@ -92,8 +96,8 @@
 	})
 }
 
-// A list of another era may lack an agent that only others knew of before. Its flows are
-// not taken for dead before it had its time to be listed again.
+// A list of a new era may lack an agent that was listed in the era before. Its flows must
+// not be reset before the agent has had time to be listed again.
 func TestListOfNewEraPreventsResetsAtFirst(t *testing.T) {
 	const askedEvery, wait = 100 * time.Millisecond, 4 * time.Second
 	b := newBench(t, agentAt(101, "a"))
@@ -111,12 +115,12 @@
 		b.Expect(b.resets()).To(Equal(0), "%s after it", b.now-began)
 		b.now += askedEvery
 	}
-	b.Expect(resets()).To(BeNumerically(">", 0), "those that wait")
+	b.Expect(resets()).To(BeNumerically(">", 0), "searches that have waited end with a reset")
 }
 
-// A flow that nobody holds is reset soon after a return, too.
+// A flow that no upstream holds is reset soon after a restore of the store, too.
 func TestDeadFlowsAreResetAfterStoreIsRestored(t *testing.T) {
-	const within = 6 * time.Second // 4 s, and 1.5 s until the last balancer notices
+	const within = 6 * time.Second // relistSettleTime of 4 s, and 1.5 s until the last balancer detects the restore
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimFleetOf(t, 3, 2, 0, steer.DefaultAbsentAfter)
 		w.run(500 * time.Millisecond)
@@ -135,34 +139,35 @@
 		}
 		for _, id := range w.flows {
 			if _, ok := w.accepted[id]; ok {
-				t.Fatalf("%s is not reset\n%s", id, w.flowLog(id))
+				t.Fatalf("dead flow %s was not reset\n%s", id, w.flowLog(id))
 			}
 		}
 	})
 }
 
-// A balancer that had only just started heard of the configuration in force once, by the
-// first status of an agent, 2 ms after its start: "Ready." version=1 after_ms=2. What is
-// told within 200 ms of the last time is left out, and 0 counted as the last time. Nobody
-// sent anything more, and it still had version 1 of the copy 25 s later.
+// A balancer that had just started received the newer configuration version once, in the
+// first status of an agent 2 ms after its start: "Ready." version=1 after_ms=2. No note
+// is added within 200 ms of the last one, and the initial 0 counted as the time of the
+// last one. No agent reported the version again, and the balancer still had version 1 of
+// the copy 25 s later.
 func TestNewerVersionReportedAtStartIsNotedUntilApplied(t *testing.T) {
 	b := newBench(t)
 	b.now = 2 * time.Millisecond
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(1))
-	told := inner.Status{State: inner.StateReady, Known: inner.Known{Version: 2}, Source: [4]byte{10, 0, 0, 9}}
-	b.status(101, told)
+	status := inner.Status{State: inner.StateReady, Known: inner.Known{Version: 2}, Source: [4]byte{10, 0, 0, 9}}
+	b.status(101, status)
 	b.Expect(b.notes(steer.KindNewer)).To(HaveLen(1))
-	again := 0
+	repeated := 0
 	tick := func(d time.Duration) {
 		for end := b.now + d; b.now < end; b.now += 50 * time.Millisecond {
 			b.last = b.core.Tick(b.now)
-			again += len(b.notes(steer.KindNewer))
+			repeated += len(b.notes(steer.KindNewer))
 		}
 	}
 	tick(5 * time.Second)
-	b.Expect(again).To(Equal(3))
+	b.Expect(repeated).To(Equal(3))
 	b.core.SetTable(b.now, routing.NewTable(platform.Configuration{Version: 2}), time.Minute)
-	again = 0
+	repeated = 0
 	tick(5 * time.Second)
-	b.Expect(again).To(Equal(0))
+	b.Expect(repeated).To(Equal(0))
 }
--- a/internal/packetface/steer/world_test.go
+++ b/internal/packetface/steer/world_test.go
@@ -27,81 +27,84 @@
 
 var face = netip.MustParseAddrPort("198.18.0.1:443")
 
-// simAgent is an agent with its upstream.
+// simAgent is a simulated agent with its upstream.
 type simAgent struct {
 	addr netip.AddrPort
 	gate *gate.Gate
-	// lives are all lives of the upstream, the last is that of now.
+	// lives are all instances of the upstream; the last is the present one.
 	lives       []platform.Life
 	life        int
 	sequence    uint64
 	incarnation uint64
 	dataCentre  string
-	// started is when the process last began, born when the upstream did, acknowledged when any
-	// process last acknowledged a heartbeat of this life, 0 for not yet.
+	// started is when the agent process last started, born when the upstream did,
+	// acknowledged when any agent process last acknowledged a heartbeat of this instance,
+	// 0 for not yet.
 	started, born, acknowledged time.Duration
-	// listedAt is when the process, started anew, is listed; 0 when that is past.
+	// listedAt is when the restarted agent process will be listed, 0 once it has been.
 	listedAt time.Duration
-	// entryLost tells that the store came back without the entry, era is the store's as the
-	// process knows it, verify when it looks for its entry, 0 for not.
+	// entryLost is set if the restored store lacks the entry. era is the store's era as
+	// the agent knows it, verifyAt is when the agent checks its entry, 0 for no check.
 	entryLost bool
 	era       uint64
 	verifyAt  time.Duration
-	// clockOffset is by how much the host's clock was set ahead since the upstream began.
+	// clockOffset is by how much the host's clock was set ahead since the upstream
+	// started.
 	clockOffset time.Duration
-	// held are the flows that the upstream holds: true once they are open.
+	// held are the flows that the upstream holds; the value is true once a flow is open.
 	held map[platform.Flow]bool
 }
 
-// answer returns the count of the upstream's answer to an opening packet.
+// answer returns the sequence number of the upstream's answer to an opening packet.
 func (s *simAgent) answer() uint32 {
 	return uint32(s.addr.Addr().As4()[3])*1_000_000 + uint32(s.life)*1000
 }
 
-// balancer is a balancer at its address.
+// balancer is a simulated balancer.
 type balancer struct {
 	addr netip.AddrPort
 	core *steer.Core
-	// refused tells that the store turns the balancer away.
+	// refused is set while the store refuses to serve the balancer.
 	refused bool
-	// readsAt is when it notices that the store came back, 0 once it has.
+	// readsAt is when the balancer detects that the store was restored, 0 once it has.
 	readsAt time.Duration
-	// evacuations is what it was last evacuations of evacuations.
+	// evacuations is the last record of evacuations that it received.
 	evacuations evacuation.Record
 }
 
-// simFleet is a small fleet with a network that loses, doubles and delays.
+// simFleet is a small fleet with a network that loses, duplicates and delays datagrams.
 type simFleet struct {
 	t         *rapid.T
 	random    *rand.Rand
 	now       time.Duration
 	balancers []*balancer
 	agents    []*simAgent
-	// balancerByAddr and siteAt are the same by their addresses.
+	// balancerByAddr and agentByAddr have the balancers and agents by their addresses.
 	balancerByAddr map[netip.AddrPort]*balancer
 	agentByAddr    map[netip.AddrPort]*simAgent
 	inFlight       []datagram
 	flows          []platform.Flow
 	nextPort       uint16
 	eventLog       []string
-	// accepted holds what callers acknowledge: the answer that they go on with.
+	// accepted holds what callers acknowledge on each flow: the answer that they
+	// accepted.
 	accepted map[platform.Flow]uint32
 	// began is when callers sent their first opening packet.
 	began map[platform.Flow]time.Duration
 	loss  float64
-	// cuts are the ways on which nothing arrives, until when; one at a time, and
-	// cutEnd is when the last ends.
+	// cuts are the links on which nothing arrives, with the end of each cut; there is one
+	// cut at a time, and cutEnd is when the last one ends.
 	cuts   map[link]time.Duration
 	cutEnd time.Duration
 	// absentAfter is the setting of all balancers.
 	absentAfter time.Duration
-	// warmup is the time for which upstreams are cold as the configuration tells it.
+	// warmup is how long upstreams are cold according to the configuration.
 	warmup   time.Duration
 	revision store.Position
-	// settleAt is when a return of the store is noted as settled, 0 for none.
+	// settleAt is when the restore of the store is taken as settled, 0 for none.
 	settleAt time.Duration
-	// opened, if any, is called with each opening packet that an upstream gets, and
-	// whether it holds the flow already.
+	// opened, if not nil, is called for each opening packet that an upstream receives;
+	// held is whether the upstream holds the flow already.
 	opened func(s *simAgent, held bool)
 }
 
@@ -111,24 +114,24 @@
 
 func table() *routing.Table { return tableOf(warmup) }
 
-// tableOf returns a configuration that tells for how long upstreams are cold, 0 for not.
+// tableOf returns a configuration with the time for which upstreams are cold, 0 for none.
 func tableOf(warmup time.Duration) *routing.Table {
 	return routing.NewTable(platform.Configuration{Version: 1, Routes: []platform.Route{
 		{Name: "r", Face: face, Shares: []platform.Share{{Service: service, Weight: 1}}, Repeatable: true},
 	}, Services: []platform.Service{{Name: service, Warmup: warmup}}})
 }
 
-func newSimFleet(t *rapid.T, mostLoss float64, absentAfter time.Duration) *simFleet {
+func newSimFleet(t *rapid.T, maxLoss float64, absentAfter time.Duration) *simFleet {
 	agents := rapid.IntRange(1, 4).Draw(t, "agents")
-	return newSimFleetOf(t, agents, rapid.IntRange(1, 3).Draw(t, "balancers"), mostLoss, absentAfter)
+	return newSimFleetOf(t, agents, rapid.IntRange(1, 3).Draw(t, "balancers"), maxLoss, absentAfter)
 }
 
-// newSimFleetOf returns a world of a size.
-func newSimFleetOf(t *rapid.T, agents, balancers int, mostLoss float64, absentAfter time.Duration) *simFleet {
+// newSimFleetOf returns a fleet of the given size.
+func newSimFleetOf(t *rapid.T, agents, balancers int, maxLoss float64, absentAfter time.Duration) *simFleet {
 	w := &simFleet{
 		t: t, now: time.Millisecond, absentAfter: absentAfter, revision: 1, accepted: map[platform.Flow]uint32{}, began: map[platform.Flow]time.Duration{}, cuts: map[link]time.Duration{}, balancerByAddr: map[netip.AddrPort]*balancer{}, agentByAddr: map[netip.AddrPort]*simAgent{},
 		random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
-		loss:   rapid.Float64Range(0, mostLoss).Draw(t, "loss"),
+		loss:   rapid.Float64Range(0, maxLoss).Draw(t, "loss"),
 	}
 	if rapid.Bool().Draw(t, "tells warm-up") {
 		w.warmup = warmup
@@ -152,8 +155,8 @@
 	w.registerAgent(s)
 }
 
-// registerAgent writes a site's entry; balancers that the store serves are told. A process
-// that began anew finds the entry of the one before and only reads it.
+// registerAgent writes an agent's entry. A restarted agent process finds the entry of the
+// previous one and only reads it.
 func (w *simFleet) registerAgent(s *simAgent) {
 	s.listedAt = 0
 	if s.incarnation > 1 && !s.entryLost {
@@ -163,7 +166,8 @@
 	w.writeEntry(s)
 }
 
-// writeEntry writes a site's entry; balancers that follow the store are told.
+// writeEntry writes an agent's entry and sends the list to the balancers that follow the
+// store.
 func (w *simFleet) writeEntry(s *simAgent) {
 	s.entryLost = false
 	w.revision++
@@ -184,7 +188,7 @@
 	w.sendList(b, nil)
 }
 
-// sendList gives a balancer the sendList of agents without one.
+// sendList gives a balancer the list of agents, without one of them if that is not nil.
 func (w *simFleet) sendList(b *balancer, without *simAgent) {
 	b.readsAt = 0
 	var agents []steer.Agent
@@ -198,9 +202,9 @@
 	w.fromBalancer(b.addr, b.core.SetAgents(w.now, agents, age))
 }
 
-// warmup is how long an upstream is cold; retryTime is the time after which it reports
-// again while it is not heard.
 const (
+	// warmup is how long an upstream is cold; retryTime is the time after which it
+	// repeats a report that was not acknowledged.
 	warmup    = 2 * time.Second
 	retryTime = 50 * time.Millisecond
 )
@@ -223,7 +227,7 @@
 		w.logEvent("agent %s %s %s balancer %s %s", s.addr, n.Kind, n.Flow, n.Peer, n.Reason)
 	}
 	actions := append([]gate.Action(nil), r.Actions...)
-	for i := range actions { // the upstream's reply comes before all are done
+	for i := range actions { // the upstream replies before all actions are processed
 		actions[i].Bytes = append([]byte(nil), actions[i].Bytes...)
 	}
 	for _, a := range actions {
@@ -239,11 +243,11 @@
 	}
 }
 
-// openingLimit is the time within which a caller goes on from an opening, or gives
-// it up; the platform's callers give up after 1.4 s.
+// openingLimit is the time within which a caller sends a packet after the opening, or
+// gives up; the platform's callers give up after 1.4 s.
 const openingLimit = 4 * time.Second
 
-// openingExpired forgets a flow that was not opened in time; it reports whether it did.
+// openingExpired removes a flow that was not opened in time; it reports whether it did.
 func (w *simFleet) openingExpired(id platform.Flow) bool {
 	for _, s := range w.agents {
 		if s.held[id] {
@@ -257,12 +261,12 @@
 	return true
 }
 
-// toCaller takes what an agent sends a caller, who goes on with the first answer
-// to its opening packets.
+// toCaller receives what an agent sends a caller, who goes on with the first answer to
+// its opening packets.
 func (w *simFleet) toCaller(s *simAgent, b []byte) {
 	p, err := platform.ParsePacket(b)
 	if err != nil {
-		w.t.Fatalf("caller got %x: %v", b, err)
+		w.t.Fatalf("caller received malformed packet %x: %v", b, err)
 	}
 	if p.Flags == platform.FlagRST {
 		w.checkReset(b, "agent "+s.addr.String())
@@ -273,12 +277,12 @@
 	}
 }
 
-// upstream is the upstream's side: it holds what was opened there, bounces the
-// rest, and answers data.
+// upstream handles a packet as the upstream does: it holds the flows opened there,
+// answers their data, and bounces other packets.
 func (w *simFleet) upstream(s *simAgent, b []byte) {
 	p, err := platform.ParsePacket(b)
 	if err != nil {
-		w.t.Fatalf("upstream got %x: %v", b, err)
+		w.t.Fatalf("upstream received malformed packet %x: %v", b, err)
 	}
 	id := p.FromCaller()
 	open, held := s.held[id]
@@ -308,7 +312,7 @@
 func (w *simFleet) reply(s *simAgent, b []byte) {
 	r, err := s.gate.FromUpstream(w.now, b)
 	if err != nil {
-		w.t.Fatalf("agent refused a packet of its upstream: %v", err)
+		w.t.Fatalf("agent rejected a packet from its upstream: %v", err)
 	}
 	w.fromAgent(s, r)
 }
@@ -317,7 +321,7 @@
 func (w *simFleet) checkReset(b []byte, by string) {
 	p, err := platform.ParsePacket(b)
 	if err != nil {
-		w.t.Fatalf("%s sent a caller %x: %v", by, b, err)
+		w.t.Fatalf("%s sent a caller malformed packet %x: %v", by, b, err)
 	}
 	id := p.FromUpstream()
 	const window = 76_800 // a reset further from the caller's count is ignored
@@ -326,24 +330,24 @@
 			w.t.Fatalf("at %s %s reset %s, which is open at %s\n%s", w.now, by, id, s.addr, w.flowLog(id))
 		}
 	}
-	// A caller goes on with another flow.
+	// The caller continues with another flow.
 	w.flows = slices.DeleteFunc(w.flows, func(f platform.Flow) bool { return f == id })
 }
 
-// logEvent keeps what happened, for the report of a failure.
+// logEvent records an event, for the report of a failure.
 func (w *simFleet) logEvent(format string, args ...any) {
 	w.eventLog = append(w.eventLog, fmt.Sprintf("%s ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// flowLog returns what happened to a flow, and to no flow.
+// flowLog returns the last recorded events of a flow, and those that concern no flow.
 func (w *simFleet) flowLog(id platform.Flow) string {
-	kept := slices.DeleteFunc(slices.Clone(w.eventLog), func(line string) bool {
+	lines := slices.DeleteFunc(slices.Clone(w.eventLog), func(line string) bool {
 		return strings.Contains(line, ">198.18") && !strings.Contains(line, id.String())
 	})
-	return strings.Join(kept[max(0, len(kept)-60):], "\n")
+	return strings.Join(lines[max(0, len(lines)-60):], "\n")
 }
 
-// registerDue lets a process be listed in its time.
+// registerDue registers a restarted agent process when its time has come.
 func (w *simFleet) registerDue(s *simAgent) {
 	if s.listedAt != 0 && w.now >= s.listedAt {
 		w.registerAgent(s)
@@ -351,7 +355,7 @@
 	w.verifyEntry(s)
 }
 
-// callerSends sends a packet of a flow through any balancer.
+// callerSends sends a packet of a flow through a random balancer.
 func (w *simFleet) callerSends(id platform.Flow, flags platform.Flags, ack uint32, size int) {
 	b := w.anyBalancer()
 	r, err := b.core.FromCaller(w.now, packet(id, 1, ack, flags, size))
