--- a/internal/packetface/steer/agents_test.go
+++ b/internal/packetface/steer/agents_test.go
@@ -13,16 +13,16 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Tests of what a balancer believes of agents: lists, their age, and silence.
+// Tests of the balancer's state of agents: lists of agents, their age, and silent agents.
 
-// An agent that speaks of its own accord has not heard of the newer list by that:
-// it is polled until it says so.
+// A status that an agent sends unsolicited does not show that it knows of the newer list:
+// the agent is polled until it reports the list.
 func TestSiblingsArePolledUntilTheyReportNewList(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a"), agentAt(102, "a")}, listAge(2))
 	b.Expect(b.sent(inner.KindPoll)).To(ContainElement(address(101, 1)))
-	b.status(101, inner.Status{Known: inner.Known{Listing: 1}}) // the poll was lost
+	b.status(101, inner.Status{Known: inner.Known{Listing: 1}}) // the poll was lost, so it has the old list
 	b.now += 150 * time.Millisecond
 	b.last = b.core.Tick(b.now)
 	b.Expect(b.sent(inner.KindPoll)).To(ContainElement(address(101, 1)))
@@ -32,8 +32,8 @@
 	b.Expect(b.sent(inner.KindPoll)).NotTo(ContainElement(address(101, 1)))
 }
 
-// An agent that probed for a balancer with an outdated list tells so with the
-// packet that it gives back: the flow may live at an agent that the list lacks.
+// An agent that returns a probe to a balancer with an outdated list reports the newer
+// list with it. The flow may be held by an agent that the balancer's list lacks.
 func TestReturnedProbeReportingNewerListPreventsReset(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
@@ -46,8 +46,8 @@
 	b.Expect(b.notes(steer.KindNewer)).To(HaveLen(1))
 }
 
-// What a paused balancer has not read says nothing about an agent: right after
-// the pause its flows are not passed on.
+// Right after a pause of the balancer's process the datagrams that arrived meanwhile have
+// not been read, so an agent's silence proves nothing and its flows stay with it.
 func TestPausedBalancerDoesNotSuspectAgents(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"), agentAt(104, "a"))
 	for n := 101; n <= 104; n++ {
@@ -60,14 +60,14 @@
 	b.callerSends(caller(1), platform.FlagACK, 30) // asks for a status
 	b.now += 150 * time.Millisecond
 	b.callerSends(caller(1), platform.FlagACK, 30) // asks again
-	b.now += 3 * time.Second                       // frozen
+	b.now += 3 * time.Second                       // the process is paused
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{owner}))
 	b.Expect(b.resets()).To(BeZero())
 }
 
-// The entries of agents may have lapsed when a balancer starts: other balancers
-// know them.
+// The entries of agents may have expired when a balancer starts, so it has to ask other
+// balancers which agents they know before it resets a flow.
 func TestNoResetBeforePeersAreAsked(t *testing.T) {
 	b := newBench(t)
 	b.core = steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2)), AwaitPeers: true})
@@ -81,14 +81,14 @@
 	b.last = b.core.SetPeersAsked(b.now, []steer.Agent{agentAt(102, "a")})
 	b.Expect(b.sent(inner.KindPoll)).To(Equal([]netip.AddrPort{address(102, 1)}))
 	b.status(102, inner.Status{})
-	b.wait(400 * time.Millisecond) // it is asked, too
+	b.wait(400 * time.Millisecond) // in which the new agent is asked, too
 	b.answer(102, caller(1), inner.VerdictHeld, 1)
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{address(102, 1)}))
 	b.Expect(b.core.Known()).To(Equal([]steer.Agent{agentAt(101, "a"), agentAt(102, "a")}))
 }
 
-// An agent that was frozen while its entry lapsed is forgotten; its first word
-// afterwards brings it back, before the store lists it again.
+// An agent that was frozen while its entry expired is removed. Its first status
+// afterwards restores it, before the store lists it again.
 func TestRemovedAgentIsRestoredByItsStatus(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"))
 	b.status(101, inner.Status{})
@@ -108,8 +108,8 @@
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{address(102, 1)}))
 }
 
-// The agent that registered last has left before this balancer read the store:
-// its list is as new as that of those that saw the entry.
+// The agent that registered last has left before this balancer read the store. The list
+// of this balancer is as recent as those that contained the entry.
 func TestListReadAfterRemovalIsNotOutdated(t *testing.T) {
 	b := newBench(t)
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, steer.ListAge{AsOf: 10, Newest: 3})
@@ -134,14 +134,14 @@
 
 func TestBalancerIsBlindIfNoAgentAnswers(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
-	told := inner.Status{Known: inner.Known{Listing: 1}} // by the first polls
-	b.status(101, told)
-	b.status(102, told)
+	status := inner.Status{Known: inner.Known{Listing: 1}} // by the answers to the first polls
+	b.status(101, status)
+	b.status(102, status)
 	b.now += time.Second
-	b.callerSends(caller(1), platform.FlagSYN, 0) // only one of them owes an answer
+	b.callerSends(caller(1), platform.FlagSYN, 0) // the packet requests a status of one of them
 	b.wait(400 * time.Millisecond)
 	b.Expect(b.core.Blind(b.now)).To(BeFalse())
-	b.wait(400 * time.Millisecond) // the other was polled on that
+	b.wait(400 * time.Millisecond) // the other one was polled after the first was suspected
 	b.Expect(b.core.Blind(b.now)).To(BeTrue())
 	b.status(102, inner.Status{})
 	b.Expect(b.core.Blind(b.now)).To(BeFalse())
@@ -192,8 +192,8 @@
 	b.Expect(b.resets()).To(Equal(1))
 }
 
-// One that left says so, and its last words do not bring it back; an upstream that
-// is there again does.
+// An agent that leaves reports its upstream as down. Further statuses of that kind do not
+// restore it; a status that reports its upstream as ready does.
 func TestAgentWithUpstreamDownIsNotRestored(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"))
 	b.status(101, inner.Status{})
@@ -206,13 +206,14 @@
 	b.status(102, inner.Status{State: inner.StateDown})
 	b.Expect(b.core.Counts(b.now).Agents).To(Equal(1))
 
-	// Another life of its upstream has begun, and the store is away: others may
+	// The upstream has restarted while the store is unavailable: other balancers may
 	// place flows there.
 	b.status(102, inner.Status{State: inner.StateReady})
 	b.Expect(b.core.Counts(b.now).Agents).To(Equal(2))
 }
 
-// An agent whose entry another writer has overwritten stays, and is told of it.
+// An agent whose entry another writer has overwritten stays in the list and is polled
+// with FlagUnlisted, so that it writes its entry again.
 func TestAgentWithDamagedEntryIsPolledAsUnlisted(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
--- a/internal/packetface/steer/bench_test.go
+++ b/internal/packetface/steer/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// newCoreWithAgents returns a balancer with seven agents, as one service has.
+// newCoreWithAgents returns a balancer with seven agents of one service.
 func newCoreWithAgents() *steer.Core {
 	c := steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2))})
 	c.SetTable(time.Second, table(), time.Minute)
@@ -55,7 +55,8 @@
 	}
 }
 
-// Sizes of fleets for docs/CAPACITY.md: agents of services with seven each.
+// capacitySizes are the numbers of agents for docs/CAPACITY.md, with seven agents of each
+// service.
 var capacitySizes = []int{700, 2100, 4200, 6300}
 
 func agentsOf(size int) []steer.Agent {
@@ -122,8 +123,8 @@
 	}
 }
 
-// A search that ends with a reset, at a balancer that has followed the
-// configuration for long; bytes are those of the questions and answers.
+// BenchmarkCapacityPacketSearch runs searches that end with a reset, at a balancer with a
+// complete record of former services. bytes/search counts the questions and answers.
 func BenchmarkCapacityPacketSearch(b *testing.B) {
 	for _, size := range capacitySizes {
 		b.Run(fmt.Sprintf("agents=%d", size), func(b *testing.B) {
@@ -143,8 +144,8 @@
 	}
 }
 
-// search plays a search whose agents say that they do not hold the flow; it
-// returns the bytes between the processes.
+// search runs a search in which all agents answer that they do not hold the flow; it
+// returns the bytes sent between the processes.
 func search(c *steer.Core, now time.Duration, id platform.Flow) (bytes int) {
 	r, _ := c.FromCaller(now, packet(id, 1, 77, platform.FlagACK, 30))
 	var asked []steer.Action
--- a/internal/packetface/steer/choices_test.go
+++ b/internal/packetface/steer/choices_test.go
@@ -13,20 +13,23 @@
 	"github.com/saltbend/saltbend/test/simclock"
 )
 
-// The choice of an upstream beside others, in simulated time: four balancers,
-// seven upstreams of five slots, one request a flow, work of 45 ms on average,
-// 1.5 ms between hosts. go test -run xxx -bench Choices ./internal/packetface/steer
+// Compares the choice of upstreams by this package with other algorithms in simulated
+// time: four balancers, seven upstreams of five slots, one request a flow, work of 45 ms
+// on average, 1.5 ms between hosts. go test -run xxx -bench Choices
+// ./internal/packetface/steer
 
+// simBusyHops is how many agents may return an opening packet because all slots are
+// taken.
 var simBusyHops uint8 = 3
 
 const (
 	simBalancers, simAgents, simSlots = 4, 7, 5
-	simWork                           = 45 * time.Millisecond
+	simWorkTime                       = 45 * time.Millisecond
 	simDelay                          = 1500 * time.Microsecond
 	simRequests                       = 20000
 )
 
-// simulation runs requests against upstreams and keeps their waits.
+// simulation runs requests against simulated upstreams and records their waiting times.
 type simulation struct {
 	simclock.Clock
 	random  *rand.Rand
@@ -35,7 +38,8 @@
 	waits   []time.Duration
 }
 
-// arrive lets a request that was sent at the time begin or wait at an upstream.
+// arrive starts a request, sent at the given time, at an upstream, or queues it if all
+// slots are taken.
 func (s *simulation) arrive(n int, sent time.Duration) {
 	if s.running[n] >= simSlots {
 		s.queues[n] = append(s.queues[n], sent)
@@ -43,7 +47,7 @@
 	}
 	s.running[n]++
 	s.waits = append(s.waits, s.Now-sent)
-	s.After(time.Duration(s.random.ExpFloat64()*float64(simWork)), func() {
+	s.After(time.Duration(s.random.ExpFloat64()*float64(simWorkTime)), func() {
 		s.running[n]--
 		if len(s.queues[n]) > 0 {
 			next := s.queues[n][0]
@@ -53,9 +57,10 @@
 	})
 }
 
-// run sends requests at a load and returns the wait that a part stays below.
+// run sends requests at a load, as a fraction of all slots, and sorts their waiting
+// times.
 func (s *simulation) run(load float64, send func()) {
-	every := float64(simWork) / (simAgents * simSlots * load)
+	interval := float64(simWorkTime) / (simAgents * simSlots * load)
 	sent := 0
 	var next func()
 	next = func() {
@@ -63,7 +68,7 @@
 			return
 		}
 		send()
-		s.After(time.Duration(s.random.ExpFloat64()*every), next)
+		s.After(time.Duration(s.random.ExpFloat64()*interval), next)
 	}
 	s.After(0, next)
 	s.Run()
@@ -72,8 +77,9 @@
 
 func (s *simulation) load(n int) int { return s.running[n] + len(s.queues[n]) }
 
-// throughBalancers sends requests through throughBalancers balancers, whose agents give an opening
-// packet back once while all slots are taken, and answer with their status.
+// throughBalancers sends requests through the Cores of balancers. Simulated agents return
+// an opening packet while all slots are taken, unless it has been returned simBusyHops
+// times, and answer with their status.
 func (s *simulation) throughBalancers() func() {
 	var cores [simBalancers]*steer.Core
 	var agents []steer.Agent
@@ -109,7 +115,7 @@
 	}
 }
 
-// open is an agent that gets an opening packet.
+// open handles an opening packet as the agent that receives it.
 func (s *simulation) open(c *steer.Core, to netip.AddrPort, b []byte, began time.Duration, deliver func(*steer.Core, *steer.Result, time.Duration)) {
 	n := int(to.Addr().As4()[3])
 	head, packet, _ := inner.ParseOpen(b)
@@ -131,7 +137,7 @@
 
 func BenchmarkChoices(b *testing.B) {
 	choices := map[string]func(s *simulation) func(){
-		"hash": func(s *simulation) func() { // of a flow: as good as random
+		"hash": func(s *simulation) func() { // the hash of a flow is as good as a random number
 			return func() { n, sent := s.random.IntN(simAgents), s.Now; s.After(simDelay, func() { s.arrive(n, sent) }) }
 		},
 		"two-exact": func(s *simulation) func() { // the less loaded of two, known exactly
--- a/internal/packetface/steer/former_test.go
+++ b/internal/packetface/steer/former_test.go
@@ -14,15 +14,15 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// tableRoutedTo returns a table whose face leads to a service.
+// tableRoutedTo returns a table with a face that is routed to one service.
 func tableRoutedTo(version uint64, to string) *routing.Table {
 	return routing.NewTable(platform.Configuration{Version: version, Routes: []platform.Route{
 		{Name: "r", Face: face, Shares: []platform.Share{{Service: to, Weight: 1}}, Repeatable: true},
 	}})
 }
 
-// newBenchOfAge returns a balancer with an agent of each of three services, which
-// has followed the configuration for so long.
+// newBenchOfAge returns a balancer with one agent of each of three services that has
+// followed the configuration for the given time.
 func newBenchOfAge(t *testing.T, age time.Duration) *bench {
 	b := newBench(t)
 	b.core = steer.New(steer.Settings{
@@ -36,8 +36,8 @@
 	return b
 }
 
-// searchUnheld returns the agents that are asked for an unknown flow, each of which
-// says that it does not hold it.
+// searchUnheld sends a packet of an unknown flow and returns the agents that are asked
+// for it, each of which answers that it does not hold the flow.
 func (b *bench) searchUnheld(id platform.Flow) (asked []netip.AddrPort) {
 	b.callerSends(id, platform.FlagACK, 30)
 	for range 20 {
@@ -54,12 +54,13 @@
 	return asked
 }
 
-// What was forgotten after a shorter life of flows may hold flows of a longer one.
+// A former service that was removed under a shorter maximum lifetime may still hold flows
+// under a longer one.
 func TestLongerFlowMaxAgeRestartsRecordOfFormerServices(t *testing.T) {
 	b := newBenchOfAge(t, 20*time.Minute)
 	b.core.SetTable(b.now, tableRoutedTo(2, service), time.Minute)
 	b.now += 4 * time.Minute
-	b.last = b.core.Tick(b.now) // the former service is forgotten
+	b.last = b.core.Tick(b.now) // removes the former service from the record
 	b.core.SetFlowMaxAge(5 * time.Minute)
 	b.Expect(b.searchUnheld(caller(1))).To(ContainElement(address(102, 1)))
 }
@@ -71,8 +72,8 @@
 	b.Expect(b.resets()).To(Equal(1))
 }
 
-// What a search costs does not grow with the fleet: once the balancer knows to
-// which services a face has led, it asks only their agents.
+// The cost of a search does not grow with the fleet: once the balancer knows all services
+// that a face has been routed to, it asks only their agents.
 func TestBalancerWithCompleteRecordAsksServicesOfFace(t *testing.T) {
 	b := newBenchOfAge(t, 4*time.Minute)
 	b.core.SetTable(b.now, tableRoutedTo(2, service), time.Minute)
@@ -80,20 +81,20 @@
 	b.Expect(b.searchUnheld(caller(1))).To(Equal([]netip.AddrPort{address(101, 1), address(102, 1)}))
 	b.Expect(b.resets()).To(Equal(1))
 
-	b.now += 4 * time.Minute // no flow of the former service lives any more
+	b.now += 4 * time.Minute // no flow of the former service can be left
 	b.last = b.core.Tick(b.now)
 	b.Expect(b.searchUnheld(caller(2))).To(Equal([]netip.AddrPort{address(101, 1)}))
 	b.Expect(b.resets()).To(Equal(1))
 }
 
-// The flows of a dropped route live at the services that it had.
+// The flows of a removed route are held by the services that it had.
 func TestFlowOfRemovedRouteIsSearchedAtFormerServices(t *testing.T) {
 	b := newBenchOfAge(t, 4*time.Minute)
 	b.core.SetTable(b.now, routing.NewTable(platform.Configuration{Version: 2}), time.Minute)
 	b.Expect(b.searchUnheld(caller(1))).To(Equal([]netip.AddrPort{address(102, 1)}))
 }
 
-// Many agents of other services neither hold up a reset nor are asked.
+// Many agents of other services neither delay a reset nor are asked.
 func TestResetInLargeFleetAsksOnlyServicesOfFace(t *testing.T) {
 	g := NewWithT(t)
 	b := newBenchOfAge(t, 0)
--- a/internal/packetface/steer/homes_test.go
+++ b/internal/packetface/steer/homes_test.go
@@ -13,8 +13,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// newHomeBench returns a bench whose route is at home in a region; data centre a is in
-// region r1, b and c are in r2.
+// newHomeBench returns a bench whose route is restricted to a home region; data centre a
+// is in region r1, b and c are in r2.
 func newHomeBench(t *testing.T, home string, agents ...steer.Agent) *bench {
 	b := &bench{WithT: NewWithT(t), now: time.Second}
 	b.core = steer.New(steer.Settings{
@@ -42,7 +42,7 @@
 	}
 	head, _, err := inner.ParseOpen(b.last.Actions[0].Bytes)
 	b.Expect(err).NotTo(HaveOccurred())
-	b.Expect(head.Cold.Rate).To(BeEquivalentTo(7), "the agent counts what its upstream bears")
+	b.Expect(head.Cold.Rate).To(BeEquivalentTo(7), "the agent needs the cold rate to limit what its upstream gets")
 	b.evacuate(5, "b", "c")
 	b.callerSends(caller(30), platform.FlagSYN, 0)
 	b.Expect(b.sent(inner.KindOpen)).To(BeEmpty())
@@ -56,7 +56,7 @@
 	b.Expect(b.notes(steer.KindReset)[0].Reason).To(Equal("no-upstream-at-home"))
 }
 
-// What upstreams of a service have shown counts where the configuration does not tell.
+// The warm-up observed at upstreams of a service is used if the configuration has none.
 func TestPollsContainObservedWarmUpOfService(t *testing.T) {
 	b := newBenchWithout(t, nil)
 	b.core.SetTable(b.now, tableRoutedTo(2, service), time.Minute)
--- a/internal/packetface/steer/owner_test.go
+++ b/internal/packetface/steer/owner_test.go
@@ -12,12 +12,12 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Tests of how the owner of a flow is found, and of resets where there is none.
+// Tests of searches for the owner of a flow, and of resets if there is none.
 
 func TestOwnerOfUnknownFlowIsSearched(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.Expect(b.sent(inner.KindAsk)).To(Equal([]netip.AddrPort{address(101, 1)})) // the likely one first
+	b.Expect(b.sent(inner.KindAsk)).To(Equal([]netip.AddrPort{address(101, 1)})) // the agent in the same data centre first
 	b.now += 5 * time.Millisecond
 	b.answer(101, caller(1), inner.VerdictNone, 1)
 	b.Expect(b.sent(inner.KindAsk)).To(Equal([]netip.AddrPort{address(102, 1)}))
@@ -59,11 +59,11 @@
 		age     time.Duration
 		want    int
 	}{
-		{"all say no", inner.VerdictNone, 1, time.Second, 1},
-		{"the balancer has only just started", inner.VerdictNone, 1, 0, 0},
-		{"an agent knows of a newer list", inner.VerdictNone, 2, time.Second, 0},
-		{"an agent has only just started", inner.VerdictUnsure, 1, time.Second, 0},
-		{"an agent can't tell", inner.VerdictMaybe, 1, time.Second, 0},
+		{"the agent answers that it does not hold the flow", inner.VerdictNone, 1, time.Second, 1},
+		{"the balancer started just now", inner.VerdictNone, 1, 0, 0},
+		{"the agent knows of a newer list", inner.VerdictNone, 2, time.Second, 0},
+		{"the agent started just now", inner.VerdictUnsure, 1, time.Second, 0},
+		{"the agent cannot tell", inner.VerdictMaybe, 1, time.Second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,12 +73,12 @@
 			b.callerSends(caller(1), platform.FlagACK, 30)
 			b.answer(101, caller(1), c.verdict, c.listing)
 			b.Expect(b.resets()).To(Equal(c.want))
-			if c.want == 1 { // its sequence is what the caller acknowledged last
+			if c.want == 1 { // its sequence number is the caller's last acknowledgement number
 				p, err := platform.ParsePacket(b.last.Actions[0].Bytes)
 				b.Expect(err).NotTo(HaveOccurred())
 				b.Expect(p.Sequence).To(BeEquivalentTo(77))
 				b.callerSends(caller(1), platform.FlagACK, 30)
-				b.Expect(b.resets()).To(Equal(1)) // without asking again
+				b.Expect(b.resets()).To(Equal(1)) // without another search
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 	}
 	b.wait(20 * time.Millisecond)
 	resets := 0
-	for range 300 { // 104 says nothing
+	for range 300 { // agent 104 does not answer
 		b.last = b.core.Tick(b.now)
 		resets += b.resets()
 		b.now += 5 * time.Millisecond
@@ -126,7 +126,7 @@
 	b.now += 300 * time.Millisecond
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{address(101, 1)}))
-	b.wait(1200 * time.Millisecond) // 101 says nothing
+	b.wait(1200 * time.Millisecond) // agent 101 does not answer
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.Expect(b.sent(inner.KindForward)).To(BeEmpty())
 	b.wait(20 * time.Millisecond)
@@ -135,8 +135,8 @@
 	b.Expect(b.resets()).To(Equal(1))
 }
 
-// An agent that can't tell and has only just started returns a probe unsure; it
-// is probed again without a further packet of the caller.
+// An agent that cannot tell and started just now returns a probe as unsure. It is probed
+// again without a further packet of the caller.
 func TestProbeReturnedUnsureIsRepeatedOnTick(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"))
 	b.status(101, inner.Status{})
--- a/internal/packetface/steer/packets_test.go
+++ b/internal/packetface/steer/packets_test.go
@@ -6,8 +6,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// packet returns a packet on the flow, seen from its sender, which is the
-// flow's caller.
+// packet returns a packet of a flow, as sent by the flow's caller.
 func packet(id platform.Flow, sequence, acknowledged uint32, flags platform.Flags, size int) []byte {
 	b := make([]byte, platform.PacketHeaderSize+size)
 	binary.BigEndian.PutUint32(b, sequence)
@@ -21,7 +20,8 @@
 	return b
 }
 
-// reversed returns the flow as seen from the upstream, for packet.
+// reversed returns the flow with its ends exchanged, so that packet returns a packet of
+// the upstream.
 func reversed(id platform.Flow) platform.Flow {
 	return platform.Flow{Caller: id.Face, CallerPort: id.FacePort, Face: id.Caller, FacePort: id.CallerPort}
 }
--- a/internal/packetface/steer/place_test.go
+++ b/internal/packetface/steer/place_test.go
@@ -14,7 +14,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Tests of where new flows go.
+// Tests of the placement of new flows.
 
 func TestNewFlowsGoToAgentWithLowestScore(t *testing.T) {
 	cases := []struct {
@@ -24,14 +24,14 @@
 		far  inner.Status
 		want int
 	}{
-		{"nearby though a little busier", inner.Status{Running: 1}, inner.Status{Running: 4}, inner.Status{}, 101},
+		{"same data centre, though a little busier", inner.Status{Running: 1}, inner.Status{Running: 4}, inner.Status{}, 101},
 		{"less busy", inner.Status{Running: 3}, inner.Status{Running: 1}, inner.Status{Running: 3}, 102},
-		{"far, as all nearby are full", inner.Status{Running: 4}, inner.Status{Running: 4}, inner.Status{}, 103},
+		{"other data centre, as all slots in the same one are taken", inner.Status{Running: 4}, inner.Status{Running: 4}, inner.Status{}, 103},
 		{"warm", inner.Status{Cold: true}, inner.Status{Running: 1}, inner.Status{Running: 4}, 102},
 		{"ready", inner.Status{State: inner.StateDraining}, inner.Status{Running: 3}, inner.Status{State: inner.StateStopping}, 102},
 		{"not failing, though idle", inner.Status{State: inner.StateFailing}, inner.Status{Running: 3}, inner.Status{Running: 4}, 102},
 		{"proven, though a little busier", inner.Status{State: inner.StateUnproven}, inner.Status{Running: 1}, inner.Status{Running: 4}, 102},
-		{"on probation, as others are full", inner.Status{State: inner.StateProbation}, inner.Status{Running: 4}, inner.Status{Running: 4}, 101},
+		{"on probation, as the others' slots are taken", inner.Status{State: inner.StateProbation}, inner.Status{Running: 4}, inner.Status{Running: 4}, 101},
 		{"ready, not silent", inner.Status{State: inner.StateSilent}, inner.Status{State: inner.StateDown}, inner.Status{Running: 4}, 103},
 	}
 	for _, c := range cases {
@@ -56,7 +56,7 @@
 	b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonDraining}, opening))
 	b.Expect(b.sent(inner.KindOpen)).To(Equal([]netip.AddrPort{address(102, 1)}))
 	b.fromAgent(102, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonBusy}, opening))
-	b.Expect(b.sent(inner.KindOpen)).To(HaveLen(1)) // the last try
+	b.Expect(b.sent(inner.KindOpen)).To(HaveLen(1)) // to the agent of last resort
 	head, _, err := inner.ParseOpen(b.last.Actions[0].Bytes)
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(head.Flags & inner.FlagMust).NotTo(BeZero())
@@ -65,12 +65,12 @@
 		last = 102
 	}
 	b.fromAgent(last, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonBounced}, opening))
-	b.Expect(b.resets()).To(Equal(1)) // at once, and true: it has not run
+	b.Expect(b.resets()).To(Equal(1)) // at once, as no request of the flow has run
 }
 
-// In a rush every agent has more to do than slots. The load: three agents return a
-// flow as busy, with 9, 5 and 12 requests there; a fourth has 20. The flow waits
-// where the fewest do, and not at the fourth because it has not returned it yet.
+// Under overload every agent has more requests than slots. Three agents return a flow as
+// busy, with 9, 5 and 12 requests; a fourth has 20. The flow has to be sent to the one
+// with 5, and not to the fourth just because that has not returned it yet.
 func TestFlowReturnedAsBusyGoesToShortestQueue(t *testing.T) {
 	cases := []struct {
 		name string
@@ -98,13 +98,14 @@
 			b.Expect(b.sent(inner.KindOpen)).To(Equal([]netip.AddrPort{c.want}))
 			head, _, err := inner.ParseOpen(b.last.Actions[0].Bytes)
 			b.Expect(err).NotTo(HaveOccurred())
-			b.Expect(head.Hops).To(BeEquivalentTo(inner.MaxBusyHops)) // it is not returned for that again
+			b.Expect(head.Hops).To(BeEquivalentTo(inner.MaxBusyHops)) // the agent does not return it as busy again
 		})
 	}
 }
 
-// Where more of a service fail than not, it is the service that does, or what is asked
-// of it: then all are used, and told that they must take it.
+// If more upstreams of a service fail than not, the service or the requests are the
+// likely cause. Then all upstreams are used, and their agents are sent FlagMust so that
+// they take the flow.
 func TestFailingUpstreamsAreUsedIfMostOfServiceFail(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"))
 	b.status(101, inner.Status{State: inner.StateFailing})
@@ -121,8 +122,8 @@
 	b.Expect(head.Flags & inner.FlagMust).NotTo(BeZero())
 }
 
-// After a common loss of power opening packets come before the balancer has read the
-// store. They are kept, and placed with the first list.
+// After a simultaneous power loss opening packets arrive before the balancer has read the
+// store. They are buffered, and placed with the first list.
 func TestOpeningsBeforeFirstListAreBuffered(t *testing.T) {
 	cases := []struct {
 		name string
@@ -146,12 +147,13 @@
 			b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(1))
 			b.Expect(b.sent(inner.KindOpen)).To(HaveLen(c.want))
 			b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(2))
-			b.Expect(b.sent(inner.KindOpen)).To(BeEmpty()) // once
+			b.Expect(b.sent(inner.KindOpen)).To(BeEmpty()) // each is placed only once
 		})
 	}
 }
 
-// What is older than the callers' next copy is not placed, and the number is bounded.
+// A packet that is older than the caller's next copy is not placed, and the number of
+// buffered packets is bounded.
 func TestBufferedOpeningsAreBoundedInAgeAndNumber(t *testing.T) {
 	b := &bench{WithT: NewWithT(t), now: time.Millisecond}
 	b.core = steer.New(steer.Settings{DataCentre: "a", CallerPort: callerPort, Random: rand.New(rand.NewPCG(1, 2))})
@@ -166,8 +168,9 @@
 	b.Expect(b.sent(inner.KindOpen)).To(HaveLen(511))
 }
 
-// A balancer that has just started takes flows for repetitions: callers whose opening
-// packets were lost begin anew for as long as their last copies may still come.
+// A balancer that has just started assumes that new flows repeat earlier requests:
+// callers whose opening packets were lost open new flows as long as their last copies may
+// still arrive.
 func TestOpeningsSoonAfterStartAreFlaggedAsRepetitions(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -177,8 +180,8 @@
 		want   inner.Flags
 	}{
 		{"right after the start", 50 * time.Millisecond, 0, nil, inner.FlagRepeated},
-		{"a copy, begun while hosts were away for long", 300 * time.Millisecond, 2, nil, inner.FlagRepeated},
-		{"a copy of a first try", 100 * time.Millisecond, 2, nil, 0},
+		{"a copy, of a flow begun while hosts had long been down", 300 * time.Millisecond, 2, nil, inner.FlagRepeated},
+		{"a copy of a first attempt", 100 * time.Millisecond, 2, nil, 0},
 		{"a second later", 1060 * time.Millisecond, 0, nil, 0},
 		{"without the policy", 50 * time.Millisecond, 0, []string{string(policy.Repetition)}, 0},
 	}
@@ -194,8 +197,9 @@
 	}
 }
 
-// A flow that all agents return is reset at once, as its caller may ask elsewhere; while
-// the list may lack agents, the next copy tries again and no repetition is burnt.
+// A flow that all agents return is reset at once, so that its caller may send the request
+// elsewhere. While the list may lack agents, the packet is dropped instead: the caller's
+// next copy is placed anew, and the caller does not use up a repetition.
 func TestFlowReturnedByAllAgentsIsResetOrRetried(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -203,9 +207,9 @@
 		copies uint32
 		resets int
 	}{
-		{"the list has only just come", 50 * time.Millisecond, 0, 0},
-		{"no further copy comes", 50 * time.Millisecond, 2, 1},
-		{"the list is whole", 300 * time.Millisecond, 0, 1},
+		{"the list arrived just now", 50 * time.Millisecond, 0, 0},
+		{"the packet is the last copy", 50 * time.Millisecond, 2, 1},
+		{"the list is complete", 300 * time.Millisecond, 0, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -214,7 +218,7 @@
 			opening := packet(caller(1), 1, c.copies, platform.FlagSYN, 0)
 			_, err := b.core.FromCaller(b.now, opening)
 			b.Expect(err).NotTo(HaveOccurred())
-			for range 2 { // the first and the last try
+			for range 2 { // the first attempt and the last resort
 				b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonBounced}, opening))
 			}
 			b.Expect(b.resets()).To(Equal(c.resets))
@@ -222,13 +226,13 @@
 			r, err := b.core.FromCaller(b.now, packet(caller(1), 1, 1, platform.FlagSYN, 0))
 			b.Expect(err).NotTo(HaveOccurred())
 			b.last = r
-			b.Expect(b.sent(inner.KindOpen)).To(HaveLen(1)) // the next copy begins anew
+			b.Expect(b.sent(inner.KindOpen)).To(HaveLen(1)) // the next copy is placed anew
 		})
 	}
 }
 
-// Many agents start beside upstreams that are gone: a flow finds the one that lives
-// behind more of them than may return it for want of a slot.
+// Many agents start whose upstreams are gone: the flow reaches the one agent with an
+// upstream after more returns than the limit for busy agents.
 func TestFlowIsPlacedAfterManyAgentsWithoutUpstream(t *testing.T) {
 	agents := []steer.Agent{agentAt(120, "b")}
 	for n := range 15 {
@@ -247,8 +251,9 @@
 	b.Expect(b.resets()).To(BeZero())
 }
 
-// An agent that has just started hears from balancers how many slots its upstream
-// has; where the store lists none for it, those of another of the service count.
+// An agent that has just started learns from opening packets how many slots its upstream
+// has. If the store lists none for it, the slots of another agent of the service are
+// used.
 func TestOpeningContainsListedSlots(t *testing.T) {
 	unknown := agentAt(101, "a")
 	unknown.Slots = 0
--- a/internal/packetface/steer/search_bench_test.go
+++ b/internal/packetface/steer/search_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// BenchmarkAnswer takes in one answer to a search among many agents. After a common
-// loss of power a balancer takes in some hundred for each open flow.
+// BenchmarkAnswer processes one answer to a search among many agents. After a
+// simultaneous power loss a balancer processes some hundred answers for each open flow.
 func BenchmarkAnswer(b *testing.B) {
 	for _, size := range []int{7, 140, 700} {
 		b.Run(fmt.Sprintf("agents=%d", size), func(b *testing.B) {
--- a/internal/packetface/steer/search_test.go
+++ b/internal/packetface/steer/search_test.go
@@ -16,7 +16,7 @@
 
 // Tests of searches among many agents.
 
-// benchOf returns a bench with agents of which each has answered a poll.
+// benchOf returns a bench with a number of agents, all of which have answered a poll.
 func benchOf(t *testing.T, count int) *bench {
 	var agents []steer.Agent
 	for n := range count {
@@ -30,8 +30,8 @@
 	return b
 }
 
-// An agent beside an upstream that never came back can't tell of any flow. When it
-// has left and the store lists it no more, a search that waited for it ends.
+// An agent whose upstream never came back cannot tell for any flow. Once the agent has
+// left and the store no longer lists it, a search that waits for it ends.
 func TestSearchDoesNotWaitForRemovedAgent(t *testing.T) {
 	b := benchOf(t, 3)
 	b.callerSends(caller(1), platform.FlagACK, 30)
@@ -50,8 +50,8 @@
 	b.Expect(resets).To(Equal(1))
 }
 
-// An agent that can tell as soon as its upstream has reported is asked again at once,
-// and for all flows in one datagram.
+// An agent that can tell since its upstream has reported is asked again at once, for all
+// flows in one datagram.
 func TestAgentIsAskedAgainOnceItCanTell(t *testing.T) {
 	b := benchOf(t, 1)
 	b.status(101, inner.Status{State: inner.StateUnproven})
@@ -68,8 +68,8 @@
 	}
 }
 
-// Agents that can't tell are probed a few at a time, however many flows are searched
-// for: each probe is a packet to an upstream and back.
+// The number of probes between two ticks is bounded, however many flows are searched for:
+// each probe is a packet to an upstream and back.
 func TestProbesAreBoundedBetweenTicks(t *testing.T) {
 	const agents, flows, most = 60, 40, 24
 	b := benchOf(t, agents)
@@ -89,8 +89,8 @@
 	b.Expect(len(b.sent(inner.KindForward))).To(Equal(most))
 }
 
-// A process that is late with its own work asks in larger batches: each datagram
-// and its answer cost as much as many questions.
+// A process whose ticks are late sends larger batches of questions: each datagram and its
+// answer cost as much as many questions.
 func TestLateTicksIncreaseBatchesOfQuestions(t *testing.T) {
 	b := benchOf(t, 50)
 	datagrams := func(gap time.Duration) int {
@@ -98,7 +98,7 @@
 		for n := range 80 {
 			b.now += 5 * time.Millisecond
 			if n < 40 {
-				count = 0 // it has to see two ticks first
+				count = 0 // the delay is known after two ticks only
 			}
 			if b.now%gap == 0 {
 				b.last = b.core.Tick(b.now)
@@ -115,8 +115,8 @@
 	b.Expect(late).To(BeNumerically("<=", prompt/4))
 }
 
-// An agent that is silent keeps no other from being probed, and one that hears of its
-// upstream before its first status is asked again.
+// A silent agent does not keep others from being probed, and an agent that receives the
+// first report of its upstream before its own first status is asked again.
 func TestSilentAgentDoesNotDelayProbes(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"))
 	b.now += time.Second
@@ -130,8 +130,8 @@
 	b.Expect(b.sent(inner.KindAsk)).To(ContainElement(address(102, 1)))
 }
 
-// A flood of packets of flows that never were takes neither the balancer's memory nor
-// the agents, and the packets of its open flows go on at once.
+// A flood of packets of flows that never existed exhausts neither the balancer's memory
+// nor the agents, and packets of open flows are forwarded at once.
 func TestFloodOfUnknownFlowsDoesNotDelayOpenFlows(t *testing.T) {
 	const agents, perMillisecond, seconds = 20, 50, 2
 	b := benchOf(t, agents)
@@ -154,7 +154,7 @@
 			answers = append(answers, b.sent(inner.KindAsk)...)
 		}
 		datagrams += len(answers)
-		for _, from := range answers { // each agent lives, and holds none
+		for _, from := range answers { // each agent is running and holds none of the flows
 			b.status(int(from.Addr().As4()[3]), inner.Status{Known: inner.Known{Listing: 1}})
 		}
 		answers = answers[:0]
@@ -165,23 +165,23 @@
 	b.Expect(datagrams).To(BeNumerically("<=", seconds*agents*500), "datagrams to agents")
 }
 
-// A packet that comes back late or twice from a probe is no word of the caller: it
-// keeps no search alive.
+// A probe that is returned late or twice is not a new packet of the caller, and must not
+// extend the search.
 func TestReturnedProbeDoesNotExtendSearch(t *testing.T) {
 	b := benchOf(t, 2)
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.answer(101, caller(1), inner.VerdictMaybe, 1) // 102 is silent
+	b.answer(101, caller(1), inner.VerdictMaybe, 1) // agent 102 does not answer
 	for range 24 {
 		b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonUnknown}, packet(caller(1), 1, 77, platform.FlagACK, 30)))
 		b.wait(100 * time.Millisecond)
 	}
-	b.wait(200 * time.Millisecond) // 2.5 s after the caller's packet it has given up
+	b.wait(200 * time.Millisecond) // 2.5 s after its last packet the caller has given up
 	b.Expect(b.core.Counts(b.now).Asks).To(BeZero())
 }
 
-// Probes that are on their way when the owner is found, or the flow reset, come back:
-// they begin no search anew, and cost the owner no further packets. Each such search
-// would send probes of its own.
+// Probes that are in flight when the owner is found or the flow is reset are returned
+// later. They must not start another search, which would send further probes, nor cause
+// further packets to the owner.
 func TestLateReturnedProbeStartsNoSearch(t *testing.T) {
 	back := inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonUnknown}, packet(caller(1), 1, 77, platform.FlagACK, 30))
 	for _, end := range []inner.Verdict{inner.VerdictHeld, inner.VerdictNone} {
@@ -201,13 +201,13 @@
 	}
 }
 
-// A balancer that has only just started has to ask every agent for a flow that nobody
-// holds, in the largest fleet in service, at twice that and beyond.
+// A balancer that started recently has to ask every agent for a flow that no upstream
+// holds, in the largest fleet in service, at twice that size and beyond.
 func TestRecentlyStartedBalancerResetsFlowsInLargeFleet(t *testing.T) {
 	for _, agents := range []int{678, 1356, 3000} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
 			b := benchOf(t, agents)
-			const flows = 32 // as many as begin between two ticks
+			const flows = 32 // as many searches as may start between two ticks
 			resets, most := 0, 0
 			for n := range flows {
 				b.callerSends(caller(n+1), platform.FlagACK, 30)
@@ -220,13 +220,13 @@
 				most, resets = max(most, asked), resets+reset
 			}
 			b.Expect(resets).To(Equal(flows))
-			b.Expect(most).To(BeNumerically("<=", 2*32<<10), "questions between two ticks, repeated ones among them")
+			b.Expect(most).To(BeNumerically("<=", 2*32<<10), "questions between two ticks, including repeated ones")
 		})
 	}
 }
 
-// answerAll answers the questions of the last result, and those that follow from that,
-// with no; it returns how many there were, and the resets.
+// answerAll answers the questions of the last result, and those that follow from the
+// answers, with VerdictNone; it returns the number of questions and of resets.
 func (b *bench) answerAll() (asked, resets int) {
 	type question struct {
 		to    netip.AddrPort
--- a/internal/packetface/steer/slow_test.go
+++ b/internal/packetface/steer/slow_test.go
@@ -13,8 +13,8 @@
 
 const usualAnswer = 45 * time.Millisecond
 
-// benchOfSeven returns a bench of seven upstreams that answer in their times, with running
-// requests each.
+// benchOfSeven returns a bench of seven upstreams with the given answer times and the
+// same number of running requests each.
 func benchOfSeven(t *testing.T, off []string, running uint16, answers [7]time.Duration) *bench {
 	var agents []steer.Agent
 	for n := range answers {
@@ -27,7 +27,8 @@
 	return b
 }
 
-// placed opens flows and counts those that an agent gets; statuses are as new each time.
+// placed opens flows and counts those that are sent to an agent. status is called before
+// each, so that the statuses are recent.
 func (b *bench) placed(first, flows, agent int, status func()) (got int) {
 	for n := range flows {
 		status()
@@ -41,14 +42,14 @@
 	return got
 }
 
-// One upstream of seven turns five times slower; its siblings work on two requests of four
-// at once, as it does.
+// One upstream of seven becomes five times slower; like the others, it works on two
+// requests in four slots.
 func TestNewFlowsAvoidSlowUpstream(t *testing.T) {
 	answers := [7]time.Duration{5 * usualAnswer}
 	for n := range 6 {
 		answers[n+1] = usualAnswer + time.Duration(n)*time.Millisecond
 	}
-	again := func(b *bench, slow time.Duration) func() {
+	report := func(b *bench, slow time.Duration) func() {
 		return func() {
 			answers[0] = slow
 			for n, answer := range answers {
@@ -57,15 +58,16 @@
 		}
 	}
 	b := benchOfSeven(t, nil, 2, answers)
-	b.Expect(b.placed(1000, 140, 1, again(b, 5*usualAnswer))).To(BeZero())
-	b.Expect(b.placed(2000, 140, 1, again(b, 0))).To(BeNumerically(">", 5), "it has answered nothing lately: it is tried")
-	b.Expect(b.placed(3000, 140, 1, again(b, usualAnswer))).To(BeNumerically(">", 5))
+	b.Expect(b.placed(1000, 140, 1, report(b, 5*usualAnswer))).To(BeZero())
+	b.Expect(b.placed(2000, 140, 1, report(b, 0))).To(BeNumerically(">", 5), "an upstream without recent answers is tried")
+	b.Expect(b.placed(3000, 140, 1, report(b, usualAnswer))).To(BeNumerically(">", 5))
 
 	without := benchOfSeven(t, []string{"slow-upstreams"}, 2, answers)
-	without.Expect(without.placed(1000, 140, 1, again(without, 5*usualAnswer))).To(BeNumerically(">", 5))
+	without.Expect(without.placed(1000, 140, 1, report(without, 5*usualAnswer))).To(BeNumerically(">", 5))
 }
 
-// A slow one is better than a queue, and where all take long none is slow.
+// A slow upstream is better than a long queue at the others, and if all upstreams take
+// equally long, none counts as slow.
 func TestSlowUpstreamIsPreferredToLongQueues(t *testing.T) {
 	b := benchOfSeven(t, nil, 0, [7]time.Duration{3 * usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer})
 	b.Expect(b.placed(1000, 20, 1, func() {
--- a/internal/packetface/steer/steer_test.go
+++ b/internal/packetface/steer/steer_test.go
@@ -16,7 +16,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// bench drives one balancer's decisions.
+// bench drives the Core of one balancer.
 type bench struct {
 	*WithT
 	core *steer.Core
@@ -32,7 +32,7 @@
 	return newBenchWithout(t, nil, agents...)
 }
 
-// newBenchWithout returns a bench whose balancer does not make some decisions.
+// newBenchWithout returns a bench whose balancer has some policies switched off.
 func newBenchWithout(t *testing.T, off []string, agents ...steer.Agent) *bench {
 	b := &bench{WithT: NewWithT(t), now: time.Second}
 	policies, unknown := policy.Without(off)
@@ -47,7 +47,7 @@
 	return b
 }
 
-// listAge is that of a list whose newest entry is the store's last change.
+// listAge returns the age of a list whose newest entry is the store's last change.
 func listAge(revision store.Position) steer.ListAge {
 	return steer.ListAge{AsOf: revision, Newest: revision}
 }
@@ -81,7 +81,7 @@
 	b.fromAgent(n, inner.AppendAnswer(inner.AppendAnswerHead(nil, listing), inner.Answer{Flow: id, Verdict: verdict}))
 }
 
-// sent returns the agents that got a datagram of the kind.
+// sent returns the agents that were sent a datagram of the kind by the last call.
 func (b *bench) sent(kind inner.Kind) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, a := range b.last.Actions {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// notes returns the last notes of a kind.
+// notes returns the notes of a kind from the last call.
 func (b *bench) notes(kind steer.Kind) []steer.Note {
 	var out []steer.Note
 	for _, n := range b.last.Notes {
@@ -130,8 +130,8 @@
 	b.Expect(b.resets()).To(BeZero())
 }
 
-// Where a route's shares change, open flows stay, also at a balancer that has
-// never seen them; the agents of all services are asked.
+// When a route's shares change, open flows stay, also at a balancer that has never
+// received a packet of them; the agents of all services are asked.
 func TestOpenFlowsStayWhenSharesChange(t *testing.T) {
 	other := agentAt(102, "a")
 	other.Service = inner.ServiceID("other")
--- a/internal/packetface/steer/warmup_test.go
+++ b/internal/packetface/steer/warmup_test.go
@@ -10,8 +10,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// polledWarmup returns the warm-up that a balancer tells agents after some have polledWarmup theirs. The
-// configuration has none.
+// polledWarmup returns the warm-up in a balancer's polls after agents have reported the
+// given ones. The configuration has none.
 func polledWarmup(t *testing.T, estimates ...time.Duration) time.Duration {
 	var agents []steer.Agent
 	for n := range max(len(estimates), 1) {
@@ -36,19 +36,19 @@
 func TestWarmUpIsEstimatedAsUpperQuartile(t *testing.T) {
 	const warmup, back, ahead = 3 * time.Second, 300 * time.Millisecond, 9 * time.Second
 	for name, c := range map[string]struct {
-		told []time.Duration
-		want time.Duration
+		reported []time.Duration
+		want     time.Duration
 	}{
-		"all agree":             {[]time.Duration{warmup, warmup, warmup, warmup, warmup}, warmup},
-		"too few":               {[]time.Duration{warmup, warmup, warmup, warmup}, 0},
-		"some tell nothing":     {[]time.Duration{warmup, 0, warmup, 0, warmup, warmup}, 0},
-		"three clocks set back": {[]time.Duration{back, back, back, warmup, warmup}, warmup},
-		"one clock set ahead":   {[]time.Duration{warmup, warmup, ahead, warmup, warmup}, warmup},
-		"two set ahead":         {[]time.Duration{warmup, warmup, ahead, ahead, warmup}, ahead},
+		"all agree":                {[]time.Duration{warmup, warmup, warmup, warmup, warmup}, warmup},
+		"too few":                  {[]time.Duration{warmup, warmup, warmup, warmup}, 0},
+		"too few report a warm-up": {[]time.Duration{warmup, 0, warmup, 0, warmup, warmup}, 0},
+		"three clocks set back":    {[]time.Duration{back, back, back, warmup, warmup}, warmup},
+		"one clock set ahead":      {[]time.Duration{warmup, warmup, ahead, warmup, warmup}, warmup},
+		"two clocks set ahead":     {[]time.Duration{warmup, warmup, ahead, ahead, warmup}, ahead},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := polledWarmup(t, c.told...); got != c.want {
-				t.Errorf("%s instead of %s", got, c.want)
+			if got := polledWarmup(t, c.reported...); got != c.want {
+				t.Errorf("polls contain a warm-up of %s, want %s", got, c.want)
 			}
 		})
 	}
