--- a/internal/packetface/policy/policy.go
+++ b/internal/packetface/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy names the decisions of the packet face that can be switched off
-// one at a time, so that what each is worth can be measured (docs/design/measures.md).
-// Nothing but such a measurement switches one off. It is pure.
+// Package policy names the decisions of the packet face that can be switched off one at a
+// time, so that the effect of each can be measured (docs/design/measures.md). They are
+// switched off for such measurements only.
 package policy
 
 import (
@@ -8,54 +8,56 @@
 	"strings"
 )
 
-// Name is a decision that can be switched off.
+// Name is the name of a decision that can be switched off.
 type Name string
 
 // Names of the decisions; the package in brackets explains each.
 const (
-	// BoundedSearches bounds the searches and probes that begin between two ticks of a
-	// balancer, and lets it ask in larger batches where its processor is short (steer).
+	// BoundedSearches limits the searches and probes that start between two ticks of a
+	// balancer, and lets the balancer send questions in larger batches if its processor
+	// is overloaded (steer).
 	BoundedSearches Name = "bounded-searches"
-	// EarlyOpenings keeps opening packets until a balancer that has just started knows
+	// EarlyOpenings buffers opening packets until a balancer that has just started knows
 	// routes and agents (steer).
 	EarlyOpenings Name = "early-openings"
-	// InheritedEntries lets an agent go on with the entry that the process before it
-	// left in the store (registry).
+	// InheritedEntries lets an agent continue with the entry that the previous agent
+	// process left in the store (registry).
 	InheritedEntries Name = "inherited-entries"
-	// LeastSlack runs a request that is late already just in time for its caller's
-	// deadline, instead of after all others (admission).
+	// LeastSlack runs a request that is already late just in time for its caller's
+	// deadline, instead of after all other requests (admission).
 	LeastSlack Name = "least-slack"
-	// ListedSlots takes the balancers' word for the slots of an upstream that has not
-	// reported yet (gate).
+	// ListedSlots uses the number of slots that balancers report for an upstream that has
+	// not sent its own yet (gate).
 	ListedSlots Name = "listed-slots"
-	// Outcomes judges upstreams by what becomes of flows and requests (outcome).
+	// Outcomes judges upstreams by the outcomes of their flows and requests (outcome).
 	Outcomes Name = "outcomes"
-	// Repetition takes flows that begin right after a start for repetitions, which
-	// have less time left than they seem to have (admission).
+	// Repetition assumes that flows opened right after a start repeat earlier requests,
+	// which have less time left than they appear to have (admission).
 	Repetition Name = "repetition"
-	// SharedWatches lets balancers learn of the store's changes from the watch of
-	// another one (watchshare).
+	// SharedWatches lets balancers receive changes of the store through the watch of
+	// another balancer (watchshare).
 	SharedWatches Name = "shared-watches"
-	// SlowUpstreams keeps flows away from upstreams that take much longer for a request
-	// than their siblings do (steer).
+	// SlowUpstreams avoids upstreams that take much longer for a request than the average
+	// of their service (steer).
 	SlowUpstreams Name = "slow-upstreams"
-	// ShortestQueue sends a flow that finds all slots taken to the upstream where
-	// the fewest requests wait (steer).
+	// ShortestQueue sends a flow that finds all slots taken to the upstream with the
+	// fewest waiting requests (steer).
 	ShortestQueue Name = "shortest-queue"
 )
 
-// names are all that can be switched off.
+// names are all decisions that can be switched off.
 var names = []Name{
 	BoundedSearches, EarlyOpenings, InheritedEntries, LeastSlack, ListedSlots, Outcomes, Repetition, SharedWatches, ShortestQueue, SlowUpstreams,
 }
 
-// Set holds the decisions that are switched off; the zero value has all on.
+// Set is a set of decisions that are switched off. The zero value has all decisions
+// enabled.
 type Set struct{ off []Name }
 
-// On reports whether a decision is to be made.
+// On reports whether a decision is enabled.
 func (s Set) On(n Name) bool { return !slices.Contains(s.off, n) }
 
-// Off returns the names of what is switched off, joined by commas.
+// Off returns the names of the switched-off decisions, separated by commas.
 func (s Set) Off() string {
 	var all []string
 	for _, n := range s.off {
@@ -64,8 +66,8 @@
 	return strings.Join(all, ",")
 }
 
-// Without returns the set in which the named decisions are switched off, and the
-// names that there are none of.
+// Without returns the set in which the named decisions are switched off, and those of the
+// names that are unknown.
 func Without(off []string) (s Set, unknown []string) {
 	for _, text := range off {
 		n := Name(strings.TrimSpace(text))
@@ -78,7 +80,7 @@
 	return s, unknown
 }
 
-// Names returns all names.
+// Names returns the names of all decisions that can be switched off.
 func Names() []string {
 	var all []string
 	for _, n := range names {
--- a/internal/packetface/policy/policy_test.go
+++ b/internal/packetface/policy/policy_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestUnknownNamesAreTold(t *testing.T) {
+func TestUnknownNamesAreReturned(t *testing.T) {
 	g := NewWithT(t)
 	s, unknown := policy.Without([]string{"no-such", policy.Names()[0], ""})
 	g.Expect(unknown).To(Equal([]string{"no-such", ""}))
--- a/internal/packetface/routing/routing.go
+++ b/internal/packetface/routing/routing.go
@@ -1,5 +1,6 @@
-// Package routing finds the service of a new flow of the packet face. A Table
-// is built from one version of the configuration and never changes. It is pure.
+// Package routing selects the service of a new flow of the packet face. A face is an
+// address and port to which callers open flows; its route names the services and their
+// weights. A Table is built from one version of the configuration and is immutable.
 package routing
 
 import (
@@ -17,18 +18,18 @@
 type Table struct {
 	Version uint64
 	routes  map[netip.AddrPort]*Route
-	// names are those of the services of all routes, by their ids.
+	// names are the names of the services of all routes, by id.
 	names map[uint64]string
-	// cold is what the configuration says of how upstreams of a service warm up.
+	// cold is, by service, how its upstreams warm up according to the configuration.
 	cold map[uint64]inner.Cold
 }
 
-// Route is where the new flows of a face go.
+// Route is the route of a face: the services to which its new flows are distributed.
 type Route struct {
 	platform.Route
 	// Services are the ids of the services in the order of Shares.
 	Services []uint64
-	// Terms are what agents need to know of the route's requests.
+	// Terms are the properties of the route's requests that agents need.
 	Terms inner.Terms
 	total float64
 }
@@ -57,10 +58,10 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// ServiceName returns the name of a service, empty if no route names it.
+// ServiceName returns the name of a service, empty if no route has the service.
 func (t *Table) ServiceName(id uint64) string { return t.names[id] }
 
-// Cold returns what the configuration says of how upstreams of a service warm up.
+// Cold returns how upstreams of a service warm up according to the configuration.
 func (t *Table) Cold(service uint64) inner.Cold { return t.cold[service] }
 
 func coldOf(s platform.Service) inner.Cold {
@@ -71,7 +72,7 @@
 	return cold
 }
 
-// All returns all routes by their faces; the map is not to be changed.
+// All returns all routes by their faces; the map must not be modified.
 func (t *Table) All() map[netip.AddrPort]*Route { return t.routes }
 
 // At returns the route of a face, nil if there is none.
@@ -80,9 +81,10 @@
 // Find returns the route of a flow's face, nil if there is none.
 func (t *Table) Find(flow platform.Flow) *Route { return t.routes[flow.FaceAddr()] }
 
-// Choose returns the id of the service that a new flow goes to: by weight, and
-// the same for every copy of the flow's opening packet at every balancer with
-// this version. ok is false for a route without a service.
+// Choose returns the id of the service to which a new flow goes. Services are chosen by
+// weight, and the result is the same for every copy of the flow's opening packet at every
+// balancer with this version of the configuration. ok is false for a route without a
+// service.
 func (r *Route) Choose(flow platform.Flow) (service uint64, ok bool) {
 	if len(r.Services) == 0 {
 		return 0, false
@@ -98,7 +100,7 @@
 	return r.Services[len(r.Services)-1], true
 }
 
-// Hash returns 64 bits that depend on both ends of a flow.
+// Hash returns a 64-bit hash of both ends of a flow.
 func Hash(flow platform.Flow) uint64 {
 	var b [12]byte
 	copy(b[:], flow.Caller[:])
--- a/internal/packetface/routing/routing_test.go
+++ b/internal/packetface/routing/routing_test.go
@@ -22,7 +22,7 @@
 	}})
 }
 
-func TestFlowsAreSplitByWeightAndStay(t *testing.T) {
+func TestFlowsAreSplitConsistentlyByWeight(t *testing.T) {
 	g := NewWithT(t)
 	route := table(platform.Share{Service: "a", Weight: 90}, platform.Share{Service: "b", Weight: 10}).Find(flow(1))
 	const flows = 20000
@@ -39,7 +39,7 @@
 	g.Expect(float64(toB) / flows).To(BeNumerically("~", 0.1, 0.01))
 }
 
-func TestNoRouteAndNoService(t *testing.T) {
+func TestUnknownFaceHasNoRouteAndEmptyRouteNoService(t *testing.T) {
 	g := NewWithT(t)
 	other := flow(1)
 	other.FacePort = 80
@@ -48,7 +48,7 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-func TestTermsOfARoute(t *testing.T) {
+func TestTermsComeFromConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	for rank, want := range map[int]uint8{-1: 0, 0: 0, 3: 3, 999: 255} {
 		built := routing.NewTable(platform.Configuration{Version: 1, Routes: []platform.Route{
