--- a/internal/packetface/steer/sim_network_test.go
+++ b/internal/packetface/steer/sim_network_test.go
@@ -39,12 +39,12 @@
 }
 
 // cutLink drops everything that one of the two sends to the other for a while. It does
-// nothing where the balancer would rightly reset a flow or miss an agent. If absent
-// agents may be skipped, a cut agent counts as absent. An agent that is unlisted and
-// silent for 2 s is removed, so the agent is listed before the cut, and its entry does
-// not expire during it. A balancer that the store refuses to serve learns of newer lists
-// from agents only, possibly only from the one that is cut off, so there is no cut while
-// a balancer is refused, and no balancer is refused during a cut.
+// nothing where the balancer could not know better. If absent agents may be skipped, an
+// agent that is cut off counts as absent. An agent that is unlisted and silent for 2 s is
+// removed, so the agent is listed before the cut, and its entry does not expire during
+// it. A balancer that the store refuses to serve learns of newer lists from agents only,
+// possibly just from the one that is cut off, so there is no cut while a balancer is
+// refused, and no balancer is refused during a cut.
 func (w *simFleet) cutLink(b *balancer, s *simAgent) {
 	refused := slices.ContainsFunc(w.balancers, func(b *balancer) bool { return b.refused })
 	if w.absentAfter != 0 || refused || w.now < w.cutEnd {
--- a/internal/packetface/steer/sim_restarts_test.go
+++ b/internal/packetface/steer/sim_restarts_test.go
@@ -52,10 +52,10 @@
 	s.clockOffset += time.Duration(w.random.Int64N(int64(2*maxStep))) - maxStep
 }
 
-// coldFor returns what an upstream reports of how long it stays cold, 0 for nothing. A
-// real upstream reports at once when it starts, repeats that until a report is
-// acknowledged, and then waits for a heartbeat's interval. A simulated upstream that has
-// not kept to that reports nothing.
+// coldFor returns how long the upstream reports that it stays cold, 0 if it reports
+// nothing. A real upstream reports at once when it starts, repeats that until a report is
+// acknowledged, and reports again after a heartbeat's interval. A simulated upstream that
+// has not kept to these times reports nothing.
 func (s *simAgent) coldFor(now time.Duration) time.Duration {
 	unheard := s.acknowledged == 0 && now-max(s.born, s.started) <= retryTime
 	regular := s.acknowledged != 0 && now-s.acknowledged >= 1200*time.Millisecond
--- a/internal/packetface/steer/store_restore_test.go
+++ b/internal/packetface/steer/store_restore_test.go
@@ -148,8 +148,8 @@
 // A balancer that had just started received the newer configuration version once, in the
 // first status of an agent 2 ms after its start: "Ready." version=1 after_ms=2. No note
 // is added within 200 ms of the last one, and the initial 0 counted as the time of the
-// last one. No agent reported the version again, and the balancer still had version 1 of
-// the copy 25 s later.
+// last one, so this note was left out. No agent sent anything more, and the balancer
+// still had version 1 of the copy 25 s later.
 func TestNewerVersionReportedAtStartIsNotedUntilApplied(t *testing.T) {
 	b := newBench(t)
 	b.now = 2 * time.Millisecond
