--- /dev/null
+++ b/internal/packetface/steer/listing_check.go
@@ -0,0 +1,30 @@
+package steer
+
+import (
+	"net/netip"
+	"time"
+
+	"github.com/saltbend/saltbend/internal/packetface/inner"
+)
+
+// An agent that receives nothing from any balancer asks one whether the store lists it.
+// The balancer answers with a poll, in which FlagUnlisted is set if it does not. A
+// balancer that has not reached the store lately does not answer, and the agent asks
+// another balancer or the store.
+
+// answerCheck polls a known agent that asks whether it is listed.
+func (c *Core) answerCheck(now time.Duration, a *agent) {
+	if c.tableFresh {
+		c.poll(now, a)
+	}
+}
+
+// pollUnknown polls an agent that neither the store lists nor this balancer knows.
+func (c *Core) pollUnknown(from netip.AddrPort) {
+	if !c.tableFresh {
+		return
+	}
+	start := len(c.buffer)
+	c.buffer = inner.AppendPoll(c.buffer, inner.Poll{Flags: inner.FlagStatus | inner.FlagUnlisted, Known: c.known()})
+	c.send(from, start)
+}
--- /dev/null
+++ b/internal/packetface/steer/sim_restarts_test.go
@@ -0,0 +1,117 @@
+package steer_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"github.com/saltbend/saltbend/internal/packetface/gate"
+	"github.com/saltbend/saltbend/platform"
+)
+
+// Starts and restarts of the simulated agents and upstreams.
+
+// newLife starts another instance of the upstream: with another id, or with the same id
+// and another start time, which is earlier if the host's clock was set back.
+func (s *simAgent) newLife(random *rand.Rand) {
+	life := s.lives[len(s.lives)-1]
+	switch random.IntN(4) {
+	case 0:
+		life.Born -= 1 + random.Int64N(5000)
+	case 1, 2:
+		life.Born += 1 + random.Int64N(5000)
+	case 3:
+		life.ID = fmt.Sprintf("%s-%d", s.addr, len(s.lives))
+	}
+	s.lives = append(s.lives, life)
+}
+
+func (w *simFleet) startAgent(s *simAgent) {
+	s.incarnation++
+	s.started = w.now
+	s.listedAt = w.now + time.Duration(w.random.Int64N(int64(50*time.Millisecond)))
+	s.gate = gate.New(gate.Settings{
+		Service: service, CallerPort: callerPort,
+		Times: gate.Times{DrainWithin: 3 * time.Second, FlowMaxAge: time.Minute, HeartbeatEvery: 1200 * time.Millisecond},
+	})
+}
+
+func (w *simFleet) heartbeat(s *simAgent) {
+	s.sequence++
+	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Life: s.lives[s.life], Slots: 2, Sequence: s.sequence, ColdFor: s.coldFor(w.now), Age: s.age(w.now)})
+	s.acknowledged = w.now
+	w.fromAgent(s, r)
+}
+
+// age returns how long ago the upstream started by its host's clock.
+func (s *simAgent) age(now time.Duration) time.Duration { return max(0, now-s.born+s.clockOffset) }
+
+// stepClock sets a host's clock back or ahead, by up to 2 s or up to 10 s.
+func (w *simFleet) stepClock(s *simAgent) {
+	maxStep := []time.Duration{2 * time.Second, 10 * time.Second}[w.random.IntN(2)]
+	s.clockOffset += time.Duration(w.random.Int64N(int64(2*maxStep))) - maxStep
+}
+
+// coldFor returns how long the upstream reports that it stays cold, 0 if it reports
+// nothing. A real upstream reports at once when it starts, repeats that until a report is
+// acknowledged, and reports again after a heartbeat's interval. A simulated upstream that
+// has not kept to these times reports nothing.
+func (s *simAgent) coldFor(now time.Duration) time.Duration {
+	unheard := s.acknowledged == 0 && now-max(s.born, s.started) <= retryTime
+	regular := s.acknowledged != 0 && now-s.acknowledged >= 1200*time.Millisecond
+	if !unheard && !regular {
+		return 0
+	}
+	return max(0, warmup-(now-s.born))
+}
+
+// restartAgents restarts all agents at once, as after a fault of all hosts that their
+// upstreams survive.
+func (w *simFleet) restartAgents() {
+	for _, s := range w.agents {
+		w.startAgent(s)
+		s.sequence = max(s.sequence, 1)
+	}
+}
+
+// losePower restarts everything at once, so that all flows are dead. Some upstreams
+// report at once, others late.
+func (w *simFleet) losePower() {
+	for _, s := range w.agents {
+		w.replaceUpstream(s, true)
+		s.sequence = w.random.Uint64N(3) // some reports were sent before the agent had started
+	}
+	w.now += time.Duration(w.random.IntN(60)) * time.Millisecond
+	for _, s := range w.agents {
+		w.startAgent(s)
+		if w.random.IntN(8) != 0 {
+			w.heartbeat(s)
+		}
+	}
+	for _, b := range w.balancers {
+		if !b.refused {
+			w.startBalancer(b)
+		}
+	}
+}
+
+// lateHeartbeat delivers a delayed heartbeat of an earlier instance of the upstream.
+func (w *simFleet) lateHeartbeat(s *simAgent) {
+	if s.life == 0 || s.sequence == 0 {
+		return // there is no earlier instance, or the present one has not reported yet
+	}
+	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Life: s.lives[w.random.IntN(s.life)], Slots: 2, Sequence: 2 + w.random.Uint64N(20)})
+	w.fromAgent(s, r)
+}
+
+// replaceUpstream ends the upstream and starts a new instance, which reports at once
+// unless late is set.
+func (w *simFleet) replaceUpstream(s *simAgent, late bool) {
+	s.newLife(w.random)
+	s.life++
+	s.sequence, s.born, s.acknowledged, s.clockOffset = 0, w.now, 0, 0
+	s.held = map[platform.Flow]bool{}
+	if !late {
+		w.heartbeat(s)
+	}
+}
--- a/internal/packetface/steer/steer_test.go
+++ b/internal/packetface/steer/steer_test.go
@@ -16,7 +16,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// bench drives one balancer's decisions.
+// bench drives the Core of one balancer.
 type bench struct {
 	*WithT
 	core *steer.Core
@@ -32,7 +32,7 @@
 	return newBenchWithout(t, nil, agents...)
 }
 
-// newBenchWithout returns a bench whose balancer does not make some decisions.
+// newBenchWithout returns a bench whose balancer has some policies switched off.
 func newBenchWithout(t *testing.T, off []string, agents ...steer.Agent) *bench {
 	b := &bench{WithT: NewWithT(t), now: time.Second}
 	policies, unknown := policy.Without(off)
@@ -47,13 +47,13 @@
 	return b
 }
 
-// listAge is that of a list whose newest entry is the store's last change.
+// listAge returns the age of a list whose newest entry is the store's last change.
 func listAge(revision store.Position) steer.ListAge {
 	return steer.ListAge{AsOf: revision, Newest: revision}
 }
 
-// at returns an agent of the service in a data centre.
-func at(n int, dataCentre string) steer.Agent {
+// agentAt returns an agent of the service in a data centre.
+func agentAt(n int, dataCentre string) steer.Agent {
 	return steer.Agent{Addr: address(n, 1), Service: inner.ServiceID(service), DataCentre: dataCentre, Slots: 4}
 }
 
@@ -81,7 +81,7 @@
 	b.fromAgent(n, inner.AppendAnswer(inner.AppendAnswerHead(nil, listing), inner.Answer{Flow: id, Verdict: verdict}))
 }
 
-// sent returns the agents that got a datagram of the kind.
+// sent returns the agents that were sent a datagram of the kind by the last call.
 func (b *bench) sent(kind inner.Kind) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, a := range b.last.Actions {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// notes returns the last notes of a kind.
+// notes returns the notes of a kind from the last call.
 func (b *bench) notes(kind steer.Kind) []steer.Note {
 	var out []steer.Note
 	for _, n := range b.last.Notes {
@@ -119,8 +119,8 @@
 	}
 }
 
-func TestUnknownFacesAreResetOnlyOnFreshKnowledge(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestUnknownFacesAreResetOnlyWithFreshConfiguration(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	id := caller(1)
 	id.FacePort = 80
 	b.callerSends(id, platform.FlagSYN, 0)
@@ -130,12 +130,12 @@
 	b.Expect(b.resets()).To(BeZero())
 }
 
-// Where a route's shares change, open flows stay, also at a balancer that has
-// never seen them; the agents of all services are asked.
-func TestOpenFlowsStayWhereSharesChange(t *testing.T) {
-	other := at(102, "a")
+// When a route's shares change, open flows stay, also at a balancer that has never
+// received a packet of them; the agents of all services are asked.
+func TestOpenFlowsStayWhenSharesChange(t *testing.T) {
+	other := agentAt(102, "a")
 	other.Service = inner.ServiceID("other")
-	b := newBench(t, at(101, "a"), other)
+	b := newBench(t, agentAt(101, "a"), other)
 	b.status(101, inner.Status{})
 	b.status(102, inner.Status{})
 	b.callerSends(caller(1), platform.FlagSYN, 0)
@@ -159,8 +159,8 @@
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{address(101, 1)}))
 }
 
-func TestBadPacketsAreRefused(t *testing.T) {
-	b := newBench(t, at(101, "a"))
+func TestMalformedDatagramsAreRejected(t *testing.T) {
+	b := newBench(t, agentAt(101, "a"))
 	_, err := b.core.FromCaller(b.now, []byte("short"))
 	b.Expect(err).To(HaveOccurred())
 	for _, datagram := range [][]byte{nil, {99}, {byte(inner.KindStatus)}, inner.AppendReturned(nil, inner.Returned{Reason: 1}, []byte("short"))} {
