--- a/internal/packetface/gate/answer.go
+++ b/internal/packetface/gate/answer.go
@@ -66,10 +66,10 @@
 // its data.
 func (g *Gate) Era() uint64 { return g.listing().Era() }
 
-// SetSeen records the store's position at which this process itself last read or wrote its
+// SetOwnPosition records the store's position at which this process itself last read or wrote its
 // entry. It sends the status to all balancers at once, because some may have removed the
 // agent from their tables while it was silent.
-func (g *Gate) SetSeen(now time.Duration, at store.Position) *Result {
+func (g *Gate) SetOwnPosition(now time.Duration, at store.Position) *Result {
 	g.resetResult()
 	g.ownPosition = at
 	g.announce(now)
--- a/internal/packetface/gate/gate_test.go
+++ b/internal/packetface/gate/gate_test.go
@@ -153,7 +153,7 @@
 }
 
 func (b *bench) setListing() {
-	b.gate.SetSeen(b.now, 5)
+	b.gate.SetOwnPosition(b.now, 5)
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 5}}))
 }
 
@@ -173,7 +173,7 @@
 			b.heartbeat("i-1", true)
 			b.now += 2500 * time.Millisecond
 		}, inner.Open{Flags: inner.FlagMust}, inner.ReasonDraining},
-		{"left", func(b *bench) { b.gate.Left(b.now, platform.Life{ID: "i-1"}) }, inner.Open{Flags: inner.FlagMust}, inner.ReasonDown},
+		{"left", func(b *bench) { b.gate.HandleLeave(b.now, platform.Life{ID: "i-1"}) }, inner.Open{Flags: inner.FlagMust}, inner.ReasonDown},
 		{"silent", func(b *bench) {
 			b.now += 5 * second
 			b.gate.Tick(b.now)
@@ -302,10 +302,10 @@
 	b.begin("i-1")
 	b.open(flow(1))
 	b.now += 10 * time.Millisecond
-	b.last = b.gate.Refused(b.now)
+	b.last = b.gate.HandleRefusedPacket(b.now)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.now += 50 * time.Millisecond
-	b.last = b.gate.Refused(b.now)
+	b.last = b.gate.HandleRefusedPacket(b.now)
 	b.Expect(resets(b)).To(Equal([]platform.Flow{flow(1)}))
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateDown))
 	b.Expect(b.gate.Registration().Listed).To(BeFalse())
@@ -316,7 +316,7 @@
 	b.begin("i-1")
 	b.open(flow(1))
 	b.now += 10 * time.Millisecond
-	b.gate.Left(b.now, platform.Life{ID: "i-1"})
+	b.gate.HandleLeave(b.now, platform.Life{ID: "i-1"})
 	b.last = b.gate.Tick(b.now)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.now += 300 * time.Millisecond
--- a/internal/packetface/gate/idle.go
+++ b/internal/packetface/gate/idle.go
@@ -103,9 +103,9 @@
 	return &g.out
 }
 
-// TakeAlone reports whether checks have been left unanswered by all balancers since the
-// last call of TakeAlone.
-func (g *Gate) TakeAlone() bool {
+// TakeNoBalancerAnswered reports whether checks have been left unanswered by all balancers since the
+// last call of TakeNoBalancerAnswered.
+func (g *Gate) TakeNoBalancerAnswered() bool {
 	allSilent := g.idle.allSilent
 	g.idle.allSilent = false
 	return allSilent
--- a/internal/packetface/gate/idle_test.go
+++ b/internal/packetface/gate/idle_test.go
@@ -24,7 +24,7 @@
 				NewWithT(t).Expect(err).NotTo(HaveOccurred())
 			}
 		}
-		if g.TakeAlone() {
+		if g.TakeNoBalancerAnswered() {
 			alone++
 		}
 	}
--- a/internal/packetface/gate/instance_test.go
+++ b/internal/packetface/gate/instance_test.go
@@ -145,7 +145,7 @@
 	b.now += second
 	b.heartbeatOf("a", 2, service)
 	other := platform.Heartbeat{Life: platform.Life{ID: "b"}, Service: "other", Slots: slots, Sequence: 1}
-	_, contested := b.gate.Contest(b.now, other)
+	_, contested := b.gate.HandleUncheckedHeartbeat(b.now, other)
 	b.Expect(contested).To(BeTrue())
 	for _, name := range []string{service, "other"} {
 		b.opening(flow(1), inner.Open{Service: inner.ServiceID(name), Flags: inner.FlagMust})
@@ -157,6 +157,6 @@
 	b.Expect(b.upstreamID()).To(Equal("a"))
 
 	b.now += 2 * second
-	_, contested = b.gate.Contest(b.now, other)
+	_, contested = b.gate.HandleUncheckedHeartbeat(b.now, other)
 	b.Expect(contested).To(BeFalse(), "the current instance is overdue")
 }
--- a/internal/packetface/gate/restart_test.go
+++ b/internal/packetface/gate/restart_test.go
@@ -77,12 +77,12 @@
 	b := running(t)
 	b.heartbeatBorn(born+45_000, 1)
 	b.open(flow(2))
-	b.gate.Left(b.now, platform.Life{ID: "i-1", Born: born})
+	b.gate.HandleLeave(b.now, platform.Life{ID: "i-1", Born: born})
 	b.now += second
 	b.last = b.gate.Tick(b.now)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateReady))
-	b.gate.Left(b.now, platform.Life{ID: "i-1", Born: born + 45_000})
+	b.gate.HandleLeave(b.now, platform.Life{ID: "i-1", Born: born + 45_000})
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateDown))
 }
 
--- a/internal/packetface/gate/start_test.go
+++ b/internal/packetface/gate/start_test.go
@@ -19,7 +19,7 @@
 	b := newBench(t)
 	b.heartbeat("i-1", false)
 	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnsure))
-	b.last = b.gate.SetSeen(b.now, 30)
+	b.last = b.gate.SetOwnPosition(b.now, 30)
 	b.balancerSends(inner.AppendAsk(nil, inner.AskHead{}, []inner.Question{{Flow: flow(1)}}))
 	answers, listing, err := inner.ParseAnswers(nil, b.last.Actions[0].Bytes)
 	b.Expect(err).NotTo(HaveOccurred())
@@ -31,7 +31,7 @@
 // balancer reported it later.
 func TestStatusContainsTheNewestStorePosition(t *testing.T) {
 	b := newBench(t)
-	b.gate.SetSeen(b.now, 30)
+	b.gate.SetOwnPosition(b.now, 30)
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 20, Version: 4}}))
 	b.Expect(b.gate.Status(b.now).Known).To(Equal(inner.Known{Version: 4, Listing: 30}))
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 40}}))
--- a/internal/packetface/gate/unobserved_start_test.go
+++ b/internal/packetface/gate/unobserved_start_test.go
@@ -31,7 +31,7 @@
 func TestUpstreamThatHasJustStartedHoldsNoUnknownFlow(t *testing.T) {
 	for _, warmupFirst := range []bool{true, false} {
 		b := newBench(t)
-		b.gate.SetSeen(b.now, 5)
+		b.gate.SetOwnPosition(b.now, 5)
 		if warmupFirst {
 			b.pollWithWarmup()
 		}
@@ -52,7 +52,7 @@
 // packet.
 func TestDifferentWarmUpIsNotAnnouncedAgain(t *testing.T) {
 	b := newBench(t)
-	b.gate.SetSeen(b.now, 5)
+	b.gate.SetOwnPosition(b.now, 5)
 	b.pollWithWarmup()
 	b.heartbeatAtAge(3, 90*time.Millisecond)
 	for n := range 6 {
@@ -78,9 +78,9 @@
 		}},
 		{"the upstream had counted as down", func(b *bench) {
 			b.heartbeatAtAge(2, 10*time.Millisecond)
-			b.gate.Refused(b.now)
+			b.gate.HandleRefusedPacket(b.now)
 			b.now += 100 * time.Millisecond
-			b.gate.Refused(b.now)
+			b.gate.HandleRefusedPacket(b.now)
 			b.heartbeatAtAge(3, 110*time.Millisecond)
 			b.pollWithWarmup()
 		}},
@@ -88,7 +88,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t)
-			b.gate.SetSeen(b.now, 5)
+			b.gate.SetOwnPosition(b.now, 5)
 			c.prepare(b)
 			b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
 		})
@@ -114,7 +114,7 @@
 // would count as just started, and its flows as dead.
 func TestHostClockAloneDoesNotProveARecentStart(t *testing.T) {
 	b := newBench(t)
-	b.gate.SetSeen(b.now, 5)
+	b.gate.SetOwnPosition(b.now, 5)
 	const actualAge, ageByClock = 900 * time.Millisecond, 100 * time.Millisecond
 	_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{
 		Life: platform.Life{ID: "i-1"}, Slots: slots, Sequence: 2, ColdFor: warmup - actualAge, Age: ageByClock,
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -69,8 +69,8 @@
 	return &g.out, true
 }
 
-// Left handles the announcement of an instance of the upstream that it ends.
-func (g *Gate) Left(now time.Duration, instance platform.Life) (result *Result, ok bool) {
+// HandleLeave handles the announcement of an instance of the upstream that it ends.
+func (g *Gate) HandleLeave(now time.Duration, instance platform.Life) (result *Result, ok bool) {
 	g.resetResult()
 	if !g.upstream.endedBy(instance) {
 		g.note(now, Note{Kind: KindUpstream, Reason: "ignored outdated leave of " + instance.String()})
@@ -89,9 +89,9 @@
 	return instance.Same(u.instance) || instance.ID == u.instance.ID && instance.Born > u.instance.Born
 }
 
-// Refused handles a packet to the upstream that was refused because no socket listened.
+// HandleRefusedPacket handles a packet to the upstream that was refused because no socket listened.
 // Several in a row, refusalSpan apart, show that the upstream has ended.
-func (g *Gate) Refused(now time.Duration) *Result {
+func (g *Gate) HandleRefusedPacket(now time.Duration) *Result {
 	g.resetResult()
 	u := &g.upstream
 	if u.refused == 0 {
--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -144,7 +144,7 @@
 func (a *agent) onStorePosition(at store.Position) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.apply(a.core.SetSeen(a.clock(), at))
+	a.apply(a.core.SetOwnPosition(a.clock(), at))
 	if !a.ready {
 		a.ready = true
 		a.log.Info("Ready.", "at", at, "after_ms", a.clock().Milliseconds())
@@ -214,7 +214,7 @@
 
 // onRefused informs the core that the upstream's port is closed. The caller holds mu.
 func (a *agent) onRefused() {
-	a.apply(a.core.Refused(a.clock()))
+	a.apply(a.core.HandleRefusedPacket(a.clock()))
 	a.updateRegistration()
 }
 
@@ -245,7 +245,7 @@
 	if a.registration.Listed {
 		a.apply(a.core.CheckListed(now, a.registry.Quiet()))
 	}
-	if a.core.TakeAlone() {
+	if a.core.TakeNoBalancerAnswered() {
 		a.registry.Idle()
 	}
 }
@@ -276,7 +276,7 @@
 		return true // acknowledged so that its sender does not repeat it
 	}
 	if known == serviceUnknown {
-		result, contested := a.core.Contest(a.clock(), beat)
+		result, contested := a.core.HandleUncheckedHeartbeat(a.clock(), beat)
 		a.apply(result)
 		if contested {
 			return false
@@ -292,7 +292,7 @@
 func (a *agent) Left(life platform.Life) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	result, ok := a.core.Left(a.clock(), life)
+	result, ok := a.core.HandleLeave(a.clock(), life)
 	a.apply(result)
 	a.updateRegistration()
 	return ok
--- a/internal/packetface/steer/sim_fleet_test.go
+++ b/internal/packetface/steer/sim_fleet_test.go
@@ -160,7 +160,7 @@
 func (w *simFleet) registerAgent(s *simAgent) {
 	s.listedAt = 0
 	if s.incarnation > 1 && !s.entryLost {
-		w.fromAgent(s, s.gate.SetSeen(w.now, w.revision))
+		w.fromAgent(s, s.gate.SetOwnPosition(w.now, w.revision))
 		return
 	}
 	w.writeEntry(s)
@@ -171,7 +171,7 @@
 func (w *simFleet) writeEntry(s *simAgent) {
 	s.entryLost = false
 	w.revision++
-	w.fromAgent(s, s.gate.SetSeen(w.now, w.revision))
+	w.fromAgent(s, s.gate.SetOwnPosition(w.now, w.revision))
 	for _, b := range w.balancers {
 		if !b.refused && b.readsAt == 0 {
 			w.sendList(b, nil)
--- a/internal/packetface/steer/store_restore_test.go
+++ b/internal/packetface/steer/store_restore_test.go
@@ -65,7 +65,7 @@
 		s.era, s.verifyAt = era, w.now+time.Duration(w.random.Int64N(int64(maxVerifyTime)))
 	}
 	w.fromAgent(s, s.gate.CheckListed(w.now, true))
-	alone := s.gate.TakeAlone()
+	alone := s.gate.TakeNoBalancerAnswered()
 	if s.entryLost && s.listedAt == 0 && (s.gate.TakeUnlisted() || alone) && (s.verifyAt == 0 || s.verifyAt > soon) {
 		s.verifyAt = soon
 	}
@@ -77,7 +77,7 @@
 		w.writeEntry(s)
 		return
 	}
-	w.fromAgent(s, s.gate.SetSeen(w.now, w.revision))
+	w.fromAgent(s, s.gate.SetOwnPosition(w.now, w.revision))
 }
 
 // The same property while the store is restored from copies, also twice in a row and
