--- a/internal/packetface/admission/burst_test.go
+++ b/internal/packetface/admission/burst_test.go
@@ -100,7 +100,7 @@
 	seen := now - a.copy
 	q := admission.Request{Rank: a.kind.rank, Arrived: now, Asked: seen, Aim: a.kind.aim, Timeout: a.kind.timeout}
 	q.EarliestAttempt = seen
-	if !r.ignoreRetries && admission.MayRepeat(seen-a.back) {
+	if !r.ignoreRetries && admission.MayBeRetry(seen-a.back) {
 		q.EarliestAttempt -= admission.RetryInterval
 	}
 	r.queue.Add(q, a)
--- a/internal/packetface/admission/retry.go
+++ b/internal/packetface/admission/retry.go
@@ -31,10 +31,10 @@
 	outageMargin = 400 * time.Millisecond
 )
 
-// MayRepeat reports whether a flow may be a retry of a request that its caller has made
+// MayBeRetry reports whether a flow may be a retry of a request that its caller has made
 // before. began is the time from the start of the flow's balancer to the beginning of the
 // flow, negative if the flow began before. Retries end when those callers have been served
 // whose last retransmission reached the balancer after its start.
-func MayRepeat(began time.Duration) bool {
+func MayBeRetry(began time.Duration) bool {
 	return began >= -outageMargin && began <= attemptTime+longestPause-platform.LastCopyAge
 }
--- a/internal/packetface/steer/placement.go
+++ b/internal/packetface/steer/placement.go
@@ -55,7 +55,7 @@
 // sent before.
 func (c *Core) mayRepeat(now time.Duration, b []byte) bool {
 	p, err := platform.ParsePacket(b)
-	return err == nil && c.settings.Policies.On(policy.Repetition) && admission.MayRepeat(now-p.CopyAge())
+	return err == nil && c.settings.Policies.On(policy.Repetition) && admission.MayBeRetry(now-p.CopyAge())
 }
 
 // silentSincePlaced reports whether the agent has sent nothing since it was sent the
