--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -24,8 +24,8 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Word is the evacuation state of one data centre as known to a process.
-type Word struct {
+// State is the evacuation state of one data centre as known to a process.
+type State struct {
 	// Evacuated is true if no new flow may be sent to the data centre.
 	Evacuated bool
 	// AsOf is the store's position up to which all changes are included, 0 if none are.
@@ -35,7 +35,7 @@
 // Newer returns the state with the later position. If the positions are equal, it returns
 // the evacuated one: if a withdrawal takes effect late, there are only fewer upstreams to
 // choose from, whereas ignoring a request breaks the guarantee given to operators.
-func (w Word) Newer(o Word) Word {
+func (w State) Newer(o State) State {
 	if o.AsOf > w.AsOf || o.AsOf == w.AsOf && o.Evacuated {
 		return o
 	}
@@ -148,9 +148,9 @@
 	return changed
 }
 
-// Inherit copies from the previous Record what a new read of the store does not disprove:
+// CarryOver copies from the previous Record what a new read of the store does not disprove:
 // requests of earlier eras, as long as operators may still write them again.
-func (r *Record) Inherit(before *Record) {
+func (r *Record) CarryOver(before *Record) {
 	if before.asOf.SameEra(r.asOf) {
 		r.unsettled, r.withdrawn = before.unsettled, maps.Clone(before.withdrawn)
 	}
@@ -168,23 +168,23 @@
 	maps.DeleteFunc(r.requests, func(_ string, at store.Position) bool { return !at.SameEra(r.asOf) })
 }
 
-// Word returns the state of a data centre. It is the zero Word if no request is known but,
+// State returns the state of a data centre. It is the zero State if no request is known but,
 // in an unsettled era, that does not prove that there is none.
-func (r *Record) Word(dataCentre string) Word {
+func (r *Record) State(dataCentre string) State {
 	at, requested := r.requests[dataCentre]
 	switch {
 	case requested && !at.SameEra(r.asOf) && r.unsettled:
-		return Word{Evacuated: true, AsOf: at}
+		return State{Evacuated: true, AsOf: at}
 	case !requested && r.unsettled && !r.withdrawn[dataCentre]:
-		return Word{}
+		return State{}
 	}
-	return Word{Evacuated: requested, AsOf: max(r.asOf, at)}
+	return State{Evacuated: requested, AsOf: max(r.asOf, at)}
 }
 
-// Weigh returns the effective state of a data centre, given the state received from another
+// Resolve returns the effective state of a data centre, given the state received from another
 // process. Within an era, a request that is missing at a later position has been withdrawn.
-func (r *Record) Weigh(dataCentre string, heard Word) Word {
-	own := r.Word(dataCentre)
+func (r *Record) Resolve(dataCentre string, heard State) State {
+	own := r.State(dataCentre)
 	if own.AsOf == 0 && heard.AsOf != 0 && heard.AsOf.SameEra(r.asOf) {
 		own.AsOf = r.asOf
 	}
--- a/internal/packetface/evacuation/evacuation_test.go
+++ b/internal/packetface/evacuation/evacuation_test.go
@@ -29,7 +29,7 @@
 	history := []evacuation.Change{requested("a", 10), withdrawn("a", 15)}
 	g.Expect(r.Apply(history, 20)).To(BeTrue())
 	g.Expect(r.Apply(history[:1], 12)).To(BeFalse())
-	g.Expect(r.Word("a")).To(Equal(evacuation.Word{AsOf: 20}))
+	g.Expect(r.State("a")).To(Equal(evacuation.State{AsOf: 20}))
 }
 
 // A balancer that the store refuses may still distribute its old copy.
@@ -46,7 +46,7 @@
 	var r evacuation.Record
 	r.Apply([]evacuation.Change{requested("a", 10)}, 10)
 	g.Expect(r.Replace(nil, 30)).To(BeTrue())
-	g.Expect(r.Word("a")).To(Equal(evacuation.Word{AsOf: 30}))
+	g.Expect(r.State("a")).To(Equal(evacuation.State{AsOf: 30}))
 }
 
 // The pages of a read of the store are not taken at one moment: an entry may be newer than
@@ -55,18 +55,18 @@
 	g := NewWithT(t)
 	var r evacuation.Record
 	g.Expect(r.Replace([]evacuation.Request{request("a", 25)}, 20)).To(BeTrue())
-	g.Expect(r.Word("a")).To(Equal(evacuation.Word{Evacuated: true, AsOf: 25}))
+	g.Expect(r.State("a")).To(Equal(evacuation.State{Evacuated: true, AsOf: 25}))
 	r.Apply([]evacuation.Change{requested("a", 18), withdrawn("a", 22), requested("a", 25)}, 26)
-	g.Expect(r.Word("a").Evacuated).To(BeTrue())
+	g.Expect(r.State("a").Evacuated).To(BeTrue())
 }
 
 func TestNewerReturnsTheStateWithTheLaterPosition(t *testing.T) {
 	g := NewWithT(t)
-	old := evacuation.Word{Evacuated: true, AsOf: 10}
-	withdrawnWord := evacuation.Word{AsOf: 15}
+	old := evacuation.State{Evacuated: true, AsOf: 10}
+	withdrawnWord := evacuation.State{AsOf: 15}
 	g.Expect(old.Newer(withdrawnWord)).To(Equal(withdrawnWord))
 	g.Expect(withdrawnWord.Newer(old)).To(Equal(withdrawnWord))
-	g.Expect(evacuation.Word{AsOf: 10}.Newer(old)).To(Equal(old))
+	g.Expect(evacuation.State{AsOf: 10}.Newer(old)).To(Equal(old))
 }
 
 // history is a sequence of an operator's changes.
@@ -127,7 +127,7 @@
 				standing[q.DataCentre] = true
 			}
 			for _, name := range dataCentres {
-				word := r.Word(name)
+				word := r.State(name)
 				if word.AsOf != newest || word.Evacuated != standing[name] {
 					t.Fatalf("%s as of %d: %+v, evacuated: %v", name, newest, word, standing[name])
 				}
--- a/internal/packetface/evacuation/return_test.go
+++ b/internal/packetface/evacuation/return_test.go
@@ -24,12 +24,12 @@
 	r.Apply([]evacuation.Change{requested("a", store.At(1, 50))}, store.At(1, 52))
 	var copied evacuation.Record
 	copied.Replace(nil, store.At(2, 48))
-	copied.Inherit(&r)
-	g.Expect(copied.Word("a")).To(Equal(evacuation.Word{Evacuated: true, AsOf: store.At(1, 50)}))
+	copied.CarryOver(&r)
+	g.Expect(copied.State("a")).To(Equal(evacuation.State{Evacuated: true, AsOf: store.At(1, 50)}))
 	copied.Apply([]evacuation.Change{requested("a", store.At(2, 49))}, store.At(2, 49))
-	g.Expect(copied.Word("a")).To(Equal(evacuation.Word{Evacuated: true, AsOf: store.At(2, 49)}))
+	g.Expect(copied.State("a")).To(Equal(evacuation.State{Evacuated: true, AsOf: store.At(2, 49)}))
 	copied.Apply([]evacuation.Change{withdrawn("a", store.At(2, 50))}, store.At(2, 50))
-	g.Expect(copied.Word("a")).To(Equal(evacuation.Word{AsOf: store.At(2, 50)}), "the withdrawal takes effect at once")
+	g.Expect(copied.State("a")).To(Equal(evacuation.State{AsOf: store.At(2, 50)}), "the withdrawal takes effect at once")
 }
 
 // A request that operators do not write again is dropped by Settle.
@@ -38,11 +38,11 @@
 	var r evacuation.Record
 	r.Apply([]evacuation.Change{requested("a", store.At(1, 50))}, store.At(1, 52))
 	r.Replace(nil, store.At(2, 60))
-	g.Expect(r.Word("a").Evacuated).To(BeTrue())
+	g.Expect(r.State("a").Evacuated).To(BeTrue())
 	r.Settle()
-	g.Expect(r.Word("a")).To(Equal(evacuation.Word{AsOf: store.At(2, 60)}))
+	g.Expect(r.State("a")).To(Equal(evacuation.State{AsOf: store.At(2, 60)}))
 	r.Replace(nil, store.At(4, 1)) // the store has returned twice
-	g.Expect(r.Word("a")).To(Equal(evacuation.Word{}), "absence proves nothing in the new era")
+	g.Expect(r.State("a")).To(Equal(evacuation.State{}), "absence proves nothing in the new era")
 }
 
 // A process that starts between the store's return and the rewriting does not know the
@@ -52,14 +52,14 @@
 	g := NewWithT(t)
 	var started evacuation.Record
 	started.Replace(nil, store.At(2, 55))
-	before := evacuation.Word{Evacuated: true, AsOf: store.At(1, 60)}
-	g.Expect(started.Word("a")).To(Equal(evacuation.Word{}))
-	g.Expect(started.Weigh("a", before)).To(Equal(before))
-	g.Expect(started.Weigh("a", evacuation.Word{Evacuated: true, AsOf: store.At(2, 50)})).To(Equal(evacuation.Word{AsOf: store.At(2, 55)}))
-	newer := evacuation.Word{Evacuated: true, AsOf: store.At(2, 56)}
-	g.Expect(started.Weigh("a", newer)).To(Equal(newer))
+	before := evacuation.State{Evacuated: true, AsOf: store.At(1, 60)}
+	g.Expect(started.State("a")).To(Equal(evacuation.State{}))
+	g.Expect(started.Resolve("a", before)).To(Equal(before))
+	g.Expect(started.Resolve("a", evacuation.State{Evacuated: true, AsOf: store.At(2, 50)})).To(Equal(evacuation.State{AsOf: store.At(2, 55)}))
+	newer := evacuation.State{Evacuated: true, AsOf: store.At(2, 56)}
+	g.Expect(started.Resolve("a", newer)).To(Equal(newer))
 	started.Settle()
-	g.Expect(started.Weigh("a", before)).To(Equal(evacuation.Word{AsOf: store.At(2, 55)}))
+	g.Expect(started.Resolve("a", before)).To(Equal(evacuation.State{AsOf: store.At(2, 55)}))
 }
 
 // operators simulates a store that returns from copies, and operators who write the lost
@@ -124,7 +124,7 @@
 			if rapid.Bool().Draw(t, "anew") {
 				var read evacuation.Record
 				read.Replace(all, asOf)
-				read.Inherit(&r)
+				read.CarryOver(&r)
 				r = read
 			} else {
 				r.Replace(all, asOf)
@@ -152,7 +152,7 @@
 				learn()
 			}
 			for name, is := range known {
-				if is && !r.Word(name).Evacuated {
+				if is && !r.State(name).Evacuated {
 					t.Fatalf("%s is no longer evacuated: %+v", name, r)
 				}
 			}
@@ -163,7 +163,7 @@
 		learn()
 		r.Settle()
 		for _, name := range dataCentres {
-			if word := r.Word(name); word.Evacuated != o.wanted[name] {
+			if word := r.State(name); word.Evacuated != o.wanted[name] {
 				t.Fatalf("%s: %+v, wanted %v, %s", name, word, o.wanted[name], fmt.Sprint(o.history))
 			}
 		}
--- a/internal/packetface/gate/evacuated.go
+++ b/internal/packetface/gate/evacuated.go
@@ -15,7 +15,7 @@
 
 // updateEvacuation applies the evacuation state of the data centre as sent by a balancer,
 // and notifies all balancers if it changes what the agent does.
-func (g *Gate) updateEvacuation(now time.Duration, from netip.AddrPort, word evacuation.Word) {
+func (g *Gate) updateEvacuation(now time.Duration, from netip.AddrPort, word evacuation.State) {
 	before := g.evacuation
 	g.evacuation = before.Newer(word)
 	if g.evacuation.Evacuated == before.Evacuated {
--- a/internal/packetface/gate/evacuated_test.go
+++ b/internal/packetface/gate/evacuated_test.go
@@ -12,11 +12,11 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-func evacuated(asOf store.Position) evacuation.Word {
-	return evacuation.Word{Evacuated: true, AsOf: asOf}
+func evacuated(asOf store.Position) evacuation.State {
+	return evacuation.State{Evacuated: true, AsOf: asOf}
 }
 
-func (b *bench) poll(word evacuation.Word) {
+func (b *bench) poll(word evacuation.State) {
 	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Evacuation: word}))
 }
 
@@ -37,7 +37,7 @@
 	b := newBench(t)
 	b.begin("i-1")
 	b.poll(evacuated(20))
-	b.opening(flow(1), inner.Open{Flags: inner.FlagMust, Evacuation: evacuation.Word{AsOf: 10}})
+	b.opening(flow(1), inner.Open{Flags: inner.FlagMust, Evacuation: evacuation.State{AsOf: 10}})
 	b.Expect(b.toUpstream()).To(BeZero())
 	b.Expect(b.returned()).To(Equal(inner.ReasonEvacuated))
 	b.Expect(b.lastStatus().Evacuation).To(Equal(evacuated(20)), "the balancer receives the evacuation")
@@ -63,10 +63,10 @@
 	b := newBench(t)
 	b.begin("i-1")
 	b.poll(evacuated(20))
-	b.opening(flow(1), inner.Open{Evacuation: evacuation.Word{AsOf: 30}})
+	b.opening(flow(1), inner.Open{Evacuation: evacuation.State{AsOf: 30}})
 	b.Expect(b.toUpstream()).To(Equal(1), "the opening packet carries the withdrawal")
 	b.poll(evacuated(20))
-	b.opening(flow(2), inner.Open{Evacuation: evacuation.Word{AsOf: 30}})
+	b.opening(flow(2), inner.Open{Evacuation: evacuation.State{AsOf: 30}})
 	b.Expect(b.toUpstream()).To(Equal(1), "an older evacuation state is ignored")
 }
 
@@ -74,7 +74,7 @@
 func TestEvacuationIsSentToBalancers(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
-	b.poll(evacuation.Word{})
+	b.poll(evacuation.State{})
 	b.poll(evacuated(20))
 	b.Expect(b.lastStatus().Evacuation).To(Equal(evacuated(20)))
 	var notes []gate.Note
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -231,7 +231,7 @@
 	known     inner.Known
 	cold      cold
 	// evacuation is the newest evacuation state of the data centre.
-	evacuation evacuation.Word
+	evacuation evacuation.State
 	// source is the host of the balancer that reported the newest configuration version,
 	// store position or evacuation state.
 	source [4]byte
--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -81,7 +81,7 @@
 	Known Known
 	// Evacuation is the balancer's information on whether the agent's data centre is
 	// evacuated.
-	Evacuation evacuation.Word
+	Evacuation evacuation.State
 	// Cold describes how the service's upstreams warm up.
 	Cold Cold
 }
@@ -104,7 +104,7 @@
 	Service uint64
 	// Known, Evacuation and Cold have the same meaning as in Open.
 	Known      Known
-	Evacuation evacuation.Word
+	Evacuation evacuation.State
 	Cold       Cold
 }
 
@@ -150,7 +150,7 @@
 	Cold bool
 	// Evacuation is the latest information that the agent has on whether its data centre
 	// is evacuated.
-	Evacuation evacuation.Word
+	Evacuation evacuation.State
 	// Answer is the recent time from a request to its response, in steps of 1 ms up to 65
 	// s; 0 if there was none.
 	Answer time.Duration
@@ -358,7 +358,7 @@
 	return Cold{Rate: binary.BigEndian.Uint16(b), Warmup: parseMillis(b[2:])}
 }
 
-func appendEvacuation(b []byte, w evacuation.Word) []byte {
+func appendEvacuation(b []byte, w evacuation.State) []byte {
 	evacuated := byte(0)
 	if w.Evacuated {
 		evacuated = 1
@@ -366,8 +366,8 @@
 	return appendPosition(append(b, evacuated), w.AsOf)
 }
 
-func parseEvacuation(b []byte) evacuation.Word {
-	return evacuation.Word{Evacuated: b[0] != 0, AsOf: parsePosition(b[1:])}
+func parseEvacuation(b []byte) evacuation.State {
+	return evacuation.State{Evacuated: b[0] != 0, AsOf: parsePosition(b[1:])}
 }
 
 func appendFlow(b []byte, f platform.Flow) []byte {
--- a/internal/packetface/inner/inner_test.go
+++ b/internal/packetface/inner/inner_test.go
@@ -29,8 +29,8 @@
 	return inner.Cold{Rate: rapid.Uint16().Draw(t, "rate"), Warmup: time.Duration(rapid.Uint16().Draw(t, "warmup")) * time.Millisecond}
 }
 
-func drawEvacuation(t *rapid.T) evacuation.Word {
-	return evacuation.Word{Evacuated: rapid.Bool().Draw(t, "evacuated"), AsOf: store.Position(rapid.Uint64().Draw(t, "as of"))}
+func drawEvacuation(t *rapid.T) evacuation.State {
+	return evacuation.State{Evacuated: rapid.Bool().Draw(t, "evacuated"), AsOf: store.Position(rapid.Uint64().Draw(t, "as of"))}
 }
 
 func TestParsedDatagramsEqualWhatWasAppended(t *testing.T) {
--- a/internal/packetface/registry/evacuations_test.go
+++ b/internal/packetface/registry/evacuations_test.go
@@ -26,7 +26,7 @@
 	l, unreadable := registry.NewListing([]platform.Item{evacuate("a", 5)}, 7)
 	g.Expect(unreadable).To(BeEmpty())
 	record := l.Evacuations()
-	g.Expect(record.Word("a")).To(Equal(evacuation.Word{Evacuated: true, AsOf: 7}))
+	g.Expect(record.State("a")).To(Equal(evacuation.State{Evacuated: true, AsOf: 7}))
 	l.Apply([]platform.Item{withdraw("a", 9), evacuate("b", 10)}, 10)
 	record = l.Evacuations()
 	g.Expect(record.Requests()).To(Equal([]evacuation.Request{{DataCentre: "b", At: 10}}))
@@ -40,7 +40,7 @@
 	item.Value = nil
 	l, _ := registry.NewListing([]platform.Item{item}, 5)
 	record := l.Evacuations()
-	g.Expect(record.Word("nowhere").Evacuated).To(BeTrue())
+	g.Expect(record.State("nowhere").Evacuated).To(BeTrue())
 }
 
 // A balancer whose calls the store refuses takes the evacuations from a newer listing of
@@ -69,5 +69,5 @@
 	l.Merge(over.Shared())
 	l.Apply([]platform.Item{evacuate("a", 5)}, 6)
 	record := l.Evacuations()
-	g.Expect(record.Word("a").Evacuated).To(BeFalse())
+	g.Expect(record.State("a").Evacuated).To(BeFalse())
 }
--- a/internal/packetface/registry/listing.go
+++ b/internal/packetface/registry/listing.go
@@ -151,7 +151,7 @@
 	if config, ok := before.entries[platform.ConfigKey]; ok {
 		l.applyConfig(config) // an older one is ignored without an error
 	}
-	l.evacuations.Inherit(&before.evacuations)
+	l.evacuations.CarryOver(&before.evacuations)
 	l.settle()
 }
 
--- a/internal/packetface/role/evacuations.go
+++ b/internal/packetface/role/evacuations.go
@@ -62,7 +62,7 @@
 	}
 	for _, dataCentre := range ended {
 		evacuationChanges[false].Inc()
-		b.log.Info("Data centre taken back.", "dc", dataCentre, "as_of", record.Word(dataCentre).AsOf)
+		b.log.Info("Data centre taken back.", "dc", dataCentre, "as_of", record.State(dataCentre).AsOf)
 	}
 	b.apply(b.core.SetEvacuations(now, record))
 }
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -95,7 +95,7 @@
 	// questions are waiting to be sent to the agent.
 	questions []inner.Question
 	// evacuation is the newest known evacuation state of its data centre.
-	evacuation evacuation.Word
+	evacuation evacuation.State
 	// requiredListing is a position of the list of agents. The agent is polled until it
 	// reports that it knows of this position.
 	requiredListing store.Position
@@ -265,13 +265,13 @@
 	}
 	if a == nil {
 		delete(c.roster.removed, entry.Addr)
-		a = &agent{Agent: entry, evacuation: c.evacuations.Word(entry.DataCentre)}
+		a = &agent{Agent: entry, evacuation: c.evacuations.State(entry.DataCentre)}
 		c.roster.add(a)
 		c.note(Note{Kind: KindListed, Agent: a.Addr, Reason: entry.DataCentre})
 		return true
 	}
 	if a.DataCentre != entry.DataCentre {
-		a.evacuation = c.evacuations.Word(entry.DataCentre)
+		a.evacuation = c.evacuations.State(entry.DataCentre)
 	}
 	a.Agent, a.unlistedSince = entry, 0
 	return false
--- a/internal/packetface/steer/evacuation_test.go
+++ b/internal/packetface/steer/evacuation_test.go
@@ -74,7 +74,7 @@
 		for _, to := range b.sent(inner.KindPoll) {
 			polls++
 			host := to.Addr().As4()
-			b.status(int(host[2])<<8+int(host[3]), inner.Status{Slots: 4, Known: inner.Known{Listing: 1}, Balancers: balancers, Evacuation: evacuation.Word{Evacuated: true, AsOf: 5}})
+			b.status(int(host[2])<<8+int(host[3]), inner.Status{Slots: 4, Known: inner.Known{Listing: 1}, Balancers: balancers, Evacuation: evacuation.State{Evacuated: true, AsOf: 5}})
 		}
 	}
 	b.Expect(polls).To(And(BeNumerically(">", 5), BeNumerically("<", 120)), "4,000 polls if the balancer polled all agents at each tick")
@@ -111,7 +111,7 @@
 		b.status(n+1, inner.Status{Slots: 4})
 	}
 	b.wait(time.Second)
-	b.status(2, inner.Status{Slots: 4, Evacuation: evacuation.Word{Evacuated: true, AsOf: 8}})
+	b.status(2, inner.Status{Slots: 4, Evacuation: evacuation.State{Evacuated: true, AsOf: 8}})
 	b.Expect(b.notes(steer.KindNewer)).To(HaveLen(1))
 	for n := range 20 {
 		b.callerSends(caller(n), platform.FlagSYN, 0)
