--- a/cmd/saltbendd/packetreload.go
+++ b/cmd/saltbendd/packetreload.go
@@ -20,11 +20,11 @@
 	// text was read last, host is what the role goes by.
 	text    []byte
 	host    platform.Host
-	changes chan platform.Changeable
+	changes chan platform.ReloadableSettings
 }
 
 func newWatchedSettings(s *packetSettings, host platform.Host, log *slog.Logger) *watchedSettings {
-	return &watchedSettings{settings: s, host: host, log: log, changes: make(chan platform.Changeable, 1)}
+	return &watchedSettings{settings: s, host: host, log: log, changes: make(chan platform.ReloadableSettings, 1)}
 }
 
 // poll reads the file and takes it over if it has changed since the last look.
@@ -63,16 +63,16 @@
 		return
 	}
 	fixed := host
-	fixed.Changeable, fixed.FirstStart = w.host.Changeable, w.host.FirstStart
+	fixed.ReloadableSettings, fixed.FirstStart = w.host.ReloadableSettings, w.host.FirstStart
 	same := reflect.DeepEqual(fixed, w.host)
-	if host.Changeable == w.host.Changeable && same {
+	if host.ReloadableSettings == w.host.ReloadableSettings && same {
 		w.log.Info("Settings read again, nothing differs.")
 	}
-	if host.Changeable != w.host.Changeable {
+	if host.ReloadableSettings != w.host.ReloadableSettings {
 		w.log.Info("Settings changed.", "store", host.Store.String(), "grace_ms", host.Grace.Milliseconds(),
-			"drain_ms", host.DrainWithin.Milliseconds(), "heartbeat_ms", host.HeartbeatEvery.Milliseconds(),
+			"drain_ms", host.DrainTimeout.Milliseconds(), "heartbeat_ms", host.HeartbeatInterval.Milliseconds(),
 			"flow_max_age_ms", host.FlowMaxAge.Milliseconds(), "seeds", host.Seeds)
-		w.hand(host.Changeable)
+		w.hand(host.ReloadableSettings)
 	}
 	if !same {
 		w.log.Warn("Addresses, data centre or service differ; they take effect at the next start.",
@@ -82,7 +82,7 @@
 }
 
 // hand leaves the newest changes for the role.
-func (w *watchedSettings) hand(c platform.Changeable) {
+func (w *watchedSettings) hand(c platform.ReloadableSettings) {
 	select {
 	case <-w.changes: // the latest counts
 	default:
--- a/internal/packetface/gate/cold.go
+++ b/internal/packetface/gate/cold.go
@@ -56,15 +56,15 @@
 // service, because not every configuration contains it.
 func (g *Gate) recordWarmup(beat platform.Heartbeat) {
 	if beat.Sequence <= firstHeartbeat {
-		g.cold.reported = max(g.cold.reported, roundUp(beat.ColdFor))
+		g.cold.reported = max(g.cold.reported, roundUp(beat.WarmupLeft))
 	}
 }
 
 // estimateWarmup estimates how long upstreams are cold from the first heartbeat received
 // here of an upstream that had started earlier.
 func (g *Gate) estimateWarmup(beat platform.Heartbeat) {
-	if beat.ColdFor > 0 && beat.Age > 0 {
-		g.cold.estimate = roundUp(beat.ColdFor + beat.Age)
+	if beat.WarmupLeft > 0 && beat.Age > 0 {
+		g.cold.estimate = roundUp(beat.WarmupLeft + beat.Age)
 	}
 }
 
--- a/internal/packetface/gate/cold_test.go
+++ b/internal/packetface/gate/cold_test.go
@@ -35,7 +35,7 @@
 func TestColdUpstreamGetsNoMoreFlowsThanItsBound(t *testing.T) {
 	b := newBench(t)
 	b.beat = 1
-	r, _ := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: "i-1"}, Slots: 50, Sequence: 1, ColdFor: 5 * second})
+	r, _ := b.gate.Heartbeat(b.now, platform.Heartbeat{Instance: platform.Instance{ID: "i-1"}, Slots: 50, Sequence: 1, WarmupLeft: 5 * second})
 	b.last = r
 	b.Expect(b.openFlows(1, 40, 0)).To(Equal(coldRate))
 	b.Expect(b.openFlows(100, 20, 0)).To(Equal(coldRate), "the bound applies anew to the next second")
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -179,7 +179,7 @@
 
 // upstream is the agent's state for its upstream.
 type upstream struct {
-	instance   platform.Life
+	instance   platform.Instance
 	dataCentre string
 	slots      int
 	draining   bool
@@ -223,7 +223,7 @@
 	upstream upstream
 	// ended are instances that have ended; candidate is one that has reported but is not
 	// adopted yet.
-	ended     []platform.Life
+	ended     []platform.Instance
 	candidate candidate
 	// contested is true if an instance of another service has reported from the upstream's
 	// address and could not be checked against the configuration.
--- a/internal/packetface/gate/gate_test.go
+++ b/internal/packetface/gate/gate_test.go
@@ -48,7 +48,7 @@
 // heartbeat delivers the next heartbeat of an instance of the upstream.
 func (b *bench) heartbeat(id string, draining bool) {
 	b.beat++
-	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: id}, Slots: slots, Sequence: b.beat, Draining: draining})
+	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Instance: platform.Instance{ID: id}, Slots: slots, Sequence: b.beat, Draining: draining})
 	b.Expect(ok).To(BeTrue())
 	b.last = r
 }
@@ -173,7 +173,7 @@
 			b.heartbeat("i-1", true)
 			b.now += 2500 * time.Millisecond
 		}, inner.Open{Flags: inner.FlagMust}, inner.ReasonDraining},
-		{"left", func(b *bench) { b.gate.HandleLeave(b.now, platform.Life{ID: "i-1"}) }, inner.Open{Flags: inner.FlagMust}, inner.ReasonDown},
+		{"left", func(b *bench) { b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1"}) }, inner.Open{Flags: inner.FlagMust}, inner.ReasonDown},
 		{"silent", func(b *bench) {
 			b.now += 5 * second
 			b.gate.Tick(b.now)
@@ -316,7 +316,7 @@
 	b.begin("i-1")
 	b.open(flow(1))
 	b.now += 10 * time.Millisecond
-	b.gate.HandleLeave(b.now, platform.Life{ID: "i-1"})
+	b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1"})
 	b.last = b.gate.Tick(b.now)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.now += 300 * time.Millisecond
@@ -328,7 +328,7 @@
 	b := newBench(t)
 	b.begin("i-1")
 	b.heartbeat("i-1", true)
-	_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: "i-1"}, Slots: slots, Sequence: 1})
+	_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Instance: platform.Instance{ID: "i-1"}, Slots: slots, Sequence: 1})
 	b.Expect(ok).To(BeTrue())
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateDraining))
 }
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -31,7 +31,7 @@
 
 // candidate is an instance that has reported once while another one was current.
 type candidate struct {
-	instance platform.Life
+	instance platform.Instance
 	sequence uint64
 	since    time.Duration
 }
@@ -52,9 +52,9 @@
 // classifySuccessor decides on a heartbeat of an instance other than the current one.
 func (g *Gate) classifySuccessor(now time.Duration, beat platform.Heartbeat) succession {
 	switch {
-	case slices.Contains(g.ended, beat.Life):
+	case slices.Contains(g.ended, beat.Instance):
 		return g.confirm(now, beat)
-	case beat.ID == g.upstream.instance.ID && beat.Born < g.upstream.instance.Born:
+	case beat.ID == g.upstream.instance.ID && beat.StartedMS < g.upstream.instance.StartedMS:
 		// Either a delayed heartbeat, or the host's clock was set back between two starts.
 		// Confirmation is required, and no flow is reset.
 		return g.confirm(now, beat)
@@ -94,9 +94,9 @@
 	if g.upstream.unknown() || g.overdue(now) {
 		return &g.out, false
 	}
-	if !g.contested && !beat.Life.Same(g.upstream.instance) {
+	if !g.contested && !beat.Instance.MayBeSame(g.upstream.instance) {
 		g.contested = true
-		g.note(now, Note{Kind: KindUpstream, Reason: "contested by " + beat.Life.String() + " of service " + beat.Service})
+		g.note(now, Note{Kind: KindUpstream, Reason: "contested by " + beat.Instance.String() + " of service " + beat.Service})
 	}
 	return &g.out, true
 }
@@ -116,8 +116,8 @@
 // confirm requires a second, later heartbeat of an instance before the instance is adopted.
 func (g *Gate) confirm(now time.Duration, beat platform.Heartbeat) succession {
 	earlier := g.candidate
-	if earlier.instance != beat.Life {
-		g.candidate = candidate{instance: beat.Life, sequence: beat.Sequence, since: now}
+	if earlier.instance != beat.Instance {
+		g.candidate = candidate{instance: beat.Instance, sequence: beat.Sequence, since: now}
 		return successionNone
 	}
 	if beat.Sequence <= earlier.sequence || now-earlier.since < g.settings.HeartbeatEvery/confirmDivisor {
@@ -139,7 +139,7 @@
 		g.resetBefore(now, ended, "upstream-replaced")
 		g.rememberEnded(before.instance)
 	}
-	g.ended = slices.DeleteFunc(g.ended, func(instance platform.Life) bool { return instance == beat.Life })
+	g.ended = slices.DeleteFunc(g.ended, func(instance platform.Instance) bool { return instance == beat.Instance })
 	g.candidate, g.contested = candidate{}, false
 	if !g.sameService(beat) {
 		g.note(now, Note{Kind: KindUpstream, Reason: "serves " + beat.Service})
@@ -149,15 +149,15 @@
 	}
 	// The agent has seen every packet of an instance whose first heartbeat it receives.
 	seenAll := beat.Sequence <= firstHeartbeat
-	g.upstream = upstream{instance: beat.Life, dataCentre: beat.DataCentre, fullyObserved: seenAll, confirmed: seenAll}
+	g.upstream = upstream{instance: beat.Instance, dataCentre: beat.DataCentre, fullyObserved: seenAll, confirmed: seenAll}
 	if before.unknown() {
-		g.upstream.initialColdFor = beat.ColdFor
+		g.upstream.initialColdFor = beat.WarmupLeft
 		g.estimateWarmup(beat)
 		g.upstream.fullyObserved = seenAll || g.startedUnobserved()
 	}
 	g.recordWarmup(beat)
 	g.judge.BeginInstance(now)
-	g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("ready %s heartbeat %d", beat.Life, beat.Sequence)})
+	g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("ready %s heartbeat %d", beat.Instance, beat.Sequence)})
 	g.announce(now)
 }
 
@@ -166,7 +166,7 @@
 
 // rememberEnded adds an instance to those that have ended, and drops the oldest of them if
 // there are too many.
-func (g *Gate) rememberEnded(instance platform.Life) {
+func (g *Gate) rememberEnded(instance platform.Instance) {
 	if len(g.ended) >= maxEnded {
 		g.ended = slices.Delete(g.ended, 0, 1)
 	}
--- a/internal/packetface/gate/instance_test.go
+++ b/internal/packetface/gate/instance_test.go
@@ -12,7 +12,7 @@
 
 // heartbeatOf delivers one heartbeat of any instance.
 func (b *bench) heartbeatOf(id string, sequence uint64, service string) {
-	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: id}, Service: service, Slots: slots, Sequence: sequence})
+	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Instance: platform.Instance{ID: id}, Service: service, Slots: slots, Sequence: sequence})
 	b.Expect(ok).To(BeTrue())
 	b.last = r
 }
@@ -105,7 +105,7 @@
 	b := newBench(t)
 	for i, dataCentre := range []string{"a", "b"} {
 		b.now += second
-		_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: dataCentre}, DataCentre: dataCentre, Slots: slots, Sequence: 1})
+		_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Instance: platform.Instance{ID: dataCentre}, DataCentre: dataCentre, Slots: slots, Sequence: 1})
 		b.Expect(ok).To(BeTrue())
 		b.Expect(b.gate.Registration().DataCentre).To(Equal(dataCentre), "instance %d", i)
 	}
@@ -144,7 +144,7 @@
 	b.heartbeatOf("a", 1, service)
 	b.now += second
 	b.heartbeatOf("a", 2, service)
-	other := platform.Heartbeat{Life: platform.Life{ID: "b"}, Service: "other", Slots: slots, Sequence: 1}
+	other := platform.Heartbeat{Instance: platform.Instance{ID: "b"}, Service: "other", Slots: slots, Sequence: 1}
 	_, contested := b.gate.HandleUncheckedHeartbeat(b.now, other)
 	b.Expect(contested).To(BeTrue())
 	for _, name := range []string{service, "other"} {
--- a/internal/packetface/gate/restart_test.go
+++ b/internal/packetface/gate/restart_test.go
@@ -15,7 +15,7 @@
 const born = 1_764_000_000_000
 
 func (b *bench) heartbeatBorn(at int64, sequence uint64) {
-	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Life: platform.Life{ID: "i-1", Born: at}, Slots: slots, Sequence: sequence})
+	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Instance: platform.Instance{ID: "i-1", StartedMS: at}, Slots: slots, Sequence: sequence})
 	b.Expect(ok).To(BeTrue())
 	b.last = r
 }
@@ -77,12 +77,12 @@
 	b := running(t)
 	b.heartbeatBorn(born+45_000, 1)
 	b.open(flow(2))
-	b.gate.HandleLeave(b.now, platform.Life{ID: "i-1", Born: born})
+	b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1", StartedMS: born})
 	b.now += second
 	b.last = b.gate.Tick(b.now)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateReady))
-	b.gate.HandleLeave(b.now, platform.Life{ID: "i-1", Born: born + 45_000})
+	b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1", StartedMS: born + 45_000})
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateDown))
 }
 
--- a/internal/packetface/gate/unobserved_start_test.go
+++ b/internal/packetface/gate/unobserved_start_test.go
@@ -15,7 +15,7 @@
 // heartbeatAtAge delivers a heartbeat of an upstream that started the given time ago.
 func (b *bench) heartbeatAtAge(sequence uint64, age time.Duration) {
 	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{
-		Life: platform.Life{ID: "i-1"}, Slots: slots, Sequence: sequence, ColdFor: max(0, warmup-age),
+		Instance: platform.Instance{ID: "i-1"}, Slots: slots, Sequence: sequence, WarmupLeft: max(0, warmup-age),
 	})
 	b.Expect(ok).To(BeTrue())
 	b.last = r
@@ -117,7 +117,7 @@
 	b.gate.SetOwnPosition(b.now, 5)
 	const actualAge, ageByClock = 900 * time.Millisecond, 100 * time.Millisecond
 	_, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{
-		Life: platform.Life{ID: "i-1"}, Slots: slots, Sequence: 2, ColdFor: warmup - actualAge, Age: ageByClock,
+		Instance: platform.Instance{ID: "i-1"}, Slots: slots, Sequence: 2, WarmupLeft: warmup - actualAge, Age: ageByClock,
 	})
 	b.Expect(ok).To(BeTrue())
 	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -30,17 +30,17 @@
 func (g *Gate) Heartbeat(now time.Duration, beat platform.Heartbeat) (result *Result, ok bool) {
 	g.resetResult()
 	u := &g.upstream
-	same := beat.Life.Same(u.instance)
+	same := beat.Instance.MayBeSame(u.instance)
 	if same && beat.Sequence <= u.sequence {
 		return &g.out, true // delayed: a newer heartbeat has been received
 	}
 	if same {
 		g.candidate, g.contested = candidate{}, false // the current instance is still running
-		u.instance.Born = max(u.instance.Born, beat.Born)
+		u.instance.StartedMS = max(u.instance.StartedMS, beat.StartedMS)
 	} else {
 		s := g.classifySuccessor(now, beat)
 		if s == successionNone {
-			g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("ignored outdated or unconfirmed %s heartbeat %d", beat.Life, beat.Sequence)})
+			g.note(now, Note{Kind: KindUpstream, Reason: fmt.Sprintf("ignored outdated or unconfirmed %s heartbeat %d", beat.Instance, beat.Sequence)})
 			return &g.out, true
 		}
 		g.adoptInstance(now, beat, s)
@@ -51,7 +51,7 @@
 	g.judge.NoteAlive(now)
 	revived, resumed := u.down && !u.left, u.silent
 	u.lastHeartbeat, u.sequence, u.slots, u.down, u.silent = now, beat.Sequence, beat.Slots, false, false
-	u.coldEnd = now + beat.ColdFor
+	u.coldEnd = now + beat.WarmupLeft
 	if revived {
 		u.fullyObserved, u.initialColdFor = false, 0 // it may have opened flows unobserved while it counted as down
 		g.note(now, Note{Kind: KindUpstream, Reason: "back " + u.instance.String()})
@@ -70,7 +70,7 @@
 }
 
 // HandleLeave handles the announcement of an instance of the upstream that it ends.
-func (g *Gate) HandleLeave(now time.Duration, instance platform.Life) (result *Result, ok bool) {
+func (g *Gate) HandleLeave(now time.Duration, instance platform.Instance) (result *Result, ok bool) {
 	g.resetResult()
 	if !g.upstream.endedBy(instance) {
 		g.note(now, Note{Kind: KindUpstream, Reason: "ignored outdated leave of " + instance.String()})
@@ -85,8 +85,8 @@
 // endedBy reports whether the announcement of an instance that it ends applies to the
 // current upstream: it does if it comes from that instance, or from one with the same id
 // that started later. An announcement of an earlier instance is outdated.
-func (u *upstream) endedBy(instance platform.Life) bool {
-	return instance.Same(u.instance) || instance.ID == u.instance.ID && instance.Born > u.instance.Born
+func (u *upstream) endedBy(instance platform.Instance) bool {
+	return instance.MayBeSame(u.instance) || instance.ID == u.instance.ID && instance.StartedMS > u.instance.StartedMS
 }
 
 // HandleRefusedPacket handles a packet to the upstream that was refused because no socket listened.
--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -75,7 +75,7 @@
 	a.decisions = newDecisionLog(a.log, a.clock)
 	a.core = gate.New(gate.Settings{
 		Service: env.Host.Service, CallerPort: env.Host.Packets.Port(), Incarnation: id,
-		Policies: env.Policies, Times: gateTimes(env.Host.Changeable),
+		Policies: env.Policies, Times: gateTimes(env.Host.ReloadableSettings),
 	})
 	if err := a.listen(); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	a.store.SetLogger(logging.Part(a.env.Logger, "registry"))
 	a.registry = registry.NewAgent(a.store, logging.Part(a.env.Logger, "registry"), a.clock, a.entry())
 	a.setSeeds()
-	a.registry.LeaseLeast = a.env.Host.LeaseLeast
+	a.registry.LeaseLeast = a.env.Host.MinLease
 	a.registry.Seen = a.onStorePosition
 	if !a.env.Host.FirstStart && a.env.Policies.On(policy.InheritedEntries) {
 		a.registry.Inherit()
@@ -288,8 +288,8 @@
 	return ok
 }
 
-// Left implements platform.UpstreamListener.
-func (a *agent) Left(life platform.Life) bool {
+// Deregistered implements platform.UpstreamListener.
+func (a *agent) Deregistered(life platform.Instance) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	result, ok := a.core.HandleLeave(a.clock(), life)
@@ -298,22 +298,22 @@
 	return ok
 }
 
-// Unusable implements platform.UpstreamListener.
-func (a *agent) Unusable(err error) {
+// InvalidRequest implements platform.UpstreamListener.
+func (a *agent) InvalidRequest(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.decisions.logInvalidHeartbeat(err)
 }
 
 // gateTimes returns the times in the settings that the core uses.
-func gateTimes(c platform.Changeable) gate.Times {
-	return gate.Times{DrainWithin: c.DrainWithin, FlowMaxAge: c.FlowMaxAge, HeartbeatEvery: c.HeartbeatEvery, ColdOverage: c.ColdOverage}
+func gateTimes(c platform.ReloadableSettings) gate.Times {
+	return gate.Times{DrainWithin: c.DrainTimeout, FlowMaxAge: c.FlowMaxAge, HeartbeatEvery: c.HeartbeatInterval, ColdOverage: c.ColdOverage}
 }
 
 // applySettings applies changed settings.
-func (a *agent) applySettings(c platform.Changeable) {
+func (a *agent) applySettings(c platform.ReloadableSettings) {
 	a.store.SetAddress(c.Store)
-	a.env.Host.Changeable = c
+	a.env.Host.ReloadableSettings = c
 	a.setSeeds()
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -369,9 +369,9 @@
 }
 
 // applySettings applies changed settings.
-func (b *balancer) applySettings(c platform.Changeable) {
+func (b *balancer) applySettings(c platform.ReloadableSettings) {
 	b.store.SetAddress(c.Store)
-	b.env.Host.Changeable = c
+	b.env.Host.ReloadableSettings = c
 	b.setSeeds()
 	b.mu.Lock()
 	b.core.SetFlowMaxAge(c.FlowMaxAge)
--- a/internal/packetface/role/common.go
+++ b/internal/packetface/role/common.go
@@ -30,14 +30,14 @@
 	// Stop is closed when the process is asked to stop.
 	Stop <-chan struct{}
 	// Changes delivers changed settings; nil if they never change.
-	Changes <-chan platform.Changeable
+	Changes <-chan platform.ReloadableSettings
 	// Policies selects the optional decisions that are in use.
 	Policies policy.Set
 }
 
 // applyUntilStop calls apply with each change of the settings until the process is asked
 // to stop.
-func (e *Env) applyUntilStop(apply func(platform.Changeable)) {
+func (e *Env) applyUntilStop(apply func(platform.ReloadableSettings)) {
 	for {
 		select {
 		case <-e.Stop:
--- a/internal/packetface/steer/former_services_test.go
+++ b/internal/packetface/steer/former_services_test.go
@@ -17,7 +17,7 @@
 // tableRoutedTo returns a table with a face that is routed to one service.
 func tableRoutedTo(version uint64, to string) *routing.Table {
 	return routing.NewTable(platform.Configuration{Version: version, Routes: []platform.Route{
-		{Name: "r", Face: face, Shares: []platform.Share{{Service: to, Weight: 1}}, Repeatable: true},
+		{Name: "r", Face: face, Shares: []platform.Share{{Service: to, Weight: 1}}, Idempotent: true},
 	}})
 }
 
--- a/internal/packetface/steer/home_regions_test.go
+++ b/internal/packetface/steer/home_regions_test.go
@@ -23,7 +23,7 @@
 	})
 	b.core.SetTable(b.now, routing.NewTable(platform.Configuration{
 		Version: 1, Services: []platform.Service{{Name: service, ColdRate: 7.5}},
-		Routes: []platform.Route{{Name: "r", Face: face, Shares: []platform.Share{{Service: service, Weight: 1}}, Homes: []string{home}}},
+		Routes: []platform.Route{{Name: "r", Face: face, Shares: []platform.Share{{Service: service, Weight: 1}}, AllowedRegions: []string{home}}},
 	}), time.Minute)
 	b.core.SetTableFresh(true)
 	b.last = b.core.SetAgents(b.now, agents, listAge(1))
--- a/internal/packetface/steer/owner_search.go
+++ b/internal/packetface/steer/owner_search.go
@@ -323,7 +323,7 @@
 // may hold makes no progress, and the caller can repeat its requests.
 func (c *Core) maySkip(now time.Duration, id platform.Flow, a *agent) bool {
 	route := c.route(id)
-	return route != nil && route.Repeatable && a.isAbsent(now, c.settings.AbsentAfter)
+	return route != nil && route.Idempotent && a.isAbsent(now, c.settings.AbsentAfter)
 }
 
 // probe sends a packet of a flow to agents that cannot tell, as many as the budget of the
--- a/internal/packetface/steer/placement.go
+++ b/internal/packetface/steer/placement.go
@@ -121,7 +121,7 @@
 
 // requirementsOf returns what a new flow of a route requires of its agent.
 func (c *Core) requirementsOf(route *routing.Route, service uint64) requirements {
-	return requirements{service: service, long: route.Repeatable, homes: route.Homes, regions: c.settings.Regions}
+	return requirements{service: service, long: route.Idempotent, homes: route.AllowedRegions, regions: c.settings.Regions}
 }
 
 // reject resets a flow that no agent takes, so that its caller knows at once; no request
--- a/internal/packetface/steer/sim_fleet_test.go
+++ b/internal/packetface/steer/sim_fleet_test.go
@@ -32,7 +32,7 @@
 	addr netip.AddrPort
 	gate *gate.Gate
 	// lives are all instances of the upstream; the last is the present one.
-	lives       []platform.Life
+	lives       []platform.Instance
 	life        int
 	sequence    uint64
 	incarnation uint64
@@ -117,7 +117,7 @@
 // tableOf returns a configuration with the time for which upstreams are cold, 0 for none.
 func tableOf(warmup time.Duration) *routing.Table {
 	return routing.NewTable(platform.Configuration{Version: 1, Routes: []platform.Route{
-		{Name: "r", Face: face, Shares: []platform.Share{{Service: service, Weight: 1}}, Repeatable: true},
+		{Name: "r", Face: face, Shares: []platform.Share{{Service: service, Weight: 1}}, Idempotent: true},
 	}, Services: []platform.Service{{Name: service, Warmup: warmup}}})
 }
 
@@ -148,7 +148,7 @@
 }
 
 func (w *simFleet) addAgent() {
-	s := &simAgent{addr: address(100+len(w.agents), 1), dataCentre: "a", lives: []platform.Life{{ID: fmt.Sprintf("i-%d", len(w.agents)), Born: 1_000_000}}, held: map[platform.Flow]bool{}}
+	s := &simAgent{addr: address(100+len(w.agents), 1), dataCentre: "a", lives: []platform.Instance{{ID: fmt.Sprintf("i-%d", len(w.agents)), StartedMS: 1_000_000}}, held: map[platform.Flow]bool{}}
 	w.agents, w.agentByAddr[s.addr] = append(w.agents, s), s
 	w.startAgent(s)
 	w.heartbeat(s)
--- a/internal/packetface/steer/sim_restarts_test.go
+++ b/internal/packetface/steer/sim_restarts_test.go
@@ -17,9 +17,9 @@
 	life := s.lives[len(s.lives)-1]
 	switch random.IntN(4) {
 	case 0:
-		life.Born -= 1 + random.Int64N(5000)
+		life.StartedMS -= 1 + random.Int64N(5000)
 	case 1, 2:
-		life.Born += 1 + random.Int64N(5000)
+		life.StartedMS += 1 + random.Int64N(5000)
 	case 3:
 		life.ID = fmt.Sprintf("%s-%d", s.addr, len(s.lives))
 	}
@@ -38,7 +38,7 @@
 
 func (w *simFleet) heartbeat(s *simAgent) {
 	s.sequence++
-	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Life: s.lives[s.life], Slots: 2, Sequence: s.sequence, ColdFor: s.coldFor(w.now), Age: s.age(w.now)})
+	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Instance: s.lives[s.life], Slots: 2, Sequence: s.sequence, WarmupLeft: s.coldFor(w.now), Age: s.age(w.now)})
 	s.acknowledged = w.now
 	w.fromAgent(s, r)
 }
@@ -100,7 +100,7 @@
 	if s.life == 0 || s.sequence == 0 {
 		return // there is no earlier instance, or the present one has not reported yet
 	}
-	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Life: s.lives[w.random.IntN(s.life)], Slots: 2, Sequence: 2 + w.random.Uint64N(20)})
+	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Instance: s.lives[w.random.IntN(s.life)], Slots: 2, Sequence: 2 + w.random.Uint64N(20)})
 	w.fromAgent(s, r)
 }
 
--- a/internal/packetface/steer/steer_test.go
+++ b/internal/packetface/steer/steer_test.go
@@ -141,7 +141,7 @@
 	b.callerSends(caller(1), platform.FlagSYN, 0)
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.core.SetTable(b.now, routing.NewTable(platform.Configuration{Version: 2, Routes: []platform.Route{
-		{Name: "r", Face: face, Shares: []platform.Share{{Service: "other", Weight: 1}}, Repeatable: true},
+		{Name: "r", Face: face, Shares: []platform.Share{{Service: "other", Weight: 1}}, Idempotent: true},
 	}}), time.Minute)
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{address(101, 1)}))
--- a/internal/packetface/steer/warmup_test.go
+++ b/internal/packetface/steer/warmup_test.go
@@ -19,7 +19,7 @@
 	}
 	b := newBench(t, agents...)
 	b.core.SetTable(b.now, routing.NewTable(platform.Configuration{Version: 2, Routes: []platform.Route{
-		{Name: "r", Face: face, Shares: []platform.Share{{Service: service, Weight: 1}}, Repeatable: true},
+		{Name: "r", Face: face, Shares: []platform.Share{{Service: service, Weight: 1}}, Idempotent: true},
 	}}), time.Minute)
 	for n, warmup := range estimates {
 		b.status(101+n, inner.Status{State: inner.StateReady, Warmup: warmup})
