--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -19,9 +19,9 @@
 	if err != nil {
 		return err
 	}
-	g.updateKnown(from, head.Known)
+	g.updateKnown(from, head.Versions)
 	g.updateEvacuation(now, from, head.Evacuation)
-	g.updateCold(now, head.Service, head.Known.Version, head.Cold)
+	g.updateCold(now, head.Service, head.Versions.Version, head.Cold)
 	g.listedSlots = max(int(head.Slots), g.listedSlots)
 	id := p.FromCaller()
 	reason := g.refusal(now, id, head)
@@ -40,7 +40,7 @@
 // refusal returns why an opening packet must not be forwarded to the upstream, 0 if it may
 // be.
 func (g *Gate) refusal(now time.Duration, id platform.Flow, head inner.Open) inner.Reason {
-	must := head.Flags&inner.FlagMust != 0
+	must := head.Flags&inner.FlagLastChoice != 0
 	switch {
 	case head.Service != g.service:
 		return inner.ReasonService
@@ -67,7 +67,7 @@
 // retryOffset returns how long before this flow its caller may have opened an earlier one
 // for the same request, 0 unless the balancer flagged the flow as a possible retry.
 func retryOffset(flags inner.Flags) time.Duration {
-	if flags&inner.FlagRepeated == 0 {
+	if flags&inner.FlagMayBeRetry == 0 {
 		return 0
 	}
 	return admission.RetryInterval
--- a/internal/packetface/gate/answer.go
+++ b/internal/packetface/gate/answer.go
@@ -16,9 +16,9 @@
 	if err != nil {
 		return err
 	}
-	g.updateKnown(from, poll.Known)
+	g.updateKnown(from, poll.Versions)
 	g.updateEvacuation(now, from, poll.Evacuation)
-	g.updateCold(now, poll.Service, poll.Known.Version, poll.Cold)
+	g.updateCold(now, poll.Service, poll.Versions.Version, poll.Cold)
 	otherService := poll.Service != 0 && poll.Service != g.service // its entry for this agent is outdated or another writer's
 	if (poll.Flags&inner.FlagUnlisted != 0 || otherService) && !g.unlisted {
 		g.unlisted = true
@@ -30,7 +30,7 @@
 
 // updateKnown records the newest configuration version and store position that any balancer
 // has reported, and which balancer reported them.
-func (g *Gate) updateKnown(from netip.AddrPort, known inner.Known) {
+func (g *Gate) updateKnown(from netip.AddrPort, known inner.Versions) {
 	if known.Max(g.known) == known && from.Addr().Is4() {
 		g.source = from.Addr().As4()
 	}
@@ -103,7 +103,7 @@
 	case g.upstream.down, f == nil && g.upstream.fullyObserved:
 		return g.notHeldVerdict()
 	case f == nil || f.probing:
-		return inner.VerdictMaybe
+		return inner.VerdictUnknown
 	case g.owns(f, acknowledged):
 		return inner.VerdictHeld
 	}
@@ -133,17 +133,17 @@
 func (g *Gate) Status(now time.Duration) inner.Status {
 	u := &g.upstream
 	return inner.Status{
-		State: g.state(now), StateFor: now - g.stateSince, Incarnation: g.settings.Incarnation, Known: g.newestKnown(), Source: g.source,
+		State: g.state(now), StateFor: now - g.stateSince, Incarnation: g.settings.Incarnation, Versions: g.newestKnown(), Source: g.source,
 		Running: g.load(), Slots: uint16(u.slots), Flows: uint32(g.open),
 		Balancers: uint16(min(len(g.balancers), 1<<16-1)), Cold: now < u.coldEnd, Evacuation: g.evacuation,
-		Answer: g.answerTime(now), Warmup: max(g.cold.reported, g.cold.estimate), Whole: u.fullyObserved,
+		ResponseTime: g.answerTime(now), Warmup: max(g.cold.reported, g.cold.estimate), KnowsAllFlows: u.fullyObserved,
 	}
 }
 
 // newestKnown returns the newest configuration version and store position known to the
 // process.
-func (g *Gate) newestKnown() inner.Known {
-	return inner.Known{Version: g.known.Version, Listing: g.listing()}
+func (g *Gate) newestKnown() inner.Versions {
+	return inner.Versions{Version: g.known.Version, Listing: g.listing()}
 }
 
 // load returns the number of requests that the upstream is processing or that wait for a
--- a/internal/packetface/gate/cold_test.go
+++ b/internal/packetface/gate/cold_test.go
@@ -18,7 +18,7 @@
 func (b *bench) openFlows(first, count int, flags inner.Flags) (taken int) {
 	for n := range count {
 		b.now += 20 * time.Millisecond
-		head := inner.Open{Cold: inner.Cold{Rate: coldRate}, Hops: inner.MaxBusyHops, Flags: flags, Known: inner.Known{Version: 3}}
+		head := inner.Open{Cold: inner.Cold{Rate: coldRate}, Hops: inner.MaxBusyHops, Flags: flags, Versions: inner.Versions{Version: 3}}
 		b.opening(flow(first+n), head)
 		if b.toUpstream() == 1 {
 			taken++
@@ -41,7 +41,7 @@
 	b.Expect(b.openFlows(100, 20, 0)).To(Equal(coldRate), "the bound applies anew to the next second")
 	b.gate.SetTimes(gate.Times{HeartbeatEvery: second, ColdOverage: 2})
 	b.now += second
-	b.Expect(b.openFlows(150, 40, inner.FlagMust)).To(Equal(7), "flows that no other upstream accepts")
+	b.Expect(b.openFlows(150, 40, inner.FlagLastChoice)).To(Equal(7), "flows that no other upstream accepts")
 	b.now += 3 * second
 	b.Expect(b.openFlows(200, 40, 0)).To(Equal(40), "the upstream is warm")
 }
@@ -60,6 +60,6 @@
 func TestColdRateOfOlderConfigurationIsIgnored(t *testing.T) {
 	b := newBench(t)
 	b.Expect(b.openFlows(1, 10, 0)).To(Equal(coldRate))
-	b.opening(flow(50), inner.Open{Known: inner.Known{Version: 2}})
+	b.opening(flow(50), inner.Open{Versions: inner.Versions{Version: 2}})
 	b.Expect(b.returned()).To(Equal(inner.ReasonCold))
 }
--- a/internal/packetface/gate/evacuated_test.go
+++ b/internal/packetface/gate/evacuated_test.go
@@ -37,7 +37,7 @@
 	b := newBench(t)
 	b.begin("i-1")
 	b.poll(evacuated(20))
-	b.opening(flow(1), inner.Open{Flags: inner.FlagMust, Evacuation: evacuation.State{AsOf: 10}})
+	b.opening(flow(1), inner.Open{Flags: inner.FlagLastChoice, Evacuation: evacuation.State{AsOf: 10}})
 	b.Expect(b.toUpstream()).To(BeZero())
 	b.Expect(b.returned()).To(Equal(inner.ReasonEvacuated))
 	b.Expect(b.lastStatus().Evacuation).To(Equal(evacuated(20)), "the balancer receives the evacuation")
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -228,7 +228,7 @@
 	// contested is true if an instance of another service has reported from the upstream's
 	// address and could not be checked against the configuration.
 	contested bool
-	known     inner.Known
+	known     inner.Versions
 	cold      cold
 	// evacuation is the newest evacuation state of the data centre.
 	evacuation evacuation.State
--- a/internal/packetface/gate/gate_test.go
+++ b/internal/packetface/gate/gate_test.go
@@ -154,11 +154,11 @@
 
 func (b *bench) setListing() {
 	b.gate.SetOwnPosition(b.now, 5)
-	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 5}}))
+	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Versions: inner.Versions{Listing: 5}}))
 }
 
 func TestAgentRefusesOpeningPacketsByState(t *testing.T) {
-	other := inner.Open{Service: inner.ServiceID("other"), Flags: inner.FlagMust}
+	other := inner.Open{Service: inner.ServiceID("other"), Flags: inner.FlagLastChoice}
 	cases := []struct {
 		name    string
 		prepare func(*bench)
@@ -168,23 +168,23 @@
 		{"ready", func(b *bench) {}, inner.Open{}, 0},
 		{"another service", func(b *bench) {}, other, inner.ReasonService},
 		{"draining", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{}, inner.ReasonDraining},
-		{"draining, no other upstream is left", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{Flags: inner.FlagMust}, 0},
+		{"draining, no other upstream is left", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{Flags: inner.FlagLastChoice}, 0},
 		{"draining for nearly DrainWithin, no other upstream is left", func(b *bench) {
 			b.heartbeat("i-1", true)
 			b.now += 2500 * time.Millisecond
-		}, inner.Open{Flags: inner.FlagMust}, inner.ReasonDraining},
-		{"left", func(b *bench) { b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1"}) }, inner.Open{Flags: inner.FlagMust}, inner.ReasonDown},
+		}, inner.Open{Flags: inner.FlagLastChoice}, inner.ReasonDraining},
+		{"left", func(b *bench) { b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1"}) }, inner.Open{Flags: inner.FlagLastChoice}, inner.ReasonDown},
 		{"silent", func(b *bench) {
 			b.now += 5 * second
 			b.gate.Tick(b.now)
-		}, inner.Open{Flags: inner.FlagMust}, inner.ReasonDown},
+		}, inner.Open{Flags: inner.FlagLastChoice}, inner.ReasonDown},
 		{"heartbeats resumed after silence", func(b *bench) {
 			b.now += 5 * second
 			b.gate.Tick(b.now)
 			b.heartbeat("i-1", false)
 		}, inner.Open{}, 0},
 		{"stopping", func(b *bench) { b.gate.Stop(b.now) }, inner.Open{}, inner.ReasonDraining},
-		{"stopping, no other upstream is left", func(b *bench) { b.gate.Stop(b.now) }, inner.Open{Flags: inner.FlagMust}, 0},
+		{"stopping, no other upstream is left", func(b *bench) { b.gate.Stop(b.now) }, inner.Open{Flags: inner.FlagLastChoice}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -238,7 +238,7 @@
 
 func TestVerdictsOnFlows(t *testing.T) {
 	b := newBench(t)
-	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictMaybe)) // the upstream has not reported
+	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictUnknown)) // the upstream has not reported
 	b.begin("i-1")
 	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictUnsure)) // no position of the store is known
 	b.setListing()
@@ -254,7 +254,7 @@
 	b.beat = 6
 	b.heartbeat("i-1", false)
 	b.setListing()
-	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictMaybe))
+	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictUnknown))
 	b.send(flow(1), 2, platform.FlagACK, 30)
 	b.Expect(b.toUpstream()).To(Equal(1))
 	b.answer(flow(1))
@@ -294,7 +294,7 @@
 	b.Expect(resets(b)).To(Equal([]platform.Flow{flow(1)}))
 	b.setListing()
 	b.Expect(b.verdict(flow(1), 101)).To(Equal(inner.VerdictNone))
-	b.Expect(b.verdict(flow(2), 101)).To(Equal(inner.VerdictMaybe))
+	b.Expect(b.verdict(flow(2), 101)).To(Equal(inner.VerdictUnknown))
 }
 
 func TestUpstreamIsDownAfterRefusedPackets(t *testing.T) {
--- a/internal/packetface/gate/instance_test.go
+++ b/internal/packetface/gate/instance_test.go
@@ -116,7 +116,7 @@
 func TestResumedHeartbeatsAreAnnounced(t *testing.T) {
 	b := newBench(t)
 	b.begin("a")
-	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{}}))
+	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Versions: inner.Versions{}}))
 	b.now += 5 * second
 	b.last = b.gate.Tick(b.now)
 	b.Expect(b.states()).To(Equal([]inner.State{inner.StateSilent}))
@@ -148,7 +148,7 @@
 	_, contested := b.gate.HandleUncheckedHeartbeat(b.now, other)
 	b.Expect(contested).To(BeTrue())
 	for _, name := range []string{service, "other"} {
-		b.opening(flow(1), inner.Open{Service: inner.ServiceID(name), Flags: inner.FlagMust})
+		b.opening(flow(1), inner.Open{Service: inner.ServiceID(name), Flags: inner.FlagLastChoice})
 		b.Expect(b.toUpstream()).To(BeZero())
 	}
 	b.now += second
--- a/internal/packetface/gate/latency_test.go
+++ b/internal/packetface/gate/latency_test.go
@@ -21,9 +21,9 @@
 		b.answer(flow(1))
 	}
 	ask(2, 400*time.Millisecond)
-	b.Expect(b.gate.Status(b.now).Answer).To(Equal(400 * time.Millisecond))
+	b.Expect(b.gate.Status(b.now).ResponseTime).To(Equal(400 * time.Millisecond))
 	b.now += 3 * second
-	b.Expect(b.gate.Status(b.now).Answer).To(BeZero())
+	b.Expect(b.gate.Status(b.now).ResponseTime).To(BeZero())
 	ask(32, 40*time.Millisecond)
-	b.Expect(b.gate.Status(b.now).Answer).To(Equal(40 * time.Millisecond))
+	b.Expect(b.gate.Status(b.now).ResponseTime).To(Equal(40 * time.Millisecond))
 }
--- a/internal/packetface/gate/queue_test.go
+++ b/internal/packetface/gate/queue_test.go
@@ -16,7 +16,7 @@
 
 // request sends a request with the given rank.
 func (b *bench) request(n int, seq uint32, rank int) {
-	b.requestOn(n, seq, inner.Terms{Rank: uint8(rank)})
+	b.requestOn(n, seq, inner.Terms{Priority: uint8(rank)})
 }
 
 // requestOn sends a request on a route with the given terms.
@@ -165,7 +165,7 @@
 
 // Whether a request is late depends on the route's aim and on the mean response time.
 func TestRequestIsLateIfItMissesTheRoutesAim(t *testing.T) {
-	patient := inner.Terms{Aim: 400 * time.Millisecond, Timeout: 4 * time.Second}
+	patient := inner.Terms{TargetLatency: 400 * time.Millisecond, Timeout: 4 * time.Second}
 	cases := []struct {
 		name string
 		wait time.Duration
@@ -191,7 +191,7 @@
 	b := filled(t, 2)
 	b.openLate(flow(2), 2)
 	b.openLate(flow(3), 0)
-	terms := inner.Terms{Aim: 250 * time.Millisecond}
+	terms := inner.Terms{TargetLatency: 250 * time.Millisecond}
 	b.requestOn(2, 2, terms)
 	b.requestOn(3, 2, terms)
 	b.answer(flow(0))
@@ -213,9 +213,9 @@
 // A request that its balancer flagged as a possible retry runs before one that looks
 // equally old and arrived earlier, although both are late.
 func TestPossibleRetryRunsBeforeAFirstTryOfTheSameAge(t *testing.T) {
-	for flags, want := range map[inner.Flags]uint16{0: 2, inner.FlagRepeated: 4} {
+	for flags, want := range map[inner.Flags]uint16{0: 2, inner.FlagMayBeRetry: 4} {
 		b := filled(t, 2)
-		terms := inner.Terms{Aim: 152 * time.Millisecond, Timeout: 2496 * time.Millisecond}
+		terms := inner.Terms{TargetLatency: 152 * time.Millisecond, Timeout: 2496 * time.Millisecond}
 		b.openLate(flow(2), 2) // the caller's attempt began 0.6 s ago
 		b.requestOn(2, 2, terms)
 		b.openLate(flow(3), 0)
--- a/internal/packetface/gate/restart_test.go
+++ b/internal/packetface/gate/restart_test.go
@@ -53,7 +53,7 @@
 	b.heartbeatBorn(born+45_000, 2)
 	b.Expect(b.upstreamID()).To(Equal("i-1@1764000045000"))
 	b.Expect(resets(b)).To(BeEmpty())
-	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
+	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnknown))
 	b.send(flow(1), 2, platform.FlagACK, 30)
 	b.upstreamSends(fromCaller(flow(1), 2, 101, platform.FlagACK|platform.FlagBounced, 30))
 	b.Expect(b.returned()).To(Equal(inner.ReasonUnknown))
--- a/internal/packetface/gate/start_test.go
+++ b/internal/packetface/gate/start_test.go
@@ -32,10 +32,10 @@
 func TestStatusContainsTheNewestStorePosition(t *testing.T) {
 	b := newBench(t)
 	b.gate.SetOwnPosition(b.now, 30)
-	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 20, Version: 4}}))
-	b.Expect(b.gate.Status(b.now).Known).To(Equal(inner.Known{Version: 4, Listing: 30}))
-	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Known: inner.Known{Listing: 40}}))
-	b.Expect(b.gate.Status(b.now).Known.Listing).To(BeEquivalentTo(40))
+	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Versions: inner.Versions{Listing: 20, Version: 4}}))
+	b.Expect(b.gate.Status(b.now).Versions).To(Equal(inner.Versions{Version: 4, Listing: 30}))
+	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Versions: inner.Versions{Listing: 40}}))
+	b.Expect(b.gate.Status(b.now).Versions.Listing).To(BeEquivalentTo(40))
 }
 
 // An upstream that was draining at a power loss never reports again. Its agent must remove
--- a/internal/packetface/gate/unobserved_start_test.go
+++ b/internal/packetface/gate/unobserved_start_test.go
@@ -22,7 +22,7 @@
 }
 
 func (b *bench) pollWithWarmup() {
-	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Service: inner.ServiceID(service), Known: inner.Known{Listing: 5}, Cold: inner.Cold{Warmup: warmup}}))
+	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Service: inner.ServiceID(service), Versions: inner.Versions{Listing: 5}, Cold: inner.Cold{Warmup: warmup}}))
 }
 
 // After a common power loss upstreams start shortly before their agents, and their first
@@ -37,7 +37,7 @@
 		}
 		b.heartbeatAtAge(3, 90*time.Millisecond)
 		if !warmupFirst {
-			b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
+			b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnknown))
 			b.pollWithWarmup()
 			b.Expect(b.lastStatus().State).To(Equal(inner.StateReady), "balancers are notified and ask again")
 		}
@@ -90,7 +90,7 @@
 			b := newBench(t)
 			b.gate.SetOwnPosition(b.now, 5)
 			c.prepare(b)
-			b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
+			b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnknown))
 		})
 	}
 }
@@ -120,9 +120,9 @@
 		Instance: platform.Instance{ID: "i-1"}, Slots: slots, Sequence: 2, WarmupLeft: warmup - actualAge, Age: ageByClock,
 	})
 	b.Expect(ok).To(BeTrue())
-	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
+	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnknown))
 	b.Expect(b.gate.Status(b.now).Warmup).To(Equal(warmup-actualAge+ageByClock), "the estimate by the host's clock is only reported to balancers")
 	b.pollWithWarmup() // the warm-up that most hosts have reported
-	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictMaybe))
-	b.Expect(b.gate.Status(b.now).Whole).To(BeFalse())
+	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnknown))
+	b.Expect(b.gate.Status(b.now).KnowsAllFlows).To(BeFalse())
 }
--- a/internal/packetface/gate/verdict_test.go
+++ b/internal/packetface/gate/verdict_test.go
@@ -57,7 +57,7 @@
 	b.Expect(reported).To(BeTrue())
 	b.opening(callerAt(3), inner.Open{})
 	b.Expect(b.returned()).To(Equal(inner.ReasonFailing))
-	b.opening(callerAt(4), inner.Open{Flags: inner.FlagMust}) // no other upstream is left
+	b.opening(callerAt(4), inner.Open{Flags: inner.FlagLastChoice}) // no other upstream is left
 	b.Expect(b.toUpstream()).To(Equal(1))
 }
 
--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -39,10 +39,10 @@
 	KindReturned
 	// KindAnswer is the response to KindAsk (9 bytes and 13 bytes a flow).
 	KindAnswer
-	// KindFollow asks a balancer for its current store update and subscribes to later
+	// KindWatchRequest asks a balancer for its current store update and subscribes to later
 	// ones (2 bytes). KindNews carries a store update (23 bytes).
-	KindFollow
-	KindNews
+	KindWatchRequest
+	KindStoreUpdate
 	// KindCheck is sent by an agent to ask a balancer whether the store lists the agent;
 	// the balancer answers with a poll (1 byte).
 	KindCheck
@@ -55,16 +55,16 @@
 const (
 	// FlagStatus requests a status in return.
 	FlagStatus Flags = 1 << iota
-	// FlagMust reports that no other agent is left to accept the packet.
-	FlagMust
+	// FlagLastChoice reports that no other agent is left to accept the packet.
+	FlagLastChoice
 	// FlagProbe requests that the packet be passed to the upstream although the agent
 	// does not know the flow, as only the upstream can tell whether it holds it.
 	FlagProbe
 	// FlagUnlisted informs the agent that its entry in the store is missing or damaged.
 	FlagUnlisted
-	// FlagRepeated reports that the caller may have opened an earlier flow for the same
+	// FlagMayBeRetry reports that the caller may have opened an earlier flow for the same
 	// request.
-	FlagRepeated
+	FlagMayBeRetry
 )
 
 // Open is the header of a datagram with a packet that opens a flow.
@@ -77,8 +77,8 @@
 	// Slots is the last known number of the upstream's slots, 0 if unknown. An agent that
 	// has just started uses it until the upstream's first heartbeat.
 	Slots uint16
-	// Known holds the versions that the balancer's decision is based on.
-	Known Known
+	// Versions holds the versions that the balancer's decision is based on.
+	Versions Versions
 	// Evacuation is the balancer's information on whether the agent's data centre is
 	// evacuated.
 	Evacuation evacuation.State
@@ -102,16 +102,16 @@
 	// Service is the ServiceID under which the balancer lists the agent, 0 if it lists
 	// none.
 	Service uint64
-	// Known, Evacuation and Cold have the same meaning as in Open.
-	Known      Known
+	// Versions, Evacuation and Cold have the same meaning as in Open.
+	Versions   Versions
 	Evacuation evacuation.State
 	Cold       Cold
 }
 
-// Known holds the versions of the configuration and of the agent list that a process has.
+// Versions holds the versions of the configuration and of the agent list that a process has.
 // Agents forward the highest versions that they receive, so that a balancer detects that
 // its own are outdated.
-type Known struct {
+type Versions struct {
 	// Version is the version of the configuration.
 	Version uint64
 	// Listing is the store position of the latest change to an agent's entry.
@@ -119,8 +119,8 @@
 }
 
 // Max returns the higher of both versions in each field.
-func (k Known) Max(o Known) Known {
-	return Known{Version: max(k.Version, o.Version), Listing: max(k.Listing, o.Listing)}
+func (k Versions) Max(o Versions) Versions {
+	return Versions{Version: max(k.Version, o.Version), Listing: max(k.Listing, o.Listing)}
 }
 
 // Status is the status of an agent and its upstream.
@@ -128,8 +128,8 @@
 	State State
 	// Incarnation is a random number that identifies the run of the agent's process.
 	Incarnation uint64
-	// Known holds the highest versions that the agent has received.
-	Known Known
+	// Versions holds the highest versions that the agent has received.
+	Versions Versions
 	// Running is the number of requests that the upstream is processing plus those that
 	// wait at the agent.
 	Running uint16
@@ -151,14 +151,14 @@
 	// Evacuation is the latest information that the agent has on whether its data centre
 	// is evacuated.
 	Evacuation evacuation.State
-	// Answer is the recent time from a request to its response, in steps of 1 ms up to 65
+	// ResponseTime is the recent time from a request to its response, in steps of 1 ms up to 65
 	// s; 0 if there was none.
-	Answer time.Duration
+	ResponseTime time.Duration
 	// Warmup is how long upstreams of the service are cold after their start, as reported
 	// to or estimated by the agent, in steps of 1 ms up to 65 s; 0 if unknown.
 	Warmup time.Duration
-	// Whole reports that the agent knows all flows of its upstream.
-	Whole bool
+	// KnowsAllFlows reports that the agent knows all flows of its upstream.
+	KnowsAllFlows bool
 }
 
 // ErrDatagram is returned for a datagram that can't be decoded.
@@ -208,7 +208,7 @@
 	b = append(b, byte(KindOpen), byte(o.Flags), o.Hops)
 	b = binary.BigEndian.AppendUint64(b, o.Service)
 	b = binary.BigEndian.AppendUint16(b, o.Slots)
-	b = appendKnown(b, o.Known)
+	b = appendKnown(b, o.Versions)
 	b = appendEvacuation(b, o.Evacuation)
 	b = appendCold(b, o.Cold)
 	return append(b, packet...)
@@ -221,7 +221,7 @@
 	}
 	o = Open{
 		Flags: Flags(b[1]), Hops: b[2],
-		Service: binary.BigEndian.Uint64(b[3:]), Slots: binary.BigEndian.Uint16(b[11:]), Known: parseKnown(b[13:]),
+		Service: binary.BigEndian.Uint64(b[3:]), Slots: binary.BigEndian.Uint16(b[11:]), Versions: parseKnown(b[13:]),
 		Evacuation: parseEvacuation(b[13+knownSize:]),
 		Cold:       parseCold(b[13+knownSize+evacuationSize:]),
 	}
@@ -231,7 +231,7 @@
 // AppendPoll appends a datagram of KindPoll.
 func AppendPoll(b []byte, p Poll) []byte {
 	b = binary.BigEndian.AppendUint64(append(b, byte(KindPoll), byte(p.Flags)), p.Service)
-	b = appendKnown(b, p.Known)
+	b = appendKnown(b, p.Versions)
 	b = appendEvacuation(b, p.Evacuation)
 	return appendCold(b, p.Cold)
 }
@@ -242,7 +242,7 @@
 		return Poll{}, ErrDatagram
 	}
 	return Poll{
-		Flags: Flags(b[1]), Service: binary.BigEndian.Uint64(b[2:]), Known: parseKnown(b[10:]),
+		Flags: Flags(b[1]), Service: binary.BigEndian.Uint64(b[2:]), Versions: parseKnown(b[10:]),
 		Evacuation: parseEvacuation(b[10+knownSize:]), Cold: parseCold(b[10+knownSize+evacuationSize:]),
 	}, nil
 }
@@ -254,16 +254,16 @@
 func AppendStatus(b []byte, s Status) []byte {
 	b = append(b, byte(KindStatus), byte(s.State))
 	b = binary.BigEndian.AppendUint64(b, s.Incarnation)
-	b = appendKnown(b, s.Known)
+	b = appendKnown(b, s.Versions)
 	b = binary.BigEndian.AppendUint16(b, s.Running)
 	b = binary.BigEndian.AppendUint16(b, s.Slots)
 	b = binary.BigEndian.AppendUint32(b, s.Flows)
 	b = binary.BigEndian.AppendUint32(b, uint32(s.StateFor/time.Millisecond))
 	b = binary.BigEndian.AppendUint16(b, s.Balancers)
-	b = append(b, flag(s.Cold, statusCold)|flag(s.Whole, statusAllFlows))
+	b = append(b, flag(s.Cold, statusCold)|flag(s.KnowsAllFlows, statusAllFlows))
 	b = append(b, s.Source[:]...)
 	b = appendEvacuation(b, s.Evacuation)
-	b = appendMillis(b, s.Answer)
+	b = appendMillis(b, s.ResponseTime)
 	return appendMillis(b, s.Warmup)
 }
 
@@ -279,20 +279,20 @@
 		return Status{}, ErrDatagram
 	}
 	return Status{
-		State:       State(b[1]),
-		Incarnation: binary.BigEndian.Uint64(b[2:]),
-		Known:       parseKnown(b[10:]),
-		Running:     binary.BigEndian.Uint16(b[26:]),
-		Slots:       binary.BigEndian.Uint16(b[28:]),
-		Flows:       binary.BigEndian.Uint32(b[30:]),
-		StateFor:    time.Duration(binary.BigEndian.Uint32(b[34:])) * time.Millisecond,
-		Balancers:   binary.BigEndian.Uint16(b[38:]),
-		Cold:        b[40]&statusCold != 0,
-		Whole:       b[40]&statusAllFlows != 0,
-		Source:      [4]byte(b[41:]),
-		Evacuation:  parseEvacuation(b[45:]),
-		Answer:      parseMillis(b[45+evacuationSize:]),
-		Warmup:      parseMillis(b[47+evacuationSize:]),
+		State:         State(b[1]),
+		Incarnation:   binary.BigEndian.Uint64(b[2:]),
+		Versions:      parseKnown(b[10:]),
+		Running:       binary.BigEndian.Uint16(b[26:]),
+		Slots:         binary.BigEndian.Uint16(b[28:]),
+		Flows:         binary.BigEndian.Uint32(b[30:]),
+		StateFor:      time.Duration(binary.BigEndian.Uint32(b[34:])) * time.Millisecond,
+		Balancers:     binary.BigEndian.Uint16(b[38:]),
+		Cold:          b[40]&statusCold != 0,
+		KnowsAllFlows: b[40]&statusAllFlows != 0,
+		Source:        [4]byte(b[41:]),
+		Evacuation:    parseEvacuation(b[45:]),
+		ResponseTime:  parseMillis(b[45+evacuationSize:]),
+		Warmup:        parseMillis(b[47+evacuationSize:]),
 	}, nil
 }
 
@@ -331,13 +331,13 @@
 
 func parsePosition(b []byte) store.Position { return store.Position(binary.BigEndian.Uint64(b)) }
 
-func appendKnown(b []byte, k Known) []byte {
+func appendKnown(b []byte, k Versions) []byte {
 	b = binary.BigEndian.AppendUint64(b, k.Version)
 	return appendPosition(b, k.Listing)
 }
 
-func parseKnown(b []byte) Known {
-	return Known{Version: binary.BigEndian.Uint64(b), Listing: parsePosition(b[8:])}
+func parseKnown(b []byte) Versions {
+	return Versions{Version: binary.BigEndian.Uint64(b), Listing: parsePosition(b[8:])}
 }
 
 func appendCold(b []byte, c Cold) []byte {
--- a/internal/packetface/inner/inner_test.go
+++ b/internal/packetface/inner/inner_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-func drawKnown(t *rapid.T) inner.Known {
-	return inner.Known{Version: rapid.Uint64().Draw(t, "version"), Listing: store.Position(rapid.Uint64().Draw(t, "listing"))}
+func drawKnown(t *rapid.T) inner.Versions {
+	return inner.Versions{Version: rapid.Uint64().Draw(t, "version"), Listing: store.Position(rapid.Uint64().Draw(t, "listing"))}
 }
 
 func drawCold(t *rapid.T) inner.Cold {
@@ -39,7 +39,7 @@
 		packet := rapid.SliceOfN(rapid.Byte(), 0, platform.MaxPacketSize).Draw(t, "packet")
 		flags := inner.Flags(rapid.Byte().Draw(t, "flags"))
 
-		open := inner.Open{Flags: flags, Hops: rapid.Byte().Draw(t, "hops"), Service: rapid.Uint64().Draw(t, "service"), Slots: rapid.Uint16().Draw(t, "open slots"), Known: drawKnown(t), Evacuation: drawEvacuation(t), Cold: drawCold(t)}
+		open := inner.Open{Flags: flags, Hops: rapid.Byte().Draw(t, "hops"), Service: rapid.Uint64().Draw(t, "service"), Slots: rapid.Uint16().Draw(t, "open slots"), Versions: drawKnown(t), Evacuation: drawEvacuation(t), Cold: drawCold(t)}
 		b := inner.AppendOpen(nil, open, packet)
 		g.Expect(len(b)).To(BeNumerically("<=", inner.MaxSize))
 		gotOpen, gotPacket, err := inner.ParseOpen(b)
@@ -48,7 +48,7 @@
 		g.Expect(string(gotPacket)).To(Equal(string(packet)))
 
 		forward := inner.Forward{Flags: flags, Terms: inner.Terms{
-			Rank: rapid.Byte().Draw(t, "rank"), Aim: 8 * time.Millisecond * time.Duration(rapid.Byte().Draw(t, "aim")),
+			Priority: rapid.Byte().Draw(t, "rank"), TargetLatency: 8 * time.Millisecond * time.Duration(rapid.Byte().Draw(t, "aim")),
 			Timeout: 64 * time.Millisecond * time.Duration(rapid.Byte().Draw(t, "timeout")),
 		}}
 		gotForward, gotPacket, err := inner.ParseForward(inner.AppendForward(nil, forward, packet))
@@ -57,18 +57,18 @@
 		g.Expect(string(gotPacket)).To(Equal(string(packet)))
 
 		known := drawKnown(t)
-		poll := inner.Poll{Flags: flags, Service: rapid.Uint64().Draw(t, "poll service"), Known: known, Evacuation: drawEvacuation(t), Cold: drawCold(t)}
+		poll := inner.Poll{Flags: flags, Service: rapid.Uint64().Draw(t, "poll service"), Versions: known, Evacuation: drawEvacuation(t), Cold: drawCold(t)}
 		gotPoll, err := inner.ParsePoll(inner.AppendPoll(nil, poll))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(gotPoll).To(Equal(poll))
 
 		status := inner.Status{
-			State: inner.State(rapid.Byte().Draw(t, "state")), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Known: known,
+			State: inner.State(rapid.Byte().Draw(t, "state")), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Versions: known,
 			Running: rapid.Uint16().Draw(t, "running"), Slots: rapid.Uint16().Draw(t, "slots"), Flows: rapid.Uint32().Draw(t, "flows"),
 			StateFor:  time.Duration(rapid.Uint32().Draw(t, "latency")) * time.Millisecond,
 			Balancers: rapid.Uint16().Draw(t, "balancers"), Cold: rapid.Bool().Draw(t, "cold"),
 			Source:     [4]byte(rapid.SliceOfN(rapid.Byte(), 4, 4).Draw(t, "source")),
-			Evacuation: drawEvacuation(t), Answer: time.Duration(rapid.Uint16().Draw(t, "answer")) * time.Millisecond,
+			Evacuation: drawEvacuation(t), ResponseTime: time.Duration(rapid.Uint16().Draw(t, "answer")) * time.Millisecond,
 		}
 		gotStatus, err := inner.ParseStatus(inner.AppendStatus(nil, status))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -87,7 +87,7 @@
 		g.Expect(gotHead).To(Equal(head))
 		g.Expect(gotQuestions).To(Equal(questions))
 
-		answer := inner.Answer{Flow: drawFlow(t), Verdict: inner.VerdictMaybe}
+		answer := inner.Answer{Flow: drawFlow(t), Verdict: inner.VerdictUnknown}
 		answers, listing, err := inner.ParseAnswers(nil, inner.AppendAnswer(inner.AppendAnswerHead(nil, known.Listing), answer))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(listing).To(Equal(known.Listing))
@@ -103,10 +103,10 @@
 		{time.Minute, time.Minute, 2040 * time.Millisecond, 16320 * time.Millisecond},
 	}
 	for _, c := range cases {
-		head := inner.Forward{Flags: inner.FlagMust, Terms: inner.Terms{Rank: 3, Aim: c.aim, Timeout: c.timeout}}
+		head := inner.Forward{Flags: inner.FlagLastChoice, Terms: inner.Terms{Priority: 3, TargetLatency: c.aim, Timeout: c.timeout}}
 		got, _, err := inner.ParseForward(inner.AppendForward(nil, head, nil))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(got).To(Equal(inner.Forward{Flags: inner.FlagMust, Terms: inner.Terms{Rank: 3, Aim: c.wantAim, Timeout: c.wantTimeout}}))
+		g.Expect(got).To(Equal(inner.Forward{Flags: inner.FlagLastChoice, Terms: inner.Terms{Priority: 3, TargetLatency: c.wantAim, Timeout: c.wantTimeout}}))
 	}
 }
 
--- a/internal/packetface/inner/peer.go
+++ b/internal/packetface/inner/peer.go
@@ -13,14 +13,14 @@
 // (package watchshare). Subscriptions form trees. The root of a tree watches the store,
 // and the source of any other balancer is the one that it subscribes to.
 
-// News is a store update: the state of the store as a balancer knows it.
-type News struct {
-	// Watches reports that the sender accepts subscribers: it watches the store, or
+// StoreUpdate is a store update: the state of the store as a balancer knows it.
+type StoreUpdate struct {
+	// AcceptsListeners reports that the sender accepts subscribers: it watches the store, or
 	// subscribes to a balancer that has the store's changes.
-	Watches bool
-	// Below reports that Source is one of the sender's subscribers, named because the
+	AcceptsListeners bool
+	// Redirects reports that Source is one of the sender's subscribers, named because the
 	// sender can accept no more.
-	Below bool
+	Redirects bool
 	// Depth is the number of levels between the sender and the balancer that watches the
 	// store, 0 for that balancer itself.
 	Depth uint8
@@ -34,18 +34,18 @@
 	// Source is the host of the sender's own source, or of one of its subscribers if
 	// Below is set; invalid for none.
 	Source netip.Addr
-	// Other is the host of another subscriber of the sender, invalid for none. The
+	// OtherListener is the host of another subscriber of the sender, invalid for none. The
 	// receiver can ask it for a new source if the sender fails.
-	Other netip.Addr
+	OtherListener netip.Addr
 }
 
-// Follow asks a balancer for its current store update and subscribes to later ones.
-type Follow struct {
-	// Below reports that the receiver's source named the receiver. The receiver then
+// WatchRequest asks a balancer for its current store update and subscribes to later ones.
+type WatchRequest struct {
+	// Redirected reports that the receiver's source named the receiver. The receiver then
 	// accepts the subscriber or names one of its own subscribers, never its source.
-	Below bool
-	// Leads reports that the sender watches the store and has subscribers.
-	Leads bool
+	Redirected bool
+	// Root reports that the sender watches the store and has subscribers.
+	Root bool
 }
 
 const (
@@ -65,17 +65,17 @@
 	subscribeRoot
 )
 
-// AppendFollow appends a datagram of KindFollow.
-func AppendFollow(b []byte, f Follow) []byte {
-	return append(b, byte(KindFollow), flag(f.Below, subscribeRedirected)|flag(f.Leads, subscribeRoot))
+// AppendWatchRequest appends a datagram of KindFollow.
+func AppendWatchRequest(b []byte, f WatchRequest) []byte {
+	return append(b, byte(KindWatchRequest), flag(f.Redirected, subscribeRedirected)|flag(f.Root, subscribeRoot))
 }
 
-// ParseFollow decodes a datagram of KindFollow.
-func ParseFollow(b []byte) (Follow, error) {
-	if len(b) != subscribeSize || KindOf(b) != KindFollow {
-		return Follow{}, ErrDatagram
+// ParseWatchRequest decodes a datagram of KindFollow.
+func ParseWatchRequest(b []byte) (WatchRequest, error) {
+	if len(b) != subscribeSize || KindOf(b) != KindWatchRequest {
+		return WatchRequest{}, ErrDatagram
 	}
-	return Follow{Below: b[1]&subscribeRedirected != 0, Leads: b[1]&subscribeRoot != 0}, nil
+	return WatchRequest{Redirected: b[1]&subscribeRedirected != 0, Root: b[1]&subscribeRoot != 0}, nil
 }
 
 // flag returns the bit if set is true, otherwise 0.
@@ -86,30 +86,30 @@
 	return 0
 }
 
-// AppendNews appends a datagram of KindNews.
-func AppendNews(b []byte, n *News) []byte {
-	b = append(b, byte(KindNews), flag(n.Watches, updateAccepts)|flag(n.Below, updateRedirects), n.Depth)
+// AppendStoreUpdate appends a datagram of KindNews.
+func AppendStoreUpdate(b []byte, n *StoreUpdate) []byte {
+	b = append(b, byte(KindStoreUpdate), flag(n.AcceptsListeners, updateAccepts)|flag(n.Redirects, updateRedirects), n.Depth)
 	b = appendPosition(b, n.AsOf)
 	b = appendMillis(b, n.Age)
 	b = appendHost(b, n.Source)
-	b = appendHost(b, n.Other)
+	b = appendHost(b, n.OtherListener)
 	return binary.BigEndian.AppendUint16(b, n.Balancers)
 }
 
-// ParseNews decodes a datagram of KindNews.
-func ParseNews(b []byte) (News, error) {
-	if len(b) != updateSize || KindOf(b) != KindNews {
-		return News{}, ErrDatagram
+// ParseStoreUpdate decodes a datagram of KindNews.
+func ParseStoreUpdate(b []byte) (StoreUpdate, error) {
+	if len(b) != updateSize || KindOf(b) != KindStoreUpdate {
+		return StoreUpdate{}, ErrDatagram
 	}
-	n := News{
-		Watches:   b[1]&updateAccepts != 0,
-		Below:     b[1]&updateRedirects != 0,
-		Depth:     b[2],
-		AsOf:      parsePosition(b[3:]),
-		Age:       parseMillis(b[11:]),
-		Source:    parseHost(b[13:]),
-		Other:     parseHost(b[17:]),
-		Balancers: binary.BigEndian.Uint16(b[21:]),
+	n := StoreUpdate{
+		AcceptsListeners: b[1]&updateAccepts != 0,
+		Redirects:        b[1]&updateRedirects != 0,
+		Depth:            b[2],
+		AsOf:             parsePosition(b[3:]),
+		Age:              parseMillis(b[11:]),
+		Source:           parseHost(b[13:]),
+		OtherListener:    parseHost(b[17:]),
+		Balancers:        binary.BigEndian.Uint16(b[21:]),
 	}
 	return n, nil
 }
--- a/internal/packetface/inner/state.go
+++ b/internal/packetface/inner/state.go
@@ -37,9 +37,9 @@
 	VerdictHeld Verdict = iota + 1
 	// VerdictNone means that the upstream certainly does not hold the flow.
 	VerdictNone
-	// VerdictMaybe means that the agent does not know, because it started after its
+	// VerdictUnknown means that the agent does not know, because it started after its
 	// upstream.
-	VerdictMaybe
+	VerdictUnknown
 	// VerdictUnsure means that the upstream does not hold the flow, but that the search
 	// must not rely on it: the agent has just started and does not know yet how recent
 	// the agent lists of the balancers are, so it could not warn a balancer whose list
--- a/internal/packetface/role/watchshare.go
+++ b/internal/packetface/role/watchshare.go
@@ -40,7 +40,7 @@
 // datagrams from other ports are rejected.
 func (b *balancer) fromPeer(from netip.AddrPort, datagram []byte) bool {
 	kind := inner.KindOf(datagram)
-	if kind != inner.KindFollow && kind != inner.KindNews {
+	if kind != inner.KindWatchRequest && kind != inner.KindStoreUpdate {
 		return false
 	}
 	if from.Port() != b.env.Host.InnerPorts[0] {
@@ -48,9 +48,9 @@
 		return true
 	}
 	now := b.clock()
-	if kind == inner.KindFollow {
+	if kind == inner.KindWatchRequest {
 		subscribeRequests.Inc()
-		follow, err := inner.ParseFollow(datagram)
+		follow, err := inner.ParseWatchRequest(datagram)
 		if err != nil {
 			rejectedMessages.Inc()
 			return true
@@ -58,7 +58,7 @@
 		b.sendWatchShare(b.watchShare.Request(now, from.Addr(), follow))
 		return true
 	}
-	news, err := inner.ParseNews(datagram)
+	news, err := inner.ParseStoreUpdate(datagram)
 	if err != nil {
 		rejectedMessages.Inc()
 		return true
@@ -72,7 +72,7 @@
 // countUpdate counts a store update by its position compared with this balancer's. It
 // logs when the source first reports a lower position than this balancer has; the
 // follower ignores what such a source sends.
-func (b *balancer) countUpdate(from netip.Addr, news inner.News) {
+func (b *balancer) countUpdate(from netip.Addr, news inner.StoreUpdate) {
 	switch order := cmp.Compare(news.AsOf, b.knownUpTo); {
 	case order > 0:
 		updatesByPosition["more"].Inc()
@@ -108,10 +108,10 @@
 	for _, m := range messages {
 		to := netip.AddrPortFrom(m.To, b.env.Host.InnerPorts[0])
 		if m.News == nil {
-			send(b.agents, to, inner.AppendFollow(nil, m.Follow))
+			send(b.agents, to, inner.AppendWatchRequest(nil, m.Follow))
 			continue
 		}
-		send(b.agents, to, inner.AppendNews(nil, m.News))
+		send(b.agents, to, inner.AppendStoreUpdate(nil, m.News))
 	}
 }
 
--- a/internal/packetface/routing/routing.go
+++ b/internal/packetface/routing/routing.go
@@ -42,7 +42,7 @@
 	}
 	for _, configured := range c.Routes {
 		route := &Route{Route: configured, Terms: inner.Terms{
-			Rank: uint8(min(max(configured.Priority, 0), math.MaxUint8)), Aim: configured.TargetLatency, Timeout: configured.Timeout,
+			Priority: uint8(min(max(configured.Priority, 0), math.MaxUint8)), TargetLatency: configured.TargetLatency, Timeout: configured.Timeout,
 		}}
 		for _, share := range configured.Shares {
 			id := inner.ServiceID(share.Service)
--- a/internal/packetface/routing/routing_test.go
+++ b/internal/packetface/routing/routing_test.go
@@ -54,6 +54,6 @@
 		built := routing.NewTable(platform.Configuration{Version: 1, Routes: []platform.Route{
 			{Face: netip.MustParseAddrPort("198.18.0.1:443"), Priority: rank, TargetLatency: 250 * time.Millisecond, Timeout: 4 * time.Second},
 		}})
-		g.Expect(built.Find(flow(1)).Terms).To(Equal(inner.Terms{Rank: want, Aim: 250 * time.Millisecond, Timeout: 4 * time.Second}))
+		g.Expect(built.Find(flow(1)).Terms).To(Equal(inner.Terms{Priority: want, TargetLatency: 250 * time.Millisecond, Timeout: 4 * time.Second}))
 	}
 }
--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -160,7 +160,7 @@
 	switch verdict {
 	case inner.VerdictNone:
 		s.set(m, NotHeld)
-	case inner.VerdictMaybe:
+	case inner.VerdictUnknown:
 		if m.state == Waiting {
 			s.set(m, CannotTell)
 		}
--- a/internal/packetface/search/search_test.go
+++ b/internal/packetface/search/search_test.go
@@ -26,7 +26,7 @@
 	s := asked(5, 2, 9, 7)
 	w.Expect(s.Ask(2)).To(BeFalse())
 	s.RecordVerdict(5, inner.VerdictNone)
-	s.RecordVerdict(2, inner.VerdictMaybe)
+	s.RecordVerdict(2, inner.VerdictUnknown)
 	s.RecordVerdict(9, inner.VerdictUnsure)
 	s.RecordVerdict(44, inner.VerdictNone) // this agent was not asked
 	w.Expect(s.Count(search.NotHeld)).To(Equal(1))
@@ -43,7 +43,7 @@
 	s := asked(1)
 	s.RecordVerdict(1, inner.VerdictNone)
 	s.RecordVerdict(1, inner.VerdictUnsure)
-	s.RecordVerdict(1, inner.VerdictMaybe)
+	s.RecordVerdict(1, inner.VerdictUnknown)
 	w.Expect(s.AskAgain(1)).To(BeFalse())
 	w.Expect(s.Proved(1)).To(BeTrue())
 }
@@ -52,7 +52,7 @@
 	w := NewWithT(t)
 	s := asked(8, 3, 6)
 	for _, id := range []search.ID{3, 6, 8} {
-		s.RecordVerdict(id, inner.VerdictMaybe)
+		s.RecordVerdict(id, inner.VerdictUnknown)
 	}
 	w.Expect(s.Probe(2)).To(Equal([]search.ID{8, 3}))
 	w.Expect(s.Count(search.Probed)).To(Equal(2))
@@ -67,7 +67,7 @@
 func TestForgottenAgentIsNotCounted(t *testing.T) {
 	w := NewWithT(t)
 	s := asked(1, 2)
-	s.RecordVerdict(1, inner.VerdictMaybe)
+	s.RecordVerdict(1, inner.VerdictUnknown)
 	s.Probe(1)
 	s.Forget(1)
 	s.Forget(1)
@@ -116,7 +116,7 @@
 			case 0, 1:
 				s.Ask(id)
 			case 2:
-				verdict := rapid.SampledFrom([]inner.Verdict{inner.VerdictNone, inner.VerdictMaybe, inner.VerdictUnsure}).Draw(t, "verdict")
+				verdict := rapid.SampledFrom([]inner.Verdict{inner.VerdictNone, inner.VerdictUnknown, inner.VerdictUnsure}).Draw(t, "verdict")
 				_, known := index(s, id)
 				s.RecordVerdict(id, verdict)
 				if known && verdict == inner.VerdictNone {
--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -164,8 +164,8 @@
 		}
 		running += float64(a.status.Running)
 		n++
-		if a.status.Answer > 0 {
-			m.answer += a.status.Answer
+		if a.status.ResponseTime > 0 {
+			m.answer += a.status.ResponseTime
 			answers++
 		}
 	}
@@ -185,7 +185,7 @@
 	if m.answer == 0 {
 		return 0
 	}
-	times := a.status.Answer.Seconds() / m.answer.Seconds()
+	times := a.status.ResponseTime.Seconds() / m.answer.Seconds()
 	return weightSlow * max(0, times-slowThreshold)
 }
 
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -315,7 +315,7 @@
 	a.warmupSent = cold.Warmup
 	start := len(c.buffer)
 	c.buffer = inner.AppendPoll(c.buffer, inner.Poll{
-		Flags: flags, Service: a.Service, Known: c.known(), Evacuation: a.evacuation, Cold: cold,
+		Flags: flags, Service: a.Service, Versions: c.known(), Evacuation: a.evacuation, Cold: cold,
 	})
 	c.send(a.Addr, start)
 }
@@ -377,7 +377,7 @@
 	switch {
 	case a.unlistedSince != 0 || a.Damaged:
 		return since > unlistedPollInterval
-	case a.waitingSince == 0 && a.requiredListing > a.status.Known.Listing:
+	case a.waitingSince == 0 && a.requiredListing > a.status.Versions.Listing:
 		return since > pollRetryInterval
 	case a.waitingSince == 0:
 		return false
--- a/internal/packetface/steer/agents_test.go
+++ b/internal/packetface/steer/agents_test.go
@@ -19,14 +19,14 @@
 // the agent is polled until it reports the list.
 func TestSiblingsArePolledUntilTheyReportNewList(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"))
-	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
+	b.status(101, inner.Status{Versions: inner.Versions{Listing: 1}})
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a"), agentAt(102, "a")}, listAge(2))
 	b.Expect(b.sent(inner.KindPoll)).To(ContainElement(address(101, 1)))
-	b.status(101, inner.Status{Known: inner.Known{Listing: 1}}) // the poll was lost, so it has the old list
+	b.status(101, inner.Status{Versions: inner.Versions{Listing: 1}}) // the poll was lost, so it has the old list
 	b.now += 150 * time.Millisecond
 	b.last = b.core.Tick(b.now)
 	b.Expect(b.sent(inner.KindPoll)).To(ContainElement(address(101, 1)))
-	b.status(101, inner.Status{Known: inner.Known{Listing: 2}})
+	b.status(101, inner.Status{Versions: inner.Versions{Listing: 2}})
 	b.now += 150 * time.Millisecond
 	b.last = b.core.Tick(b.now)
 	b.Expect(b.sent(inner.KindPoll)).NotTo(ContainElement(address(101, 1)))
@@ -36,10 +36,10 @@
 // list with it. The flow may be held by an agent that the balancer's list lacks.
 func TestReturnedProbeReportingNewerListPreventsReset(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"))
-	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
+	b.status(101, inner.Status{Versions: inner.Versions{Listing: 1}})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.answer(101, caller(1), inner.VerdictMaybe, 1)
+	b.answer(101, caller(1), inner.VerdictUnknown, 1)
 	head := inner.Returned{Reason: inner.ReasonUnknown, Listing: 2}
 	b.fromAgent(101, inner.AppendReturned(nil, head, packet(caller(1), 1, 77, platform.FlagACK, 30)))
 	b.Expect(b.resets()).To(BeZero())
@@ -51,11 +51,11 @@
 func TestPausedBalancerDoesNotSuspectAgents(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"), agentAt(104, "a"))
 	for n := 101; n <= 104; n++ {
-		b.status(n, inner.Status{Known: inner.Known{Listing: 1}})
+		b.status(n, inner.Status{Versions: inner.Versions{Listing: 1}})
 	}
 	b.callerSends(caller(1), platform.FlagSYN, 0)
 	owner := b.sent(inner.KindOpen)[0]
-	b.fromAgent(int(owner.Addr().As4()[3]), inner.AppendStatus(nil, inner.Status{State: inner.StateReady, Known: inner.Known{Listing: 1}}))
+	b.fromAgent(int(owner.Addr().As4()[3]), inner.AppendStatus(nil, inner.Status{State: inner.StateReady, Versions: inner.Versions{Listing: 1}}))
 	b.now += 300 * time.Millisecond
 	b.callerSends(caller(1), platform.FlagACK, 30) // asks for a status
 	b.now += 150 * time.Millisecond
@@ -113,7 +113,7 @@
 func TestListReadAfterRemovalIsNotOutdated(t *testing.T) {
 	b := newBench(t)
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, steer.ListAge{AsOf: 10, Newest: 3})
-	b.status(101, inner.Status{Known: inner.Known{Listing: 9}})
+	b.status(101, inner.Status{Versions: inner.Versions{Listing: 9}})
 	b.Expect(b.notes(steer.KindNewer)).To(BeEmpty())
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
@@ -124,7 +124,7 @@
 func TestListOlderThanReportedOnePreventsReset(t *testing.T) {
 	b := newBench(t)
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, steer.ListAge{AsOf: 8, Newest: 3})
-	b.status(101, inner.Status{Known: inner.Known{Listing: 9}})
+	b.status(101, inner.Status{Versions: inner.Versions{Listing: 9}})
 	b.Expect(b.notes(steer.KindNewer)).To(HaveLen(1))
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
@@ -134,7 +134,7 @@
 
 func TestBalancerIsBlindIfNoAgentAnswers(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
-	status := inner.Status{Known: inner.Known{Listing: 1}} // by the answers to the first polls
+	status := inner.Status{Versions: inner.Versions{Listing: 1}} // by the answers to the first polls
 	b.status(101, status)
 	b.status(102, status)
 	b.now += time.Second
--- a/internal/packetface/steer/choice_bench_test.go
+++ b/internal/packetface/steer/choice_bench_test.go
@@ -125,7 +125,7 @@
 			deliver(c, r, began)
 		})
 	}
-	full := s.running[n] >= simSlots && head.Flags&inner.FlagMust == 0 && head.Hops < simBusyHops
+	full := s.running[n] >= simSlots && head.Flags&inner.FlagLastChoice == 0 && head.Hops < simBusyHops
 	if !full {
 		s.arrive(n, began)
 	}
--- a/internal/packetface/steer/evacuation_test.go
+++ b/internal/packetface/steer/evacuation_test.go
@@ -63,7 +63,7 @@
 	const agents, balancers, tick = 200, 400, 50 * time.Millisecond
 	b := benchOf(t, agents)
 	for n := range agents {
-		b.status(101+n, inner.Status{Slots: 4, Known: inner.Known{Listing: 1}, Balancers: balancers})
+		b.status(101+n, inner.Status{Slots: 4, Versions: inner.Versions{Listing: 1}, Balancers: balancers})
 	}
 	b.wait(time.Second)
 	b.evacuate(5, "a")
@@ -74,7 +74,7 @@
 		for _, to := range b.sent(inner.KindPoll) {
 			polls++
 			host := to.Addr().As4()
-			b.status(int(host[2])<<8+int(host[3]), inner.Status{Slots: 4, Known: inner.Known{Listing: 1}, Balancers: balancers, Evacuation: evacuation.State{Evacuated: true, AsOf: 5}})
+			b.status(int(host[2])<<8+int(host[3]), inner.Status{Slots: 4, Versions: inner.Versions{Listing: 1}, Balancers: balancers, Evacuation: evacuation.State{Evacuated: true, AsOf: 5}})
 		}
 	}
 	b.Expect(polls).To(And(BeNumerically(">", 5), BeNumerically("<", 120)), "4,000 polls if the balancer polled all agents at each tick")
--- a/internal/packetface/steer/listing_check_test.go
+++ b/internal/packetface/steer/listing_check_test.go
@@ -52,8 +52,8 @@
 // although it was running.
 func TestPauseDoesNotRemoveUnlistedAgents(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"))
-	b.status(101, inner.Status{Known: inner.Known{Listing: 1}})
-	b.status(102, inner.Status{Known: inner.Known{Listing: 1}})
+	b.status(101, inner.Status{Versions: inner.Versions{Listing: 1}})
+	b.status(102, inner.Status{Versions: inner.Versions{Listing: 1}})
 	b.last = b.core.SetAgents(b.now, nil, listAge(2))
 	b.now += 2400 * time.Millisecond
 	b.last = b.core.Tick(b.now)
--- a/internal/packetface/steer/newer_state.go
+++ b/internal/packetface/steer/newer_state.go
@@ -12,7 +12,7 @@
 
 // noteReported compares the configuration version and the list of agents that an agent
 // has reported with the balancer's own, and adds a note if the reported ones are newer.
-func (c *Core) noteReported(now time.Duration, a *agent, reported inner.Known, source [4]byte) {
+func (c *Core) noteReported(now time.Duration, a *agent, reported inner.Versions, source [4]byte) {
 	c.roster.newestReported = max(c.roster.newestReported, reported.Listing)
 	newer := reported.Version > c.known().Version || reported.Listing > c.roster.age.AsOf
 	if reported.Version > c.newer.version {
--- a/internal/packetface/steer/owner_search.go
+++ b/internal/packetface/steer/owner_search.go
@@ -191,7 +191,7 @@
 		return err
 	}
 	c.answerBuffer = answers
-	c.noteReported(now, a, inner.Known{Listing: listing}, [4]byte{})
+	c.noteReported(now, a, inner.Versions{Listing: listing}, [4]byte{})
 	for _, answer := range answers {
 		if q := c.searches[answer.Flow]; q != nil {
 			c.handleVerdict(now, answer.Flow, q, a, answer.Verdict)
--- a/internal/packetface/steer/owner_test.go
+++ b/internal/packetface/steer/owner_test.go
@@ -63,7 +63,7 @@
 		{"the balancer started just now", inner.VerdictNone, 1, 0, 0},
 		{"the agent knows of a newer list", inner.VerdictNone, 2, time.Second, 0},
 		{"the agent started just now", inner.VerdictUnsure, 1, time.Second, 0},
-		{"the agent cannot tell", inner.VerdictMaybe, 1, time.Second, 0},
+		{"the agent cannot tell", inner.VerdictUnknown, 1, time.Second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	b.status(101, inner.Status{})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.answer(101, caller(1), inner.VerdictMaybe, 1)
+	b.answer(101, caller(1), inner.VerdictUnknown, 1)
 	b.Expect(b.sent(inner.KindForward)).To(HaveLen(1))
 	b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonUnknown}, packet(caller(1), 1, 77, platform.FlagACK, 30)))
 	b.Expect(b.resets()).To(Equal(1))
@@ -142,7 +142,7 @@
 	b.status(101, inner.Status{})
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.answer(101, caller(1), inner.VerdictMaybe, 1)
+	b.answer(101, caller(1), inner.VerdictUnknown, 1)
 	b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonUnsure}, packet(caller(1), 1, 77, platform.FlagACK, 30)))
 	probes := 0
 	for range 60 {
--- a/internal/packetface/steer/placement.go
+++ b/internal/packetface/steer/placement.go
@@ -89,7 +89,7 @@
 	best.pending++
 	flags := inner.Flags(0)
 	if best.isFailing() {
-		flags = inner.FlagMust
+		flags = inner.FlagLastChoice
 	}
 	c.sendOpen(now, f, best, route, id, b, flags)
 }
@@ -104,7 +104,7 @@
 	}
 	c.note(Note{Kind: KindMoved, Flow: id, Agent: last.Addr, Age: now - last.lastReceived, Took: now - f.placed, Reason: "last", Count: f.hops()})
 	f.agent, f.placed, f.lastTry = last, now, true
-	c.sendOpen(now, f, last, route, id, b, inner.FlagMust)
+	c.sendOpen(now, f, last, route, id, b, inner.FlagLastChoice)
 }
 
 // rejectReason returns why no agent of a service takes a flow.
@@ -156,10 +156,10 @@
 	start := len(c.buffer)
 	flags |= c.flagsFor(a, now, maxStatusAgeOpen)
 	if f.mayRepeat {
-		flags |= inner.FlagRepeated
+		flags |= inner.FlagMayBeRetry
 	}
 	c.buffer = inner.AppendOpen(c.buffer, inner.Open{
-		Flags: flags, Hops: uint8(min(f.hops(), maxHops)), Service: service, Slots: c.roster.slots(a), Known: c.known(),
+		Flags: flags, Hops: uint8(min(f.hops(), maxHops)), Service: service, Slots: c.roster.slots(a), Versions: c.known(),
 		Evacuation: a.evacuation, Cold: c.coldOf(service),
 	}, b)
 	c.send(a.Addr, start)
--- a/internal/packetface/steer/placement_test.go
+++ b/internal/packetface/steer/placement_test.go
@@ -59,7 +59,7 @@
 	b.Expect(b.sent(inner.KindOpen)).To(HaveLen(1)) // to the agent of last resort
 	head, _, err := inner.ParseOpen(b.last.Actions[0].Bytes)
 	b.Expect(err).NotTo(HaveOccurred())
-	b.Expect(head.Flags & inner.FlagMust).NotTo(BeZero())
+	b.Expect(head.Flags & inner.FlagLastChoice).NotTo(BeZero())
 	last := 101
 	if b.sent(inner.KindOpen)[0] == address(102, 1) {
 		last = 102
@@ -119,7 +119,7 @@
 	b.Expect(b.sent(inner.KindOpen)).To(Equal([]netip.AddrPort{address(101, 1)}))
 	head, _, err := inner.ParseOpen(b.last.Actions[0].Bytes)
 	b.Expect(err).NotTo(HaveOccurred())
-	b.Expect(head.Flags & inner.FlagMust).NotTo(BeZero())
+	b.Expect(head.Flags & inner.FlagLastChoice).NotTo(BeZero())
 }
 
 // After a simultaneous power loss opening packets arrive before the balancer has read the
@@ -179,8 +179,8 @@
 		off    []string
 		want   inner.Flags
 	}{
-		{"right after the start", 50 * time.Millisecond, 0, nil, inner.FlagRepeated},
-		{"a copy, of a flow begun while hosts had long been down", 300 * time.Millisecond, 2, nil, inner.FlagRepeated},
+		{"right after the start", 50 * time.Millisecond, 0, nil, inner.FlagMayBeRetry},
+		{"a copy, of a flow begun while hosts had long been down", 300 * time.Millisecond, 2, nil, inner.FlagMayBeRetry},
 		{"a copy of a first attempt", 100 * time.Millisecond, 2, nil, 0},
 		{"a second later", 1060 * time.Millisecond, 0, nil, 0},
 		{"without the policy", 50 * time.Millisecond, 0, []string{string(policy.Repetition)}, 0},
@@ -192,7 +192,7 @@
 			b.Expect(err).NotTo(HaveOccurred())
 			head, _, err := inner.ParseOpen(r.Actions[0].Bytes)
 			b.Expect(err).NotTo(HaveOccurred())
-			b.Expect(head.Flags & inner.FlagRepeated).To(Equal(c.want))
+			b.Expect(head.Flags & inner.FlagMayBeRetry).To(Equal(c.want))
 		})
 	}
 }
--- a/internal/packetface/steer/property_test.go
+++ b/internal/packetface/steer/property_test.go
@@ -133,7 +133,7 @@
 		}
 		w.run(200 * time.Millisecond)
 		for _, s := range w.agents {
-			if !s.gate.Status(w.now).Whole {
+			if !s.gate.Status(w.now).KnowsAllFlows {
 				t.Fatalf("agent %s does not know all flows of its upstream\n%s", s.addr, w.flowLog(platform.Flow{}))
 			}
 		}
--- a/internal/packetface/steer/returned_packets.go
+++ b/internal/packetface/steer/returned_packets.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	c.noteReported(now, a, inner.Known{Listing: head.Listing}, [4]byte{})
+	c.noteReported(now, a, inner.Versions{Listing: head.Listing}, [4]byte{})
 	id := p.FromCaller()
 	if p.IsOpening() {
 		c.placeAgain(now, id, a, head, packet)
--- a/internal/packetface/steer/search_test.go
+++ b/internal/packetface/steer/search_test.go
@@ -24,7 +24,7 @@
 	}
 	b := newBench(t, agents...)
 	for n := range count {
-		b.status(101+n, inner.Status{Known: inner.Known{Listing: 1}})
+		b.status(101+n, inner.Status{Versions: inner.Versions{Listing: 1}})
 	}
 	b.now += time.Second
 	return b
@@ -37,7 +37,7 @@
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.answer(101, caller(1), inner.VerdictNone, 1)
 	b.answer(102, caller(1), inner.VerdictNone, 1)
-	b.answer(103, caller(1), inner.VerdictMaybe, 1)
+	b.answer(103, caller(1), inner.VerdictUnknown, 1)
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a"), agentAt(102, "a")}, listAge(2))
 	b.now += time.Millisecond
 	b.status(103, inner.Status{State: inner.StateDown})
@@ -57,7 +57,7 @@
 	b.status(101, inner.Status{State: inner.StateUnproven})
 	for n := 1; n <= 3; n++ {
 		b.callerSends(caller(n), platform.FlagACK, 30)
-		b.answer(101, caller(n), inner.VerdictMaybe, 1)
+		b.answer(101, caller(n), inner.VerdictUnknown, 1)
 	}
 	b.wait(20 * time.Millisecond)
 	b.status(101, inner.Status{})
@@ -79,7 +79,7 @@
 	probes := 0
 	for n := 1; n <= flows; n++ {
 		for a := range agents {
-			b.answer(101+a, caller(n), inner.VerdictMaybe, 1)
+			b.answer(101+a, caller(n), inner.VerdictUnknown, 1)
 			probes += len(b.sent(inner.KindForward))
 		}
 	}
@@ -121,9 +121,9 @@
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"))
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.answer(101, caller(1), inner.VerdictMaybe, 1)
+	b.answer(101, caller(1), inner.VerdictUnknown, 1)
 	b.Expect(b.sent(inner.KindForward)).To(HaveLen(1))
-	b.answer(102, caller(1), inner.VerdictMaybe, 1)
+	b.answer(102, caller(1), inner.VerdictUnknown, 1)
 	b.Expect(b.sent(inner.KindForward)).To(HaveLen(1))
 	b.now += 10 * time.Millisecond
 	b.status(102, inner.Status{})
@@ -137,7 +137,7 @@
 	b := benchOf(t, agents)
 	b.callerSends(caller(1), platform.FlagSYN, 0)
 	owner := b.sent(inner.KindOpen)[0]
-	b.fromAgent(int(owner.Addr().As4()[3]), inner.AppendStatus(nil, inner.Status{State: inner.StateReady, Known: inner.Known{Listing: 1}}))
+	b.fromAgent(int(owner.Addr().As4()[3]), inner.AppendStatus(nil, inner.Status{State: inner.StateReady, Versions: inner.Versions{Listing: 1}}))
 	datagrams, flows := 0, 0
 	var answers []netip.AddrPort
 	for ms := range seconds * 1000 {
@@ -155,7 +155,7 @@
 		}
 		datagrams += len(answers)
 		for _, from := range answers { // each agent is running and holds none of the flows
-			b.status(int(from.Addr().As4()[3]), inner.Status{Known: inner.Known{Listing: 1}})
+			b.status(int(from.Addr().As4()[3]), inner.Status{Versions: inner.Versions{Listing: 1}})
 		}
 		answers = answers[:0]
 		b.callerSends(caller(1), platform.FlagACK, 30)
@@ -170,7 +170,7 @@
 func TestReturnedProbeDoesNotExtendSearch(t *testing.T) {
 	b := benchOf(t, 2)
 	b.callerSends(caller(1), platform.FlagACK, 30)
-	b.answer(101, caller(1), inner.VerdictMaybe, 1) // agent 102 does not answer
+	b.answer(101, caller(1), inner.VerdictUnknown, 1) // agent 102 does not answer
 	for range 24 {
 		b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonUnknown}, packet(caller(1), 1, 77, platform.FlagACK, 30)))
 		b.wait(100 * time.Millisecond)
@@ -187,7 +187,7 @@
 	for _, end := range []inner.Verdict{inner.VerdictHeld, inner.VerdictNone} {
 		b := benchOf(t, 3)
 		b.callerSends(caller(1), platform.FlagACK, 30)
-		b.answer(101, caller(1), inner.VerdictMaybe, 1)
+		b.answer(101, caller(1), inner.VerdictUnknown, 1)
 		b.answer(102, caller(1), inner.VerdictNone, 1)
 		b.answer(103, caller(1), end, 1)
 		if end == inner.VerdictNone {
--- a/internal/packetface/steer/slow_upstream_test.go
+++ b/internal/packetface/steer/slow_upstream_test.go
@@ -22,7 +22,7 @@
 	}
 	b := newBenchWithout(t, off, agents...)
 	for n, answer := range answers {
-		b.status(n+1, inner.Status{Slots: 4, Running: running, Answer: answer})
+		b.status(n+1, inner.Status{Slots: 4, Running: running, ResponseTime: answer})
 	}
 	return b
 }
@@ -53,7 +53,7 @@
 		return func() {
 			answers[0] = slow
 			for n, answer := range answers {
-				b.status(n+1, inner.Status{Slots: 4, Running: 2, Answer: answer})
+				b.status(n+1, inner.Status{Slots: 4, Running: 2, ResponseTime: answer})
 			}
 		}
 	}
@@ -71,14 +71,14 @@
 func TestSlowUpstreamIsPreferredToLongQueues(t *testing.T) {
 	b := benchOfSeven(t, nil, 0, [7]time.Duration{3 * usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer, usualAnswer})
 	b.Expect(b.placed(1000, 20, 1, func() {
-		b.status(1, inner.Status{Slots: 4, Answer: 3 * usualAnswer})
+		b.status(1, inner.Status{Slots: 4, ResponseTime: 3 * usualAnswer})
 		for n := range 6 {
-			b.status(n+2, inner.Status{Slots: 4, Running: 8, Answer: usualAnswer})
+			b.status(n+2, inner.Status{Slots: 4, Running: 8, ResponseTime: usualAnswer})
 		}
 	})).To(Equal(20))
 	all := func() {
 		for n := range 7 {
-			b.status(n+1, inner.Status{Slots: 4, Running: 2, Answer: 5 * usualAnswer})
+			b.status(n+1, inner.Status{Slots: 4, Running: 2, ResponseTime: 5 * usualAnswer})
 		}
 	}
 	b.Expect(b.placed(2000, 140, 1, all)).To(BeNumerically(">", 5))
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -347,20 +347,20 @@
 	if s.State != a.status.State {
 		c.note(Note{Kind: KindState, Agent: a.Addr, Reason: s.State.String(), Age: s.StateFor, Count: int(a.status.State)})
 	}
-	couldTell, knewAll := a.status.State.Proven(), a.status.Whole
+	couldTell, knewAll := a.status.State.Proven(), a.status.KnowsAllFlows
 	a.setStatus(s, now)
 	c.roster.noteWarmup(a)
-	c.noteReported(now, a, s.Known, s.Source)
+	c.noteReported(now, a, s.Versions, s.Source)
 	c.applyReportedEvacuation(now, a, s)
-	if !couldTell && s.State.Proven() || !knewAll && s.Whole {
+	if !couldTell && s.State.Proven() || !knewAll && s.KnowsAllFlows {
 		c.askNowProven(a)
 	}
 	return nil
 }
 
 // known returns which configuration and list of agents the balancer has.
-func (c *Core) known() inner.Known {
-	k := inner.Known{Listing: c.roster.age.Newest}
+func (c *Core) known() inner.Versions {
+	k := inner.Versions{Listing: c.roster.age.Newest}
 	if c.table != nil {
 		k.Version = c.table.Version
 	}
--- a/internal/packetface/steer/store_restore_test.go
+++ b/internal/packetface/steer/store_restore_test.go
@@ -154,7 +154,7 @@
 	b := newBench(t)
 	b.now = 2 * time.Millisecond
 	b.last = b.core.SetAgents(b.now, []steer.Agent{agentAt(101, "a")}, listAge(1))
-	status := inner.Status{State: inner.StateReady, Known: inner.Known{Version: 2}, Source: [4]byte{10, 0, 0, 9}}
+	status := inner.Status{State: inner.StateReady, Versions: inner.Versions{Version: 2}, Source: [4]byte{10, 0, 0, 9}}
 	b.status(101, status)
 	b.Expect(b.notes(steer.KindNewer)).To(HaveLen(1))
 	repeated := 0
--- a/internal/packetface/steer/warmup.go
+++ b/internal/packetface/steer/warmup.go
@@ -67,7 +67,7 @@
 		c.roster.estimates[service] = estimate{warmup: c.roster.estimate(service)}
 		warmup := c.coldOf(service).Warmup
 		for _, a := range c.roster.byService[service] {
-			if a.statusAt != 0 && !a.status.Whole && a.warmupSent != warmup {
+			if a.statusAt != 0 && !a.status.KnowsAllFlows && a.warmupSent != warmup {
 				c.poll(now, a)
 			}
 		}
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -88,8 +88,8 @@
 // nil.
 type Send struct {
 	To     netip.Addr
-	News   *inner.News
-	Follow inner.Follow
+	News   *inner.StoreUpdate
+	Follow inner.WatchRequest
 }
 
 // State is the state of one balancer. Times are those of a monotonic clock since the
@@ -205,15 +205,15 @@
 func (s *State) newsFor(now time.Duration, to netip.Addr) Send {
 	n := s.news(now)
 	if other := s.anyListener(); other != to {
-		n.Other = other
+		n.OtherListener = other
 	}
 	return Send{To: to, News: n}
 }
 
 // news returns the current state of this process for other balancers.
-func (s *State) news(now time.Duration) *inner.News {
-	n := &inner.News{
-		Watches: s.canServe(now), AsOf: s.asOf, Age: now - s.lastAnswer, Source: s.source,
+func (s *State) news(now time.Duration) *inner.StoreUpdate {
+	n := &inner.StoreUpdate{
+		AcceptsListeners: s.canServe(now), AsOf: s.asOf, Age: now - s.lastAnswer, Source: s.source,
 		Depth: s.depth, Balancers: s.balancers(now),
 	}
 	if s.source.IsValid() {
@@ -245,15 +245,15 @@
 }
 
 // Request handles the request of another balancer to listen to this one.
-func (s *State) Request(now time.Duration, from netip.Addr, f inner.Follow) []Send {
+func (s *State) Request(now time.Duration, from netip.Addr, f inner.WatchRequest) []Send {
 	if from == s.self {
 		return nil
 	}
 	_, listens := s.listeners[from]
-	if s.source.IsValid() && !f.Below && !listens {
+	if s.source.IsValid() && !f.Redirected && !listens {
 		return s.referToSource(now, from)
 	}
-	if f.Leads && !s.precedes(from) {
+	if f.Root && !s.precedes(from) {
 		return s.ask(now, from, false)
 	}
 	if from == s.asked && s.canServe(now) {
@@ -282,7 +282,7 @@
 		s.abandonSource(now)
 	}
 	n := s.news(now)
-	n.Watches = false
+	n.AcceptsListeners = false
 	return []Send{{To: from, News: n}}
 }
 
@@ -290,9 +290,9 @@
 // another one.
 func (s *State) referToListener(now time.Duration, from netip.Addr) []Send {
 	n := s.news(now)
-	n.Watches = false
+	n.AcceptsListeners = false
 	if s.canServe(now) {
-		n.Source, n.Below = s.anyListener(), true
+		n.Source, n.Redirects = s.anyListener(), true
 	}
 	return []Send{{To: from, News: n}}
 }
@@ -314,22 +314,22 @@
 
 // News handles news of another balancer. It ignores those of a balancer that is neither
 // the source nor was asked.
-func (s *State) News(now time.Duration, from netip.Addr, n inner.News) []Send {
+func (s *State) News(now time.Duration, from netip.Addr, n inner.StoreUpdate) []Send {
 	if from != s.source && from != s.asked && !s.awaitsSeed(from) {
 		return nil
 	}
 	s.remember(from)
-	s.remember(n.Other)
+	s.remember(n.OtherListener)
 	s.fleetSize = max(s.fleetSize, int(n.Balancers))
 	if slices.Contains(s.seeds, from) {
 		s.unanswered = 0
 	}
 	s.start.smallFleet = n.Balancers > 0 && n.Balancers < minFleetToShare
-	if !n.Watches {
+	if !n.AcceptsListeners {
 		return s.handleRefusal(now, from, n)
 	}
 	if n.AsOf.Era() < s.asOf.Era() {
-		return s.handleRefusal(now, from, inner.News{}) // the sender has not detected a restore of the store yet
+		return s.handleRefusal(now, from, inner.StoreUpdate{}) // the sender has not detected a restore of the store yet
 	}
 	if !s.accepts(now, from, n) {
 		return nil
@@ -345,7 +345,7 @@
 
 // accepts reports whether this balancer uses the sender of the news as its source, or
 // continues to do so.
-func (s *State) accepts(now time.Duration, from netip.Addr, n inner.News) bool {
+func (s *State) accepts(now time.Duration, from netip.Addr, n inner.StoreUpdate) bool {
 	switch {
 	case s.leaving || n.Age >= StaleAfter || n.Depth >= maxDepth:
 		return false
@@ -366,7 +366,7 @@
 // cannot be a listener of this one. Of two watching balancers only one joins the other: a
 // seed continues to watch rather than one that is no seed, and otherwise the one with the
 // lower address.
-func (s *State) joinsWatcher(from netip.Addr, n inner.News) bool {
+func (s *State) joinsWatcher(from netip.Addr, n inner.StoreUpdate) bool {
 	return n.Depth == 0 && !s.precedes(from)
 }
 
@@ -381,7 +381,7 @@
 
 // handleRefusal asks the balancer to which another one has referred this one. If the
 // refusal comes from the source, it also makes the next tick ask other balancers.
-func (s *State) handleRefusal(now time.Duration, from netip.Addr, n inner.News) []Send {
+func (s *State) handleRefusal(now time.Duration, from netip.Addr, n inner.StoreUpdate) []Send {
 	if from == s.asked {
 		s.asked = netip.Addr{}
 	}
@@ -391,7 +391,7 @@
 	}
 	if other := n.Source; other.IsValid() && other != s.self && other != from {
 		s.remember(other)
-		return s.ask(now, other, n.Below)
+		return s.ask(now, other, n.Redirects)
 	}
 	return nil
 }
@@ -402,7 +402,7 @@
 	s.asked = host
 	s.nextAsk = max(s.nextAsk, now+startRequestInterval)
 	leads := !s.source.IsValid() && s.Listeners(now) > 0
-	return []Send{{To: host, Follow: inner.Follow{Below: below, Leads: leads}}}
+	return []Send{{To: host, Follow: inner.WatchRequest{Redirected: below, Root: leads}}}
 }
 
 // askAny asks a random seed. If seeds have not answered repeatedly, or there are none, it
@@ -465,7 +465,7 @@
 	}
 	if now-s.lastNews <= silenceTimeout {
 		s.nextAsk = now + renewInterval
-		return []Send{{To: s.source, Follow: inner.Follow{Below: s.depth > 1}}}
+		return []Send{{To: s.source, Follow: inner.WatchRequest{Redirected: s.depth > 1}}}
 	}
 	s.nextAsk = now + askInterval
 	return s.askAny(now)
--- a/internal/packetface/watchshare/watchshare_test.go
+++ b/internal/packetface/watchshare/watchshare_test.go
@@ -49,8 +49,8 @@
 type message struct {
 	due      time.Duration
 	from, to netip.Addr
-	news     *inner.News
-	follow   inner.Follow
+	news     *inner.StoreUpdate
+	follow   inner.WatchRequest
 }
 
 // fleet is the simulated system.
@@ -294,7 +294,7 @@
 	s := watchshare.New(host(9), rand.New(rand.NewPCG(1, 2)))
 	s.Heard(time.Second)
 	s.Known(time.Second, 5)
-	g.Expect(s.News(time.Second, host(4), inner.News{Watches: true, AsOf: 1 << 60})).To(BeEmpty())
+	g.Expect(s.News(time.Second, host(4), inner.StoreUpdate{AcceptsListeners: true, AsOf: 1 << 60})).To(BeEmpty())
 	_, listens := s.Source()
 	g.Expect(listens).To(BeFalse())
 }
@@ -304,7 +304,7 @@
 	s := watchshare.New(host(9), rand.New(rand.NewPCG(1, 2)))
 	s.Heard(time.Second)
 	for n := range 5000 {
-		s.Request(time.Second, host(n+10), inner.Follow{})
+		s.Request(time.Second, host(n+10), inner.WatchRequest{})
 	}
 	g.Expect(s.Listeners(time.Second)).To(BeNumerically("<=", 32))
 }
@@ -380,7 +380,7 @@
 	now := time.Second
 	s.Heard(now)
 	s.Known(now, store.At(1, 52))
-	news := func(at store.Position) inner.News { return inner.News{Watches: true, AsOf: at} }
+	news := func(at store.Position) inner.StoreUpdate { return inner.StoreUpdate{AcceptsListeners: true, AsOf: at} }
 	g.Expect(s.Tick(now, 20)).To(ConsistOf(watchshare.Send{To: host(1)}))
 	s.News(now, host(1), news(store.At(1, 52)))
 	_, listens := s.Source()
