--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -109,16 +109,16 @@
 	writeUncompressed(w, Changes{AsOf: log.changes.to, Items: items})
 }
 
-// Listen sets the source: the control address of the balancer to fetch changes from. With
+// SetSource sets the source: the control address of the balancer to fetch changes from. With
 // an invalid address the follower watches the store itself.
-func (f *Follower) Listen(source netip.AddrPort) {
+func (f *Follower) SetSource(source netip.AddrPort) {
 	f.unconfirmed.Store(!source.IsValid())
 	f.source.Store(&source)
 	signal(f.sourceSignal)
 }
 
-// News signals that the source has announced changes.
-func (f *Follower) News() { signal(f.sourceSignal) }
+// SourceChanged signals that the source has announced changes.
+func (f *Follower) SourceChanged() { signal(f.sourceSignal) }
 
 // currentSource returns the source. ok is false while the follower watches the store
 // itself.
--- a/internal/packetface/registry/changes_test.go
+++ b/internal/packetface/registry/changes_test.go
@@ -44,8 +44,8 @@
 	g.Eventually(watcher.reachedNow, waitTimeout).Should(BeTrue())
 	listener = startFollower(t, fake, 20)
 	g.Eventually(listener.reachedNow, waitTimeout).Should(BeTrue())
-	listener.Listen(startServer(t, watcher))
-	return watcher, listener, listener.News
+	listener.SetSource(startServer(t, watcher))
+	return watcher, listener, listener.SourceChanged
 }
 
 func TestListenerAppliesChangesFromSource(t *testing.T) {
@@ -64,7 +64,7 @@
 	fake.Put(platform.ConfigKey, []byte("2"))
 	g.Eventually(bothHave(1, "2"), waitTimeout).Should(BeTrue())
 	readings := fake.Readings()
-	agent.Want(nil)
+	agent.SetEntry(nil)
 	g.Eventually(bothHave(0, "2"), waitTimeout).Should(BeTrue())
 	fake.Compact()
 	fake.Put(platform.ConfigKey, []byte("3"))
@@ -81,7 +81,7 @@
 	watcher, listener, tell := startPair(t, fake)
 	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
 	g.Eventually(func() bool { tell(); return listener.hasListing(1, "")() }, waitTimeout).Should(BeTrue())
-	agent.Want(nil)
+	agent.SetEntry(nil)
 	g.Eventually(watcher.hasListing(0, ""), waitTimeout).Should(BeTrue())
 	const more = 1100 // more changes than the source retains
 	for n := range more {
@@ -97,9 +97,9 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	_, listener, _ := startPair(t, fake)
-	listener.Listen(netip.MustParseAddrPort("127.0.0.1:1"))
+	listener.SetSource(netip.MustParseAddrPort("127.0.0.1:1"))
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(func() bool { listener.News(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
+	g.Eventually(func() bool { listener.SourceChanged(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
 // A listener without a source any more watches the store from the position it has.
@@ -107,7 +107,7 @@
 	g := NewWithT(t)
 	fake := newStore(t)
 	_, listener, _ := startPair(t, fake)
-	listener.Listen(netip.AddrPort{})
+	listener.SetSource(netip.AddrPort{})
 	fake.Put(platform.ConfigKey, []byte("2"))
 	g.Eventually(listener.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -70,17 +70,17 @@
 	Changed func(*Listing)
 	// Reached is called when the store stops answering (false) or answers again (true).
 	Reached func(bool)
-	// Heard is called after each successful step of Run: a call of the store, or changes
+	// Answered is called after each successful step of Run: a call of the store, or changes
 	// fetched from the source.
-	Heard func()
+	Answered func()
 	// Known returns all agents that this balancer knows, including those that the store
 	// does not list.
 	Known func() []steer.Agent
 	// Unlisted returns the known agents that the store does not list.
 	Unlisted func() []steer.Agent
-	// Asked is called once, after the first listing, with the agents that other balancers
+	// AgentsReceived is called once, after the first listing, with the agents that other balancers
 	// returned.
-	Asked func([]steer.Agent)
+	AgentsReceived func([]steer.Agent)
 	// Balancers returns the number of balancers that follow the store.
 	Balancers func() int
 	// Shared reports whether others rely on the watches of this process; nil means never.
@@ -438,7 +438,7 @@
 func (f *Follower) reportReached(err error) {
 	reached := err == nil
 	if reached {
-		f.Heard()
+		f.Answered()
 	}
 	if f.reachedReported && reached == f.reached {
 		return
--- a/internal/packetface/registry/follow_test.go
+++ b/internal/packetface/registry/follow_test.go
@@ -101,11 +101,11 @@
 		defer f.mu.Unlock()
 		f.reached = append(f.reached, ok)
 	}
-	f.Heard = func() {}
+	f.Answered = func() {}
 	f.Balancers = func() int { return balancers }
 	f.Known = func() []steer.Agent { return f.known }
 	f.Unlisted = func() []steer.Agent { return f.known }
-	f.Asked = func(agents []steer.Agent) { f.asked <- agents }
+	f.AgentsReceived = func(agents []steer.Agent) { f.asked <- agents }
 	f.asked = make(chan []steer.Agent, 1)
 	return f
 }
@@ -128,15 +128,15 @@
 }
 
 // startPublishingAgent runs an agent that maintains its entry.
-func startPublishingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
+func startPublishingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.EntryKeeper, entry *registry.Entry) {
 	agent, entry = startAgent(t, fake, addr)
-	agent.Want(entry)
+	agent.SetEntry(entry)
 	return agent, entry
 }
 
 // startInheritingAgent is startAgent for a process that replaces an earlier one.
-func startInheritingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
-	return startConfiguredAgent(t, fake, addr, (*registry.Agent).Inherit)
+func startInheritingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.EntryKeeper, entry *registry.Entry) {
+	return startConfiguredAgent(t, fake, addr, (*registry.EntryKeeper).Inherit)
 }
 
 // storedAgents returns the agents that the store lists.
@@ -149,15 +149,15 @@
 }
 
 // startAgent runs an agent that wants no entry yet.
-func startAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.Agent, entry *registry.Entry) {
-	return startConfiguredAgent(t, fake, addr, func(*registry.Agent) {})
+func startAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.EntryKeeper, entry *registry.Entry) {
+	return startConfiguredAgent(t, fake, addr, func(*registry.EntryKeeper) {})
 }
 
-func startConfiguredAgent(t *testing.T, fake *packetplatform.Store, addr string, prepare func(*registry.Agent)) (agent *registry.Agent, entry *registry.Entry) {
+func startConfiguredAgent(t *testing.T, fake *packetplatform.Store, addr string, prepare func(*registry.EntryKeeper)) (agent *registry.EntryKeeper, entry *registry.Entry) {
 	started := time.Now()
 	entry = &registry.Entry{Addr: netip.MustParseAddrPort(addr), Service: "s", DataCentre: "a", Slots: 3}
 	agent = registry.NewAgent(client(fake), discardLog, func() time.Duration { return time.Since(started) + 1 }, *entry)
-	agent.Seen = func(store.Position) {}
+	agent.PositionObserved = func(store.Position) {}
 	prepare(agent)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -176,7 +176,7 @@
 	g.Eventually(f.hasListing(1, "1"), waitTimeout).Should(BeTrue())
 	fake.Put(platform.ConfigKey, []byte("2"))
 	g.Eventually(f.hasListing(1, "2"), waitTimeout).Should(BeTrue())
-	agent.Want(nil)
+	agent.SetEntry(nil)
 	g.Eventually(f.hasListing(0, "2"), waitTimeout).Should(BeTrue())
 }
 
@@ -192,7 +192,7 @@
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Fail(0)
 	g.Eventually(f.hasListing(0, "2"), waitTimeout).Should(BeTrue())
-	agent.Hint() // as a balancer does that misses the entry
+	agent.EntryMissing() // as a balancer does that misses the entry
 	g.Eventually(f.hasListing(1, "2"), waitTimeout).Should(BeTrue())
 	g.Expect(f.reachedNow()).To(BeTrue())
 }
@@ -266,7 +266,7 @@
 	startPublishingAgent(t, fake, "10.0.0.1:1")
 	leaving, _ := startPublishingAgent(t, fake, "10.0.0.2:1")
 	g.Eventually(early.hasListing(2, ""), waitTimeout).Should(BeTrue())
-	leaving.Want(nil)
+	leaving.SetEntry(nil)
 	g.Eventually(early.hasListing(1, ""), waitTimeout).Should(BeTrue())
 	late := startFollower(t, fake, 20)
 	g.Eventually(late.hasListing(1, ""), waitTimeout).Should(BeTrue())
@@ -326,14 +326,14 @@
 		netip.MustParseAddrPort("127.0.0.1:1"), // gone
 		netip.MustParseAddrPort(seed.Listener.Addr().String()),
 	})
-	agent.Want(entry)
+	agent.SetEntry(entry)
 	g.Eventually(served.hasListing(1, ""), waitTimeout).Should(BeTrue())
 	fake.Lapse()
 	g.Eventually(func() bool {
-		agent.Hint()
+		agent.EntryMissing()
 		return len(fake.Keys("saltbend/agents/")) == 1
 	}, waitTimeout).Should(BeTrue())
-	agent.Want(nil)
+	agent.SetEntry(nil)
 	g.Eventually(served.hasListing(0, ""), waitTimeout).Should(BeTrue())
 }
 
--- a/internal/packetface/registry/foreign_test.go
+++ b/internal/packetface/registry/foreign_test.go
@@ -105,7 +105,7 @@
 		fake.Put(entryKey, []byte(text))
 		g.Eventually(func() bool { a := seen(); return len(a) == 1 && a[0].Damaged }, waitTimeout).Should(BeTrue())
 		g.Eventually(func() bool {
-			agent.Hint()
+			agent.EntryMissing()
 			a := seen()
 			return len(a) == 1 && !a[0].Damaged
 		}, waitTimeout, 50*time.Millisecond).Should(BeTrue())
--- a/internal/packetface/registry/inherit_test.go
+++ b/internal/packetface/registry/inherit_test.go
@@ -25,12 +25,12 @@
 	f.start(t)
 	first, entry := startAgent(t, fake, "10.0.0.1:1")
 	entry.WarmupMS = 2000
-	first.Want(entry)
+	first.SetEntry(entry)
 	g.Eventually(warmups, waitTimeout).Should(Receive(Equal(2 * time.Second)))
 
 	second, later := startInheritingAgent(t, fake, "10.0.0.1:1")
 	later.Slots = 9 // a change, so that the entry is written again
-	second.Want(later)
+	second.SetEntry(later)
 	g.Eventually(func() []steer.Agent { return storedAgents(t, fake) }, waitTimeout).Should(ConsistOf(And(
 		HaveField("Slots", 9), HaveField("Warmup", 2*time.Second))))
 }
--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -219,7 +219,7 @@
 	}
 	f.Log.Info("Requested unlisted agents from other balancers.", "source", source.String(), "known", len(known), "errors", failures)
 	f.agentsReceived.Store(true)
-	f.Asked(known)
+	f.AgentsReceived(known)
 }
 
 // unlistedRequest returns a function that requests the agents that are not listed from a
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -32,17 +32,17 @@
 // detected.
 var agentRestores = metrics.NewCounter(`saltbend_packet_entry_returns_total`)
 
-// Agent maintains the entry of an agent in the store.
-type Agent struct {
+// EntryKeeper maintains the entry of an agent in the store.
+type EntryKeeper struct {
 	Log *slog.Logger
 	// Clock returns the time since the process started.
 	Clock func() time.Duration
 
-	// LeaseLeast is the shortest lease that the store grants.
-	LeaseLeast time.Duration
-	// Seen is called with the store's position whenever this process has observed a newer
+	// MinLease is the shortest lease that the store grants.
+	MinLease time.Duration
+	// PositionObserved is called with the store's position whenever this process has observed a newer
 	// one. All entries up to that position may then be in the store.
-	Seen func(at store.Position)
+	PositionObserved func(at store.Position)
 
 	routes       storeRoutes
 	publisher    *Publisher
@@ -61,8 +61,8 @@
 
 // NewAgent returns an Agent that maintains the entry at the address of self. Seen must be
 // set before Run.
-func NewAgent(s *platform.Store, log *slog.Logger, clock func() time.Duration, self Entry) *Agent {
-	return &Agent{
+func NewAgent(s *platform.Store, log *slog.Logger, clock func() time.Duration, self Entry) *EntryKeeper {
+	return &EntryKeeper{
 		routes: newStoreRoutes(s), Log: log, Clock: clock, publisher: NewPublisher(agentKey(self.Addr)),
 		entryUpdates: make(chan *Entry, 1), hints: make(chan struct{}, 1), idleSignals: make(chan struct{}, 1),
 		eras: make(chan uint64, 1),
@@ -71,10 +71,10 @@
 
 // SetSeeds sets the control addresses of balancers that relay calls while the store
 // refuses those of this host. They may be down.
-func (a *Agent) SetSeeds(seeds []netip.AddrPort) { a.routes.setSeeds(seeds) }
+func (a *EntryKeeper) SetSeeds(seeds []netip.AddrPort) { a.routes.setSeeds(seeds) }
 
-// Want sets the entry that should be in the store, nil for none.
-func (a *Agent) Want(entry *Entry) {
+// SetEntry sets the entry that should be in the store, nil for none.
+func (a *EntryKeeper) SetEntry(entry *Entry) {
 	select {
 	case <-a.entryUpdates: // replaced by the newer one
 	default:
@@ -85,17 +85,17 @@
 
 // Inherit makes Run reuse the entry that the previous process left at the address. It
 // must be called before Run.
-func (a *Agent) Inherit() { a.publisher.Inherit() }
+func (a *EntryKeeper) Inherit() { a.publisher.Inherit() }
 
-// Quiet reports whether no call was due when Run last checked.
-func (a *Agent) Quiet() bool { return a.noCallDue.Load() }
+// NoCallDue reports whether no call was due when Run last checked.
+func (a *EntryKeeper) NoCallDue() bool { return a.noCallDue.Load() }
 
-// Hint signals that, according to a balancer, the entry is missing in the store.
-func (a *Agent) Hint() { signal(a.hints) }
+// EntryMissing signals that, according to a balancer, the entry is missing in the store.
+func (a *EntryKeeper) EntryMissing() { signal(a.hints) }
 
-// Era passes on an era of the store that balancers have observed. It must be called from
+// ObserveEra passes on an era of the store that balancers have observed. It must be called from
 // one goroutine only.
-func (a *Agent) Era(era uint64) {
+func (a *EntryKeeper) ObserveEra(era uint64) {
 	select {
 	case <-a.eras: // replaced by the newer one
 	default:
@@ -103,8 +103,8 @@
 	a.eras <- era
 }
 
-// Idle signals that no balancer has contacted the agent for a while.
-func (a *Agent) Idle() { signal(a.idleSignals) }
+// NotContacted signals that no balancer has contacted the agent for a while.
+func (a *EntryKeeper) NotContacted() { signal(a.idleSignals) }
 
 // signal sends to a channel of capacity 1 unless a signal is already pending.
 func signal(ch chan<- struct{}) {
@@ -115,7 +115,7 @@
 }
 
 // Run makes the due calls until ctx ends.
-func (a *Agent) Run(ctx context.Context) {
+func (a *EntryKeeper) Run(ctx context.Context) {
 	backoff := seed.Backoff{Least: retryMin, Most: retryMax}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (a *Agent) wait(ctx context.Context, wait time.Duration) {
+func (a *EntryKeeper) wait(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -152,7 +152,7 @@
 
 // updateWanted passes the wanted entry to the publisher. It keeps the warm-up time that
 // the previous process observed if that was longer.
-func (a *Agent) updateWanted() {
+func (a *EntryKeeper) updateWanted() {
 	if a.entry == nil {
 		a.publisher.Want(nil)
 		return
@@ -166,7 +166,7 @@
 
 // useInherited stores the entry of the previous process, and applies its warm-up time to
 // the wanted entry.
-func (a *Agent) useInherited(item platform.Item) {
+func (a *EntryKeeper) useInherited(item platform.Item) {
 	entry, err := decodeEntry(item)
 	if err != nil {
 		return // an invalid entry is overwritten
@@ -179,7 +179,7 @@
 
 // observeEra passes an era to the publisher. It logs and counts a restore of the store
 // from an older copy that the era reveals.
-func (a *Agent) observeEra(era uint64, within time.Duration) {
+func (a *EntryKeeper) observeEra(era uint64, within time.Duration) {
 	p := a.publisher
 	before := p.era
 	p.ObserveEra(a.Clock(), era, within)
@@ -192,14 +192,14 @@
 
 // call makes one call and passes its outcome to the publisher, after the era that the
 // answer named.
-func (a *Agent) call(ctx context.Context, step Step) (err error) {
+func (a *EntryKeeper) call(ctx context.Context, step Step) (err error) {
 	sent := a.Clock()
 	listed, seen := a.publisher.Listed(), a.publisher.asOf
 	calls := a.routes.store(sent)
 	switch step {
 	case StepGrant:
 		var lease platform.Lease
-		lease, err = calls.Grant(ctx, max(leaseTTL, a.LeaseLeast))
+		lease, err = calls.Grant(ctx, max(leaseTTL, a.MinLease))
 		a.observeAnswerEra()
 		if err == nil {
 			a.publisher.Granted(lease, sent)
@@ -228,14 +228,14 @@
 	}
 	a.logOutcome(step, listed, err)
 	if a.publisher.asOf > seen {
-		a.Seen(a.publisher.asOf)
+		a.PositionObserved(a.publisher.asOf)
 	}
 	return err
 }
 
 // write sends the entry to a balancer, which combines the writes of many agents into one
 // call. If no balancer has accepted the write, it calls the store on the current route.
-func (a *Agent) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
+func (a *EntryKeeper) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
 	at, err = a.routes.writeViaBalancer(ctx, w)
 	if !errors.Is(err, errNotSent) {
 		a.observeEra(at.Era(), 0)
@@ -253,7 +253,7 @@
 }
 
 // read reads the entry from the store.
-func (a *Agent) read(ctx context.Context, calls *platform.Store) error {
+func (a *EntryKeeper) read(ctx context.Context, calls *platform.Store) error {
 	item, asOf, err := calls.Get(ctx, a.publisher.key)
 	a.observeAnswerEra()
 	inherits := a.publisher.inherit
@@ -268,10 +268,10 @@
 }
 
 // observeAnswerEra observes the era that the latest answer of the store named.
-func (a *Agent) observeAnswerEra() { a.observeEra(a.routes.direct.Era(), 0) }
+func (a *EntryKeeper) observeAnswerEra() { a.observeEra(a.routes.direct.Era(), 0) }
 
 // logOutcome logs changes of the entry, and when calls begin to fail or succeed again.
-func (a *Agent) logOutcome(step Step, listed bool, err error) {
+func (a *EntryKeeper) logOutcome(step Step, listed bool, err error) {
 	p := a.publisher
 	if err != nil {
 		if !a.failing {
--- a/internal/packetface/registry/restore_test.go
+++ b/internal/packetface/registry/restore_test.go
@@ -156,17 +156,17 @@
 	f := startFollower(t, fake, 1)
 	g.Eventually(f.reachedNow, waitTimeout).Should(BeTrue())
 	old := fake.Copy()
-	agentsByAddr := map[string]*registry.Agent{}
+	agentsByAddr := map[string]*registry.EntryKeeper{}
 	for _, addr := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		agentsByAddr[addr], _ = startPublishingAgent(t, fake, addr)
 		g.Eventually(f.hasListing(len(agentsByAddr), ""), waitTimeout).Should(BeTrue())
 	}
 	fake.Return(old)
 	for _, k := range agentsByAddr {
-		k.Era(1) // as balancers report it
+		k.ObserveEra(1) // as balancers report it
 	}
 	g.Eventually(f.hasListing(3, ""), waitTimeout).Should(BeTrue())
-	agentsByAddr["10.0.0.1:1"].Want(nil)
+	agentsByAddr["10.0.0.1:1"].SetEntry(nil)
 	g.Eventually(f.hasListing(2, ""), waitTimeout).Should(BeTrue())
 	g.Expect(fake.Keys("saltbend/agents/")).To(Equal([]string{"saltbend/agents/10.0.0.2:1", "saltbend/agents/10.0.0.3:1"}))
 }
@@ -219,8 +219,8 @@
 	ahead.Put(platform.ConfigKey, config(2))
 	f := startFollower(t, ahead, 20)
 	g.Eventually(f.hasListing(0, string(config(2))), waitTimeout).Should(BeTrue())
-	f.Listen(source)
-	g.Consistently(func() uint64 { f.News(); return f.listAge().AsOf.Era() }, "300ms").Should(BeEquivalentTo(2))
+	f.SetSource(source)
+	g.Consistently(func() uint64 { f.SourceChanged(); return f.listAge().AsOf.Era() }, "300ms").Should(BeEquivalentTo(2))
 	f.Store.SetAddress(netip.MustParseAddrPort(fake.Address())) // answers of era 1
 	f.Hint(netip.AddrPort{}, 0)
 	g.Eventually(f.reachedNow, waitTimeout).Should(BeFalse())
@@ -238,7 +238,7 @@
 	agent, _ := startPublishingAgent(t, fake, "10.0.0.1:1")
 	g.Eventually(func() []string { return fake.Keys("saltbend/") }, waitTimeout).ShouldNot(BeEmpty())
 	fake.Return(old)
-	agent.Era(1)
+	agent.ObserveEra(1)
 	g.Eventually(func() []string { return fake.Keys("saltbend/") }, waitTimeout).ShouldNot(BeEmpty())
 }
 
--- a/internal/packetface/registry/retry_test.go
+++ b/internal/packetface/registry/retry_test.go
@@ -19,7 +19,7 @@
 	f := NewFollower(nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	f.Shared = func() bool { return shared }
 	f.Balancers = func() int { return balancers }
-	f.Heard, f.Reached = func() {}, func(bool) {}
+	f.Answered, f.Reached = func() {}, func(bool) {}
 	f.listing = emptyListing()
 	f.reportReached(nil)
 	backoff, random := seed.Backoff{Least: retryMin, Most: retryMax}, rand.New(rand.NewPCG(1, 2))
--- a/internal/packetface/registry/start_test.go
+++ b/internal/packetface/registry/start_test.go
@@ -33,11 +33,11 @@
 	g.Eventually(source.hasListing(1, "1"), waitTimeout).Should(BeTrue())
 	calls := fake.Calls()
 	f := startAwaitingSource(t, fake)
-	f.Listen(startServer(t, source))
+	f.SetSource(startServer(t, source))
 	g.Eventually(f.hasListing(1, "1"), waitTimeout).Should(BeTrue())
 	g.Eventually(f.asked, waitTimeout).Should(Receive(Equal(source.known)), "agents that the store does not list")
 	fake.Put(platform.ConfigKey, []byte("2"))
-	g.Eventually(func() bool { f.News(); return f.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
+	g.Eventually(func() bool { f.SourceChanged(); return f.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
 	watches := 2 // of the source: the one that returned the change, and the next
 	g.Expect(fake.Calls() - calls).To(BeNumerically("<=", watches))
 }
@@ -58,7 +58,7 @@
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, []byte("1"))
 	f := startAwaitingSource(t, fake)
-	f.Listen(netip.MustParseAddrPort("127.0.0.1:1"))
+	f.SetSource(netip.MustParseAddrPort("127.0.0.1:1"))
 	g.Eventually(f.hasListing(0, "1"), waitTimeout).Should(BeTrue())
 }
 
@@ -74,20 +74,20 @@
 	g.Eventually(watcher.hasListing(2, "1"), waitTimeout).Should(BeTrue())
 	source := startServer(t, watcher)
 	listener := startAwaitingSource(t, fake)
-	listener.Listen(source)
+	listener.SetSource(source)
 	g.Eventually(listener.hasListing(2, "1"), waitTimeout).Should(BeTrue())
 	before := listener.listAge().AsOf
 
 	fake.Fail(packetplatform.Silent)
 	g.Eventually(watcher.reachedNow, waitTimeout).Should(BeFalse())
-	leaving.Want(nil)
+	leaving.SetEntry(nil)
 	fake.Fail(0)
 	g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, waitTimeout).Should(HaveLen(1))
 	fake.Put(platform.ConfigKey, []byte("2"))
 	fake.Compact()
 	g.Eventually(watcher.hasListing(1, "2"), waitTimeout).Should(BeTrue())
 	g.Expect(changesSince(t, source, before)).To(HaveLen(2), "the configuration, and the removed agent")
-	g.Eventually(func() bool { listener.News(); return listener.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
+	g.Eventually(func() bool { listener.SourceChanged(); return listener.hasListing(1, "2")() }, waitTimeout).Should(BeTrue())
 }
 
 // A balancer that has read the store requests the agents that it lacks from the seeds. A
--- a/internal/packetface/registry/writes_test.go
+++ b/internal/packetface/registry/writes_test.go
@@ -36,8 +36,8 @@
 }
 
 // withSeeds returns a function that sets the seeds of an agent.
-func withSeeds(seeds ...netip.AddrPort) func(*registry.Agent) {
-	return func(a *registry.Agent) { a.SetSeeds(seeds) }
+func withSeeds(seeds ...netip.AddrPort) func(*registry.EntryKeeper) {
+	return func(a *registry.EntryKeeper) { a.SetSeeds(seeds) }
 }
 
 func TestWritesOfStartingAgentsShareCalls(t *testing.T) {
@@ -50,7 +50,7 @@
 	writes := fake.CallsOf("/kv-txn")
 	for n := range agents {
 		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
-		agent.Want(entry)
+		agent.SetEntry(entry)
 	}
 	g.Eventually(balancer.hasListing(agents, ""), waitTimeout).Should(BeTrue())
 	g.Expect(fake.CallsOf("/kv-lease")).To(Equal(agents))
@@ -68,7 +68,7 @@
 	fake.Put("saltbend/agents/10.0.0.7:1", []byte("left by another writer"))
 	for n := range 20 {
 		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
-		agent.Want(entry)
+		agent.SetEntry(entry)
 	}
 	g.Eventually(balancer.hasListing(20, ""), waitTimeout).Should(BeTrue())
 }
@@ -93,7 +93,7 @@
 			g := NewWithT(t)
 			fake := newStore(t)
 			agent, entry := startConfiguredAgent(t, fake, "10.0.0.1:1", withSeeds(seed(t)))
-			agent.Want(entry)
+			agent.SetEntry(entry)
 			g.Eventually(func() []string { return fake.Keys("saltbend/agents/") }, 2*time.Second).Should(HaveLen(1), "within the time in which a lost entry must be listed again")
 		})
 	}
@@ -110,7 +110,7 @@
 	for n := range 5 {
 		agent, entry := startConfiguredAgent(t, fake, fmt.Sprintf("10.0.0.%d:1", n+1), withSeeds(seed))
 		fake.LoseAnswers(1)
-		agent.Want(entry)
+		agent.SetEntry(entry)
 	}
 	g.Eventually(balancer.hasListing(5, ""), waitTimeout).Should(BeTrue())
 }
--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -50,7 +50,7 @@
 	// upstream.
 	balancers, outbound, upstream *net.UDPConn
 	store                         *platform.Store
-	registry                      *registry.Agent
+	registry                      *registry.EntryKeeper
 	// mu guards core, decisions, timer, registration, ready and era.
 	mu           sync.Mutex
 	core         *gate.Gate
@@ -117,8 +117,8 @@
 	a.store.SetLogger(logging.Part(a.env.Logger, "registry"))
 	a.registry = registry.NewAgent(a.store, logging.Part(a.env.Logger, "registry"), a.clock, a.entry())
 	a.setSeeds()
-	a.registry.LeaseLeast = a.env.Host.MinLease
-	a.registry.Seen = a.onStorePosition
+	a.registry.MinLease = a.env.Host.MinLease
+	a.registry.PositionObserved = a.onStorePosition
 	if !a.env.Host.FirstStart && a.env.Policies.On(policy.InheritedEntries) {
 		a.registry.Inherit()
 	}
@@ -162,11 +162,11 @@
 	}
 	a.apply(result)
 	if a.core.TakeUnlisted() {
-		a.registry.Hint()
+		a.registry.EntryMissing()
 	}
 	if era := a.core.Era(); era != a.era {
 		a.era = era
-		a.registry.Era(era)
+		a.registry.ObserveEra(era)
 	}
 }
 
@@ -243,10 +243,10 @@
 	a.apply(a.core.Tick(now))
 	a.updateRegistration()
 	if a.registration.Listed {
-		a.apply(a.core.CheckListed(now, a.registry.Quiet()))
+		a.apply(a.core.CheckListed(now, a.registry.NoCallDue()))
 	}
 	if a.core.TakeNoBalancerAnswered() {
-		a.registry.Idle()
+		a.registry.NotContacted()
 	}
 }
 
@@ -259,10 +259,10 @@
 	a.registration = current
 	switch {
 	case current.Ended:
-		a.registry.Want(nil)
+		a.registry.SetEntry(nil)
 	case current.Listed:
 		entry := a.entry()
-		a.registry.Want(&entry)
+		a.registry.SetEntry(&entry)
 	}
 }
 
@@ -340,7 +340,7 @@
 func (a *agent) finished(elapsed time.Duration) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return elapsed >= agentMinStop && a.core.Finished() && (a.registry.Quiet() || elapsed >= storeRemovalWait)
+	return elapsed >= agentMinStop && a.core.Finished() && (a.registry.NoCallDue() || elapsed >= storeRemovalWait)
 }
 
 // stop announces the shutdown to the balancers, lets running requests finish, and returns
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -148,11 +148,11 @@
 	b.follower.Balancers = b.balancerCount
 	b.follower.Known = b.knownAgents
 	b.follower.Unlisted = b.unlistedAgents
-	b.follower.Asked = b.onPeersAsked
+	b.follower.AgentsReceived = b.onPeersAsked
 	b.follower.Shared = b.hasListeners
 	b.follower.AwaitSource = true
 	b.follower.Snapshots = !b.env.Host.FirstStart
-	b.follower.Heard = b.onStoreAnswer
+	b.follower.Answered = b.onStoreAnswer
 	b.registerGauges()
 	go b.follower.Run(ctx)
 	go receive(b.callers, platform.MaxPacketSize+1, b.fromCaller)
--- a/internal/packetface/role/watchshare.go
+++ b/internal/packetface/role/watchshare.go
@@ -126,7 +126,7 @@
 		before := b.source
 		b.source = source
 		sourceChanges[listens].Inc()
-		b.follower.Listen(b.controlAddress(source))
+		b.follower.SetSource(b.controlAddress(source))
 		if listens {
 			b.log.Info("Receiving store changes from another balancer.", "source", source.String(), "before", before.String())
 		} else {
@@ -134,7 +134,7 @@
 		}
 	}
 	if b.watchShare.Behind() {
-		b.follower.News()
+		b.follower.SourceChanged()
 	}
 }
 
