--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -304,7 +304,7 @@
 	b.adopt(l)
 	b.evacuate(l.Evacuations())
 	b.apply(b.core.SetAgents(b.clock(), l.Agents(), l.Age()))
-	b.sendWatchShare(b.watchShare.Known(b.clock(), l.AsOf))
+	b.sendWatchShare(b.watchShare.SetKnown(b.clock(), l.AsOf))
 	b.checkReady()
 }
 
@@ -317,7 +317,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.source.IsValid() {
-		b.sendWatchShare(b.watchShare.Heard(now))
+		b.sendWatchShare(b.watchShare.StoreAnswered(now))
 	}
 }
 
@@ -385,7 +385,7 @@
 	began := b.clock()
 	b.log.Info("Stopping.", "grace_ms", b.env.Host.Grace.Milliseconds())
 	b.mu.Lock()
-	b.sendWatchShare(b.watchShare.Leave(began))
+	b.sendWatchShare(b.watchShare.Stop(began))
 	b.mu.Unlock()
 	waitUntil(b.env.Host.Grace-endMargin, func() bool {
 		now := b.clock()
--- a/internal/packetface/role/watchshare.go
+++ b/internal/packetface/role/watchshare.go
@@ -55,7 +55,7 @@
 			rejectedMessages.Inc()
 			return true
 		}
-		b.sendWatchShare(b.watchShare.Request(now, from.Addr(), follow))
+		b.sendWatchShare(b.watchShare.HandleWatchRequest(now, from.Addr(), follow))
 		return true
 	}
 	news, err := inner.ParseStoreUpdate(datagram)
@@ -63,7 +63,7 @@
 		rejectedMessages.Inc()
 		return true
 	}
-	b.sendWatchShare(b.watchShare.News(now, from.Addr(), news))
+	b.sendWatchShare(b.watchShare.HandleStoreUpdate(now, from.Addr(), news))
 	b.updateSource()
 	b.countUpdate(from.Addr(), news)
 	return true
@@ -98,7 +98,7 @@
 	}
 	b.sendWatchShare(b.watchShare.Tick(now, b.core.Balancers()))
 	b.updateSource()
-	if b.watchShare.ReadsStore(now) {
+	if b.watchShare.ShouldReadStore(now) {
 		b.follower.ReadStore()
 	}
 }
--- a/internal/packetface/watchshare/size_test.go
+++ b/internal/packetface/watchshare/size_test.go
@@ -132,7 +132,7 @@
 		const restarts = 100
 		for n := range restarts {
 			m := f.members[n]
-			f.send(m, m.share.Leave(f.clock(m)))
+			f.send(m, m.share.Stop(f.clock(m)))
 			f.run(100 * time.Millisecond)
 			f.start(m)
 		}
--- a/internal/packetface/watchshare/start.go
+++ b/internal/packetface/watchshare/start.go
@@ -60,9 +60,9 @@
 	return s.lacksListing() && !s.source.IsValid() && slices.Contains(s.seeds, host)
 }
 
-// ReadsStore reports whether a process without a listing should read the store itself. A
+// ShouldReadStore reports whether a process without a listing should read the store itself. A
 // seed does so at once; another balancer does when no source has answered in time.
-func (s *State) ReadsStore(now time.Duration) bool {
+func (s *State) ShouldReadStore(now time.Duration) bool {
 	if s.start.seed || len(s.seeds) == 0 {
 		return true
 	}
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -163,8 +163,8 @@
 	return len(s.listeners)
 }
 
-// Heard records that the store has answered this process.
-func (s *State) Heard(now time.Duration) []Send {
+// StoreAnswered records that the store has answered this process.
+func (s *State) StoreAnswered(now time.Duration) []Send {
 	s.lastAnswer = now
 	return s.notifyUnlessRecent(now)
 }
@@ -178,9 +178,9 @@
 	return s.notifyListeners(now)
 }
 
-// Known records the position up to which this process knows every change, and notifies
+// SetKnown records the position up to which this process knows every change, and notifies
 // the listeners.
-func (s *State) Known(now time.Duration, asOf store.Position) []Send {
+func (s *State) SetKnown(now time.Duration, asOf store.Position) []Send {
 	if asOf <= s.asOf {
 		return nil
 	}
@@ -244,8 +244,8 @@
 	return s.lastAnswer > 0 && now-s.lastAnswer < StaleAfter
 }
 
-// Request handles the request of another balancer to listen to this one.
-func (s *State) Request(now time.Duration, from netip.Addr, f inner.WatchRequest) []Send {
+// HandleWatchRequest handles the request of another balancer to listen to this one.
+func (s *State) HandleWatchRequest(now time.Duration, from netip.Addr, f inner.WatchRequest) []Send {
 	if from == s.self {
 		return nil
 	}
@@ -312,9 +312,9 @@
 	return netip.Addr{}
 }
 
-// News handles news of another balancer. It ignores those of a balancer that is neither
+// HandleStoreUpdate handles news of another balancer. It ignores those of a balancer that is neither
 // the source nor was asked.
-func (s *State) News(now time.Duration, from netip.Addr, n inner.StoreUpdate) []Send {
+func (s *State) HandleStoreUpdate(now time.Duration, from netip.Addr, n inner.StoreUpdate) []Send {
 	if from != s.source && from != s.asked && !s.awaitsSeed(from) {
 		return nil
 	}
@@ -491,8 +491,8 @@
 	s.nextAsk = now + searchDelayMin + time.Duration(s.random.Int64N(int64(searchDelayMax-searchDelayMin)))
 }
 
-// Leave records that the process has been asked to stop, and notifies its listeners.
-func (s *State) Leave(now time.Duration) []Send {
+// Stop records that the process has been asked to stop, and notifies its listeners.
+func (s *State) Stop(now time.Duration) []Send {
 	s.leaving = true
 	return s.notifyListeners(now)
 }
--- a/internal/packetface/watchshare/watchshare_test.go
+++ b/internal/packetface/watchshare/watchshare_test.go
@@ -109,13 +109,13 @@
 }
 
 func (f *fleet) handleAnswer(m *member) {
-	f.send(m, m.share.Heard(f.clock(m)))
+	f.send(m, m.share.StoreAnswered(f.clock(m)))
 	f.setKnown(m, f.revision)
 }
 
 func (f *fleet) setKnown(m *member, revision store.Position) {
 	m.knownRevision = max(m.knownRevision, revision)
-	f.send(m, m.share.Known(f.clock(m), m.knownRevision))
+	f.send(m, m.share.SetKnown(f.clock(m), m.knownRevision))
 }
 
 func (f *fleet) send(m *member, messages []watchshare.Send) {
@@ -151,9 +151,9 @@
 		f.inFlight = append(f.inFlight, l)
 	case m.dead || m.frozen:
 	case l.news == nil:
-		f.send(m, m.share.Request(f.clock(m), l.from, l.follow))
+		f.send(m, m.share.HandleWatchRequest(f.clock(m), l.from, l.follow))
 	default:
-		f.send(m, m.share.News(f.clock(m), l.from, *l.news))
+		f.send(m, m.share.HandleStoreUpdate(f.clock(m), l.from, *l.news))
 	}
 }
 
@@ -169,7 +169,7 @@
 		if peer := f.memberAt(source); !peer.dead && !peer.frozen {
 			f.setKnown(m, peer.knownRevision)
 		}
-	case listens || m.knownRevision == 0 && !m.share.ReadsStore(now):
+	case listens || m.knownRevision == 0 && !m.share.ShouldReadStore(now):
 	case m.knownRevision == 0 && m.lastCall > 0 && !m.failed:
 		if f.now-m.lastCall >= f.readingTime {
 			f.handleAnswer(m)
@@ -277,7 +277,7 @@
 	f.run(6 * time.Second)
 	for n := range 3 {
 		m := f.members[n]
-		f.send(m, m.share.Leave(f.clock(m)))
+		f.send(m, m.share.Stop(f.clock(m)))
 		f.run(500 * time.Millisecond)
 		m.dead = true
 		f.run(1500 * time.Millisecond)
@@ -292,9 +292,9 @@
 func TestNewsOfUnrequestedSenderIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	s := watchshare.New(host(9), rand.New(rand.NewPCG(1, 2)))
-	s.Heard(time.Second)
-	s.Known(time.Second, 5)
-	g.Expect(s.News(time.Second, host(4), inner.StoreUpdate{AcceptsListeners: true, AsOf: 1 << 60})).To(BeEmpty())
+	s.StoreAnswered(time.Second)
+	s.SetKnown(time.Second, 5)
+	g.Expect(s.HandleStoreUpdate(time.Second, host(4), inner.StoreUpdate{AcceptsListeners: true, AsOf: 1 << 60})).To(BeEmpty())
 	_, listens := s.Source()
 	g.Expect(listens).To(BeFalse())
 }
@@ -302,9 +302,9 @@
 func TestNumberOfListenersIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	s := watchshare.New(host(9), rand.New(rand.NewPCG(1, 2)))
-	s.Heard(time.Second)
+	s.StoreAnswered(time.Second)
 	for n := range 5000 {
-		s.Request(time.Second, host(n+10), inner.WatchRequest{})
+		s.HandleWatchRequest(time.Second, host(n+10), inner.WatchRequest{})
 	}
 	g.Expect(s.Listeners(time.Second)).To(BeNumerically("<=", 32))
 }
@@ -378,24 +378,24 @@
 	s := watchshare.New(host(2), rand.New(rand.NewPCG(1, 2)))
 	s.SetSeeds([]netip.Addr{host(1)})
 	now := time.Second
-	s.Heard(now)
-	s.Known(now, store.At(1, 52))
+	s.StoreAnswered(now)
+	s.SetKnown(now, store.At(1, 52))
 	news := func(at store.Position) inner.StoreUpdate { return inner.StoreUpdate{AcceptsListeners: true, AsOf: at} }
 	g.Expect(s.Tick(now, 20)).To(ConsistOf(watchshare.Send{To: host(1)}))
-	s.News(now, host(1), news(store.At(1, 52)))
+	s.HandleStoreUpdate(now, host(1), news(store.At(1, 52)))
 	_, listens := s.Source()
 	g.Expect(listens).To(BeTrue())
-	s.Known(now, store.At(2, 48)) // read from the store after a hint
+	s.SetKnown(now, store.At(2, 48)) // read from the store after a hint
 	for range 30 {
 		now += 100 * time.Millisecond
 		s.Tick(now, 20)
-		s.News(now, host(1), news(store.At(1, 60)))
+		s.HandleStoreUpdate(now, host(1), news(store.At(1, 60)))
 	}
 	_, listens = s.Source()
 	g.Expect(listens).To(BeFalse(), "the balancer watches the store itself")
 	now += 3 * time.Second
-	s.Heard(now)
+	s.StoreAnswered(now)
 	g.Expect(s.Tick(now, 20)).NotTo(BeEmpty())
-	s.News(now, host(1), news(store.At(2, 50)))
+	s.HandleStoreUpdate(now, host(1), news(store.At(2, 50)))
 	g.Expect(s.Behind()).To(BeTrue())
 }
