--- a/internal/dispatch/announce.go
+++ b/internal/dispatch/announce.go
@@ -8,7 +8,7 @@
 // way that would change what the sibling does. Other changes don't cost a message: the
 // sibling receives them with the next message that is sent anyway.
 func (s *Scheduler) announce(now time.Time) {
-	if s.options.Alone {
+	if s.options.LocalOnly {
 		return
 	}
 	for i := range s.group.views {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -73,7 +73,7 @@
 	s.Arrive(start, request(2, 0, time.Minute))
 	var pushes, declines int
 	for held := range dispatch.Reservation(2) {
-		for _, a := range s.Offered(start, address(2), held+1) {
+		for _, a := range s.SlotOffered(start, address(2), held+1) {
 			switch a.(type) {
 			case dispatch.Push:
 				pushes++
@@ -90,7 +90,7 @@
 func TestReservationExpires(t *testing.T) {
 	s := scheduler(dispatch.Limits{Slots: 1, Queue: 10})
 	s.SetSiblings(start, []netip.AddrPort{address(2)})
-	actions := s.Heard(start, address(2), dispatch.Standing{Seq: 5, Queued: 1, Draws: true})
+	actions := s.ReceiveStanding(start, address(2), dispatch.Standing{Seq: 5, Queued: 1, Draws: true})
 	pulled := slices.ContainsFunc(actions, func(a dispatch.Action) bool { _, ok := a.(dispatch.Pull); return ok })
 	at, ok := s.NextWake()
 	if !pulled || !ok {
@@ -108,8 +108,8 @@
 	if s.FlowTarget().Better(1000) {
 		t.Fatal("a sibling that has sent no standing was chosen as flow target")
 	}
-	s.Heard(start, address(2), dispatch.Standing{Seq: 5, Connections: 500, Draws: true})
-	s.Heard(start, address(3), dispatch.Standing{Seq: 5, Connections: 10})
+	s.ReceiveStanding(start, address(2), dispatch.Standing{Seq: 5, Connections: 500, Draws: true})
+	s.ReceiveStanding(start, address(3), dispatch.Standing{Seq: 5, Connections: 10})
 	for own, want := range map[int]bool{400: false, 540: false, 600: true} {
 		if got := s.FlowTarget(); got.To != address(2) || got.Better(own) != want {
 			t.Errorf("%d connections: %+v, better %v", own, got, !want)
@@ -231,12 +231,12 @@
 			"sibling": func(t *rapid.T) {
 				seq++
 				from := rapid.SampledFrom(siblings).Draw(t, "from")
-				l.take(s.Heard(now, from, dispatch.Standing{
+				l.take(s.ReceiveStanding(now, from, dispatch.Standing{
 					Seq: seq, Idle: rapid.IntRange(0, 3).Draw(t, "idle"),
 					Queued: rapid.IntRange(0, 3).Draw(t, "queued"), Draws: rapid.Bool().Draw(t, "draws"),
 				}))
-				l.take(s.Offered(now, from, dispatch.Reservation(seq)))
-				l.take(s.Declined(now, from, dispatch.Reservation(rapid.IntRange(0, 5).Draw(t, "declined"))))
+				l.take(s.SlotOffered(now, from, dispatch.Reservation(seq)))
+				l.take(s.ReservationDeclined(now, from, dispatch.Reservation(rapid.IntRange(0, 5).Draw(t, "declined"))))
 			},
 			"health": func(t *rapid.T) {
 				l.take(s.SetHealth(now, rapid.IntRange(0, 4).Draw(t, "earned"), rapid.Bool().Draw(t, "draws")))
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -70,8 +70,8 @@
 	return s.finish(now)
 }
 
-// Heard processes a standing received from a sibling.
-func (s *Scheduler) Heard(now time.Time, from Sibling, standing Standing) []Action {
+// ReceiveStanding processes a standing received from a sibling.
+func (s *Scheduler) ReceiveStanding(now time.Time, from Sibling, standing Standing) []Action {
 	s.begin()
 	s.receive(now, from, standing)
 	return s.finish(now)
--- a/internal/dispatch/pull.go
+++ b/internal/dispatch/pull.go
@@ -8,7 +8,7 @@
 // those with the most urgent or oldest request first. When no slot is free, it may
 // still pull a request to wait here for the next one (see maxPrefetched).
 func (s *Scheduler) pullQueued(now time.Time) {
-	if s.draining || !s.draws || s.options.Alone {
+	if s.draining || !s.draws || s.options.LocalOnly {
 		return
 	}
 	for s.free() > 0 {
--- a/internal/dispatch/push.go
+++ b/internal/dispatch/push.go
@@ -29,7 +29,7 @@
 			best = v
 		}
 	}
-	if best == nil || s.options.Alone {
+	if best == nil || s.options.LocalOnly {
 		return false
 	}
 	best.standing.Queued++
@@ -51,7 +51,7 @@
 	for i := range s.group.views {
 		total += s.group.views[i].idle(now)
 	}
-	if total == 0 || s.options.Alone {
+	if total == 0 || s.options.LocalOnly {
 		return nil
 	}
 	at := s.rng.IntN(total)
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -14,9 +14,9 @@
 	// IgnoreDeadlines admits requests by the length of the queue alone. It serves
 	// to measure the benefit of load shedding by deadline.
 	IgnoreDeadlines bool
-	// Alone runs all requests at this agent and exchanges nothing with siblings.
+	// LocalOnly runs all requests at this agent and exchanges nothing with siblings.
 	// It serves to measure the benefit of siblings.
-	Alone bool
+	LocalOnly bool
 }
 
 // Scheduler holds the scheduling state of one agent. The slice of actions that a method
--- a/internal/dispatch/sibling.go
+++ b/internal/dispatch/sibling.go
@@ -61,9 +61,9 @@
 	return s.finish(now)
 }
 
-// Offered handles a sibling's offer of a reserved slot. The actions contain either a
+// SlotOffered handles a sibling's offer of a reserved slot. The actions contain either a
 // Push of a waiting request for the reservation or a Decline.
-func (s *Scheduler) Offered(now time.Time, from Sibling, held Reservation) []Action {
+func (s *Scheduler) SlotOffered(now time.Time, from Sibling, held Reservation) []Action {
 	s.begin()
 	s.expire(now)
 	if i := s.queue.firstMovable(); i >= 0 {
@@ -74,8 +74,8 @@
 	return s.finish(now)
 }
 
-// Declined ends a reservation of this agent that the sibling doesn't need.
-func (s *Scheduler) Declined(now time.Time, from Sibling, held Reservation) []Action {
+// ReservationDeclined ends a reservation of this agent that the sibling doesn't need.
+func (s *Scheduler) ReservationDeclined(now time.Time, from Sibling, held Reservation) []Action {
 	s.begin()
 	delete(s.reserved, held)
 	if v := s.group.find(from); v != nil {
--- a/internal/request/message.go
+++ b/internal/request/message.go
@@ -34,7 +34,7 @@
 
 func (m movedArrival) apply(e *engine, now time.Time) []dispatch.Action {
 	e.jobs[m.request.ID] = m.job
-	e.deliver(e.sched.Heard(now, m.push.from, m.push.standing))
+	e.deliver(e.sched.ReceiveStanding(now, m.push.from, m.push.standing))
 	return e.sched.ArriveMoved(now, m.request, m.push.under, m.push.admit)
 }
 
@@ -141,7 +141,7 @@
 }
 
 func (m standingReceived) apply(e *engine, now time.Time) []dispatch.Action {
-	return e.sched.Heard(now, m.from, m.standing)
+	return e.sched.ReceiveStanding(now, m.from, m.standing)
 }
 
 // offered is a sibling's offer of a reserved slot.
@@ -152,7 +152,7 @@
 
 func (m offered) apply(e *engine, now time.Time) []dispatch.Action {
 	e.deliver(m.standingReceived.apply(e, now))
-	return e.sched.Offered(now, m.from, m.held)
+	return e.sched.SlotOffered(now, m.from, m.held)
 }
 
 // declined ends a reservation of this agent, because the sibling declined it or could
@@ -163,7 +163,7 @@
 }
 
 func (m declined) apply(e *engine, now time.Time) []dispatch.Action {
-	actions := e.sched.Declined(now, m.from, m.held)
+	actions := e.sched.ReservationDeclined(now, m.from, m.held)
 	if m.standing.Seq == 0 {
 		return actions
 	}
--- a/internal/sim/balance_test.go
+++ b/internal/sim/balance_test.go
@@ -35,7 +35,7 @@
 		ideal := pooled(policies()[0], s, loads, 0).quantile(0.99, wait)
 		for i, delay := range []time.Duration{500 * time.Microsecond, 1500 * time.Microsecond} {
 			for _, p := range policies() {
-				if i > 0 && p.options.Alone {
+				if i > 0 && p.options.LocalOnly {
 					continue // the same at any delay
 				}
 				r := pooled(p, s, loads, delay)
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -144,7 +144,7 @@
 const endless = 1 << 20
 
 func policies() []policy {
-	alone := dispatch.Options{Alone: true, IgnoreDeadlines: true}
+	alone := dispatch.Options{LocalOnly: true, IgnoreDeadlines: true}
 	return []policy{
 		{name: "ideal", choose: atRandom, options: alone, single: true, queue: endless},
 		{name: "random", choose: atRandom, options: alone, queue: endless},
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -184,11 +184,11 @@
 			w.push(n, a)
 		case dispatch.Pull:
 			w.send(n, a.From, a.Standing, func(to *node) []dispatch.Action {
-				return to.sched.Offered(w.clock(), n.addr, a.Reservation)
+				return to.sched.SlotOffered(w.clock(), n.addr, a.Reservation)
 			})
 		case dispatch.Decline:
 			w.send(n, a.To, a.Standing, func(to *node) []dispatch.Action {
-				return to.sched.Declined(w.clock(), n.addr, a.Reservation)
+				return to.sched.ReservationDeclined(w.clock(), n.addr, a.Reservation)
 			})
 		case dispatch.Announce:
 			w.send(n, a.To, a.Standing, nil)
@@ -201,7 +201,7 @@
 	w.messages++
 	w.after(w.delay, func() {
 		n := w.node(to)
-		w.do(n, n.sched.Heard(w.clock(), from.addr, s))
+		w.do(n, n.sched.ReceiveStanding(w.clock(), from.addr, s))
 		if then != nil {
 			w.do(n, then(n))
 		}
@@ -258,7 +258,7 @@
 	w.messages++
 	w.after(w.delay, func() {
 		to := w.node(p.To)
-		w.do(to, to.sched.Heard(w.clock(), from.addr, p.Standing))
+		w.do(to, to.sched.ReceiveStanding(w.clock(), from.addr, p.Standing))
 		to.works[p.ID] = k
 		w.do(to, to.sched.ArriveMoved(w.clock(), request(p.ID, k), p.Reservation, p.Admit))
 		if !k.refused {
