--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -179,16 +179,16 @@
 		return err
 	}
 	a.requests, err = request.NewHandler(ctx, request.Options{
-		Service:  self.Service,
-		Self:     self.Control,
-		Source:   a.node,
-		Upstream: a.upstream,
-		Caller:   a.process.Peer,
-		Registry: a.process.Peer,
-		Tickets:  a.tickets,
-		Judged:   a.judged,
-		Events:   a.env.Events,
-		Logger:   a.env.Logger,
+		Service:   self.Service,
+		Self:      self.Control,
+		Source:    a.node,
+		Upstream:  a.upstream,
+		Caller:    a.process.Peer,
+		Registry:  a.process.Peer,
+		Tickets:   a.tickets,
+		OnVerdict: a.judged,
+		Events:    a.env.Events,
+		Logger:    a.env.Logger,
 	})
 	if err != nil {
 		return err
--- a/internal/request/handler.go
+++ b/internal/request/handler.go
@@ -48,10 +48,10 @@
 	// Tickets lets each non-idempotent request run at most once. If it is nil, no
 	// such request is run: the outcome is not run, or unknown with a ticket.
 	Tickets Tickets
-	// Judged, if set, is called with each change of the upstream's health verdict.
-	Judged func(health.Verdict)
-	Events *event.Ring
-	Logger *slog.Logger
+	// OnVerdict, if set, is called with each change of the upstream's health verdict.
+	OnVerdict func(health.Verdict)
+	Events    *event.Ring
+	Logger    *slog.Logger
 }
 
 // Handler serves the requests of an agent's callers.
--- a/internal/request/handler_test.go
+++ b/internal/request/handler_test.go
@@ -139,8 +139,8 @@
 		verdicts := make(chan health.Verdict, 100)
 		_, err := request.NewHandler(ctx, request.Options{
 			Service: "exams", Self: address(1), Source: newSource(service), Upstream: up,
-			Judged: func(v health.Verdict) { verdicts <- v },
-			Logger: slog.New(slog.NewTextHandler(GinkgoWriter, nil)),
+			OnVerdict: func(v health.Verdict) { verdicts <- v },
+			Logger:    slog.New(slog.NewTextHandler(GinkgoWriter, nil)),
 		})
 		Expect(err).NotTo(HaveOccurred())
 		var first health.Verdict
--- a/internal/request/health.go
+++ b/internal/request/health.go
@@ -86,8 +86,8 @@
 	if before.Draws != after.Draws {
 		h.reportVerdict(after)
 	}
-	if h.o.Judged != nil {
-		h.o.Judged(after)
+	if h.o.OnVerdict != nil {
+		h.o.OnVerdict(after)
 	}
 }
 
