--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -168,7 +168,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if blind := b.core.Blind(b.clock()); blind != b.noAgentAnswers {
+	if blind := b.core.Isolated(b.clock()); blind != b.noAgentAnswers {
 		b.noAgentAnswers = blind
 		if blind {
 			b.log.Warn("Not ready, no agent answers.", "version", b.version)
@@ -227,7 +227,7 @@
 			if r.Notes[i].Count != 0 { // a change of state, not the first status
 				stateReportSeconds.Update(r.Notes[i].Age.Seconds())
 			}
-		case steer.KindMoved:
+		case steer.KindPlacedAgain:
 			handOffSeconds.Update(r.Notes[i].Took.Seconds())
 		case steer.KindFound:
 			ownerSearchSeconds.Update(r.Notes[i].Age.Seconds())
@@ -326,7 +326,7 @@
 func (b *balancer) onPeersAsked(known []steer.Agent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.apply(b.core.SetPeersAsked(b.clock(), known))
+	b.apply(b.core.AddPeerAgents(b.clock(), known))
 }
 
 // knownAgents returns all agents that the balancer knows.
--- a/internal/packetface/role/metrics.go
+++ b/internal/packetface/role/metrics.go
@@ -57,7 +57,7 @@
 		}
 	}
 	metrics.GetOrCreateGauge("saltbend_packet_flows", count(func(c steer.Counts) int { return c.Flows }))
-	metrics.GetOrCreateGauge("saltbend_packet_owner_searches", count(func(c steer.Counts) int { return c.Asks }))
+	metrics.GetOrCreateGauge("saltbend_packet_owner_searches", count(func(c steer.Counts) int { return c.Searches }))
 	metrics.GetOrCreateGauge("saltbend_packet_watch_listeners", func() float64 {
 		b.mu.Lock()
 		defer b.mu.Unlock()
--- a/internal/packetface/role/status.go
+++ b/internal/packetface/role/status.go
@@ -17,9 +17,9 @@
 		Host: b.env.Host.Name, DataCentre: b.env.Host.DataCentre,
 		Ready: b.ready.Load() && !b.noAgentAnswers && !b.stopping.Load(), Stopping: b.stopping.Load(),
 		Version: b.version, Routes: view.Routes, Era: view.List.AsOf.Era(), Settling: b.settling,
-		ListAsOf: view.List.AsOf.String(), ListHeard: view.Heard.String(), ListOutdated: view.Heard > view.List.AsOf,
+		ListAsOf: view.List.AsOf.String(), ListHeard: view.NewestReported.String(), ListOutdated: view.NewestReported > view.List.AsOf,
 		StoreAgeMS: report.AgeMS(now, time.Duration(b.storeAnswered.Load())),
-		Flows:      view.Counts.Flows, Searches: view.Counts.Asks, Agents: []report.Agent{}, Seeds: b.seeds,
+		Flows:      view.Counts.Flows, Searches: view.Counts.Searches, Agents: []report.Agent{}, Seeds: b.seeds,
 	}
 	out.Evacuations = b.evacuations.report(now, view.Evacuations)
 	if b.source.IsValid() {
@@ -36,6 +36,6 @@
 	return report.Agent{
 		Address: a.Addr, DataCentre: a.DataCentre, Service: a.Service,
 		State: a.Status.State.String(), Running: int(a.Status.Running), Slots: int(a.Status.Slots), Flows: int(a.Status.Flows),
-		HeardAgeMS: report.AgeMS(now, a.Heard), Suspected: a.Suspected, Unlisted: a.Unlisted, Evacuated: a.Evacuated,
+		HeardAgeMS: report.AgeMS(now, a.LastReceived), Suspected: a.Suspected, Unlisted: a.Unlisted, Evacuated: a.Evacuated,
 	}
 }
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -200,9 +200,9 @@
 	return &c.out
 }
 
-// SetPeersAsked adds the agents that other balancers know. Those that the store does not
+// AddPeerAgents adds the agents that other balancers know. Those that the store does not
 // list are asked in searches like others while they answer.
-func (c *Core) SetPeersAsked(now time.Duration, known []Agent) *Result {
+func (c *Core) AddPeerAgents(now time.Duration, known []Agent) *Result {
 	c.begin(now)
 	c.peersAsked = true
 	for _, agent := range known {
@@ -260,7 +260,7 @@
 	a := c.roster.agents[entry.Addr]
 	if a != nil && a.Service != entry.Service {
 		c.removeAgent(a) // the address belongs to another service now
-		c.note(Note{Kind: KindGone, Agent: a.Addr, Reason: "address-reused"})
+		c.note(Note{Kind: KindRemoved, Agent: a.Addr, Reason: "address-reused"})
 		a = nil
 	}
 	if a == nil {
@@ -331,7 +331,7 @@
 		if a.unlistedSince != 0 && c.hasLeft(a, now) {
 			c.removeAgent(a)
 			c.roster.removed[a.Addr] = removedAgent{a.Agent, now + removedRetention}
-			c.note(Note{Kind: KindGone, Agent: a.Addr, Age: now - a.lastReceived, Reason: "unlisted"})
+			c.note(Note{Kind: KindRemoved, Agent: a.Addr, Age: now - a.lastReceived, Reason: "unlisted"})
 			continue
 		}
 		if !a.suspected && a.isSuspect(now) {
--- a/internal/packetface/steer/agents_test.go
+++ b/internal/packetface/steer/agents_test.go
@@ -78,7 +78,7 @@
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.answer(101, caller(1), inner.VerdictNone, 1)
 	b.Expect(b.resets()).To(BeZero())
-	b.last = b.core.SetPeersAsked(b.now, []steer.Agent{agentAt(102, "a")})
+	b.last = b.core.AddPeerAgents(b.now, []steer.Agent{agentAt(102, "a")})
 	b.Expect(b.sent(inner.KindPoll)).To(Equal([]netip.AddrPort{address(102, 1)}))
 	b.status(102, inner.Status{})
 	b.wait(400 * time.Millisecond) // in which the new agent is asked, too
@@ -140,11 +140,11 @@
 	b.now += time.Second
 	b.callerSends(caller(1), platform.FlagSYN, 0) // the packet requests a status of one of them
 	b.wait(400 * time.Millisecond)
-	b.Expect(b.core.Blind(b.now)).To(BeFalse())
+	b.Expect(b.core.Isolated(b.now)).To(BeFalse())
 	b.wait(400 * time.Millisecond) // the other one was polled after the first was suspected
-	b.Expect(b.core.Blind(b.now)).To(BeTrue())
+	b.Expect(b.core.Isolated(b.now)).To(BeTrue())
 	b.status(102, inner.Status{})
-	b.Expect(b.core.Blind(b.now)).To(BeFalse())
+	b.Expect(b.core.Isolated(b.now)).To(BeFalse())
 }
 
 func TestUnlistedAgentStaysWhileItAnswers(t *testing.T) {
--- a/internal/packetface/steer/listing_check_test.go
+++ b/internal/packetface/steer/listing_check_test.go
@@ -57,7 +57,7 @@
 	b.last = b.core.SetAgents(b.now, nil, listAge(2))
 	b.now += 2400 * time.Millisecond
 	b.last = b.core.Tick(b.now)
-	b.Expect(b.notes(steer.KindGone)).To(BeEmpty())
+	b.Expect(b.notes(steer.KindRemoved)).To(BeEmpty())
 	b.callerSends(caller(1), platform.FlagACK, 30)
 	b.answer(101, caller(1), inner.VerdictNone, 2)
 	b.now += 5 * time.Millisecond
--- a/internal/packetface/steer/placement.go
+++ b/internal/packetface/steer/placement.go
@@ -82,7 +82,7 @@
 	}
 	note := Note{Kind: KindPlaced, Flow: id, Agent: best.Addr, Age: now - best.lastReceived, Count: f.hops()}
 	if f.hops() > 0 {
-		note.Kind, note.Took = KindMoved, now-f.placed
+		note.Kind, note.Took = KindPlacedAgain, now-f.placed
 	}
 	c.note(note)
 	f.agent, f.placed = best, now
@@ -102,7 +102,7 @@
 		c.reject(now, id, c.rejectReason(w), b)
 		return
 	}
-	c.note(Note{Kind: KindMoved, Flow: id, Agent: last.Addr, Age: now - last.lastReceived, Took: now - f.placed, Reason: "last", Count: f.hops()})
+	c.note(Note{Kind: KindPlacedAgain, Flow: id, Agent: last.Addr, Age: now - last.lastReceived, Took: now - f.placed, Reason: "last", Count: f.hops()})
 	f.agent, f.placed, f.lastTry = last, now, true
 	c.sendOpen(now, f, last, route, id, b, inner.FlagLastChoice)
 }
--- a/internal/packetface/steer/placement_test.go
+++ b/internal/packetface/steer/placement_test.go
@@ -289,7 +289,7 @@
 	b.now += 30 * time.Millisecond
 	opening := packet(caller(1), 1, 0, platform.FlagSYN, 0)
 	b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonBusy}, opening))
-	moved := b.notes(steer.KindMoved)
+	moved := b.notes(steer.KindPlacedAgain)
 	b.Expect(moved).To(HaveLen(1))
 	b.Expect(moved[0].Took).To(Equal(30 * time.Millisecond))
 }
--- a/internal/packetface/steer/search_test.go
+++ b/internal/packetface/steer/search_test.go
@@ -161,7 +161,7 @@
 		b.callerSends(caller(1), platform.FlagACK, 30)
 		b.Expect(b.sent(inner.KindForward)).To(Equal([]netip.AddrPort{owner}))
 	}
-	b.Expect(b.core.Counts(b.now).Asks).To(BeNumerically("<=", 4096))
+	b.Expect(b.core.Counts(b.now).Searches).To(BeNumerically("<=", 4096))
 	b.Expect(datagrams).To(BeNumerically("<=", seconds*agents*500), "datagrams to agents")
 }
 
@@ -176,7 +176,7 @@
 		b.wait(100 * time.Millisecond)
 	}
 	b.wait(200 * time.Millisecond) // 2.5 s after its last packet the caller has given up
-	b.Expect(b.core.Counts(b.now).Asks).To(BeZero())
+	b.Expect(b.core.Counts(b.now).Searches).To(BeZero())
 }
 
 // Probes that are in flight when the owner is found or the flow is reset are returned
@@ -197,7 +197,7 @@
 		b.now += 20 * time.Millisecond
 		b.fromAgent(101, back)
 		b.Expect(b.last.Actions).To(BeEmpty())
-		b.Expect(b.core.Counts(b.now).Asks).To(BeZero())
+		b.Expect(b.core.Counts(b.now).Searches).To(BeZero())
 	}
 }
 
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -61,18 +61,18 @@
 
 // Kinds of decisions.
 const (
-	KindPlaced    Kind = "placed"
-	KindMoved     Kind = "placed-again"
-	KindFound     Kind = "owner-found"
-	KindReset     Kind = "reset"
-	KindDropped   Kind = "dropped"
-	KindSuspected Kind = "agent-suspected"
-	KindRecovered Kind = "agent-recovered"
-	KindState     Kind = "agent-state"
-	KindListed    Kind = "agent-listed"
-	KindUnlisted  Kind = "agent-unlisted"
-	KindGone      Kind = "agent-gone"
-	KindNewer     Kind = "newer-version-heard"
+	KindPlaced      Kind = "placed"
+	KindPlacedAgain Kind = "placed-again"
+	KindFound       Kind = "owner-found"
+	KindReset       Kind = "reset"
+	KindDropped     Kind = "dropped"
+	KindSuspected   Kind = "agent-suspected"
+	KindRecovered   Kind = "agent-recovered"
+	KindState       Kind = "agent-state"
+	KindListed      Kind = "agent-listed"
+	KindUnlisted    Kind = "agent-unlisted"
+	KindRemoved     Kind = "agent-gone"
+	KindNewer       Kind = "newer-version-heard"
 )
 
 // Note describes a decision: its kind, its inputs with their age, and its outcome.
@@ -213,12 +213,12 @@
 
 // Counts are the sizes of a Core's state.
 type Counts struct {
-	Flows, Asks, Agents, Suspected int
+	Flows, Searches, Agents, Suspected int
 }
 
 // Counts returns the sizes of the state.
 func (c *Core) Counts(now time.Duration) Counts {
-	n := Counts{Flows: len(c.flows), Asks: len(c.searches), Agents: len(c.roster.list)}
+	n := Counts{Flows: len(c.flows), Searches: len(c.searches), Agents: len(c.roster.list)}
 	for _, a := range c.roster.list {
 		if a.isSuspect(now) {
 			n.Suspected++
@@ -237,9 +237,9 @@
 	return false
 }
 
-// Blind reports whether agents are listed and none of them answers: the balancer itself
+// Isolated reports whether agents are listed and none of them answers: the balancer itself
 // is probably cut off then.
-func (c *Core) Blind(now time.Duration) bool {
+func (c *Core) Isolated(now time.Duration) bool {
 	for _, a := range c.roster.list {
 		if !a.isSuspect(now) {
 			return false
--- a/internal/packetface/steer/view.go
+++ b/internal/packetface/steer/view.go
@@ -16,8 +16,8 @@
 	Routes int
 	// List is how recent the list of agents is, Heard the highest position of an entry
 	// that an agent has reported.
-	List  ListAge
-	Heard store.Position
+	List           ListAge
+	NewestReported store.Position
 	// Evacuations are the operators' requests to evacuate data centres.
 	Evacuations []evacuation.Request
 	Agents      []AgentView
@@ -31,8 +31,8 @@
 	DataCentre string
 	// Status is the agent's last status; its state is 0 before the first.
 	Status inner.Status
-	// Heard is when the last datagram arrived from the agent, 0 for never.
-	Heard               time.Duration
+	// LastReceived is when the last datagram arrived from the agent, 0 for never.
+	LastReceived        time.Duration
 	Suspected, Unlisted bool
 	// Evacuated is set if the agent gets no new flows because its data centre is
 	// evacuated.
@@ -41,13 +41,13 @@
 
 // View returns a snapshot of the state.
 func (c *Core) View(now time.Duration) View {
-	v := View{Counts: c.Counts(now), List: c.roster.age, Heard: c.roster.newestReported, Evacuations: c.evacuations.Requests()}
+	v := View{Counts: c.Counts(now), List: c.roster.age, NewestReported: c.roster.newestReported, Evacuations: c.evacuations.Requests()}
 	if c.table != nil {
 		v.Routes = c.table.Len()
 	}
 	for _, a := range c.roster.list {
 		v.Agents = append(v.Agents, AgentView{
-			Addr: a.Addr, Service: c.serviceName(a.Service), DataCentre: a.DataCentre, Status: a.status, Heard: a.lastReceived,
+			Addr: a.Addr, Service: c.serviceName(a.Service), DataCentre: a.DataCentre, Status: a.status, LastReceived: a.lastReceived,
 			Suspected: a.isSuspect(now), Unlisted: a.unlistedSince != 0, Evacuated: a.evacuation.Evacuated,
 		})
 	}
