--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -7,7 +7,7 @@
 // with older copies. A Record ignores changes that it knows to be superseded, whatever the
 // order in which it receives them.
 //
-// The store may return from a copy that is some seconds old; this begins a new era.
+// The store may be restored from a copy that is some seconds old; this begins a new era.
 // Operators then write the lost changes again. Until they have had time for that, the
 // absence of a request in the new era is no proof of its withdrawal: a request that is
 // known from an earlier era stays in force, also if only another process knows it. A
@@ -35,11 +35,11 @@
 // Newer returns the state with the later position. If the positions are equal, it returns
 // the evacuated one: if a withdrawal takes effect late, there are only fewer upstreams to
 // choose from, whereas ignoring a request breaks the guarantee given to operators.
-func (w State) Newer(o State) State {
-	if o.AsOf > w.AsOf || o.AsOf == w.AsOf && o.Evacuated {
+func (s State) Newer(o State) State {
+	if o.AsOf > s.AsOf || o.AsOf == s.AsOf && o.Evacuated {
 		return o
 	}
-	return w
+	return s
 }
 
 // Request is an operator's request to evacuate a data centre.
@@ -168,8 +168,8 @@
 	maps.DeleteFunc(r.requests, func(_ string, at store.Position) bool { return !at.SameEra(r.asOf) })
 }
 
-// State returns the state of a data centre. It is the zero State if no request is known but,
-// in an unsettled era, that does not prove that there is none.
+// State returns the state of a data centre. It is the zero State if no request is known
+// but, in an unsettled era, that does not prove that there is none.
 func (r *Record) State(dataCentre string) State {
 	at, requested := r.requests[dataCentre]
 	switch {
@@ -181,14 +181,15 @@
 	return State{Evacuated: requested, AsOf: max(r.asOf, at)}
 }
 
-// Resolve returns the effective state of a data centre, given the state received from another
-// process. Within an era, a request that is missing at a later position has been withdrawn.
-func (r *Record) Resolve(dataCentre string, heard State) State {
+// Resolve returns the effective state of a data centre, given the state received from
+// another process. Within an era, a request that is missing at a later position has been
+// withdrawn.
+func (r *Record) Resolve(dataCentre string, received State) State {
 	own := r.State(dataCentre)
-	if own.AsOf == 0 && heard.AsOf != 0 && heard.AsOf.SameEra(r.asOf) {
+	if own.AsOf == 0 && received.AsOf != 0 && received.AsOf.SameEra(r.asOf) {
 		own.AsOf = r.asOf
 	}
-	return own.Newer(heard)
+	return own.Newer(received)
 }
 
 // Requests returns all requests, ordered by the names of the data centres.
--- a/internal/packetface/evacuation/evacuation_test.go
+++ b/internal/packetface/evacuation/evacuation_test.go
@@ -63,9 +63,9 @@
 func TestNewerReturnsTheStateWithTheLaterPosition(t *testing.T) {
 	g := NewWithT(t)
 	old := evacuation.State{Evacuated: true, AsOf: 10}
-	withdrawnWord := evacuation.State{AsOf: 15}
-	g.Expect(old.Newer(withdrawnWord)).To(Equal(withdrawnWord))
-	g.Expect(withdrawnWord.Newer(old)).To(Equal(withdrawnWord))
+	withdrawnState := evacuation.State{AsOf: 15}
+	g.Expect(old.Newer(withdrawnState)).To(Equal(withdrawnState))
+	g.Expect(withdrawnState.Newer(old)).To(Equal(withdrawnState))
 	g.Expect(evacuation.State{AsOf: 10}.Newer(old)).To(Equal(old))
 }
 
@@ -127,9 +127,9 @@
 				standing[q.DataCentre] = true
 			}
 			for _, name := range dataCentres {
-				word := r.State(name)
-				if word.AsOf != newest || word.Evacuated != standing[name] {
-					t.Fatalf("%s as of %d: %+v, evacuated: %v", name, newest, word, standing[name])
+				state := r.State(name)
+				if state.AsOf != newest || state.Evacuated != standing[name] {
+					t.Fatalf("%s as of %d: %+v, evacuated: %v", name, newest, state, standing[name])
 				}
 			}
 		}
--- a/internal/packetface/evacuation/return_test.go
+++ b/internal/packetface/evacuation/return_test.go
@@ -13,7 +13,7 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Tests of a store that returns from an older copy of its data, in a new era.
+// Tests of a store that is restored from an older copy of its data, in a new era.
 
 // The copy lacks a request in force, operators write it again, and then withdraw it. The
 // withdrawal has a lower revision than the original request and must not be ignored because
@@ -41,14 +41,14 @@
 	g.Expect(r.State("a").Evacuated).To(BeTrue())
 	r.Settle()
 	g.Expect(r.State("a")).To(Equal(evacuation.State{AsOf: store.At(2, 60)}))
-	r.Replace(nil, store.At(4, 1)) // the store has returned twice
+	r.Replace(nil, store.At(4, 1)) // the store has been restored twice
 	g.Expect(r.State("a")).To(Equal(evacuation.State{}), "absence proves nothing in the new era")
 }
 
-// A process that starts between the store's return and the rewriting does not know the
+// A process that starts between the store's restore and the rewriting does not know the
 // request. Its absence in the copy must not override the state received from another
 // process, but absence at a later position of the same era must.
-func TestProcessStartedAfterTheReturnUsesTheStateOfOthers(t *testing.T) {
+func TestProcessStartedAfterTheRestoreUsesTheStateOfOthers(t *testing.T) {
 	g := NewWithT(t)
 	var started evacuation.Record
 	started.Replace(nil, store.At(2, 55))
@@ -62,8 +62,8 @@
 	g.Expect(started.Resolve("a", before)).To(Equal(evacuation.State{AsOf: store.At(2, 55)}))
 }
 
-// operators simulates a store that returns from copies, and operators who write the lost
-// changes again.
+// operators simulates a store that is restored from copies, and operators who write the
+// lost changes again.
 type operators struct {
 	era, revision uint64
 	// history holds the changes in the store; wanted holds the data centres that operators
@@ -79,7 +79,7 @@
 	o.history = append(o.history, change)
 }
 
-// restore makes the store return from a copy that contains the first changes only. It
+// restore restores the store from a copy that contains the first changes only. It
 // returns the data centres of the lost ones, which operators write again later.
 func (o *operators) restore(kept int) (lost []string) {
 	for _, c := range o.history[kept:] {
@@ -113,7 +113,7 @@
 // Whatever the store loses, an evacuation that a process knows stays in force while
 // operators want it. Once they have written all changes again, the record matches what they
 // want.
-func TestRecordMatchesOperatorsIntentAcrossReturns(t *testing.T) {
+func TestRecordMatchesOperatorsIntentAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &operators{era: 1, wanted: map[string]bool{}}
 		var r evacuation.Record
@@ -163,8 +163,8 @@
 		learn()
 		r.Settle()
 		for _, name := range dataCentres {
-			if word := r.State(name); word.Evacuated != o.wanted[name] {
-				t.Fatalf("%s: %+v, wanted %v, %s", name, word, o.wanted[name], fmt.Sprint(o.history))
+			if state := r.State(name); state.Evacuated != o.wanted[name] {
+				t.Fatalf("%s: %+v, wanted %v, %s", name, state, o.wanted[name], fmt.Sprint(o.history))
 			}
 		}
 	})
--- a/internal/packetface/gate/evacuated.go
+++ b/internal/packetface/gate/evacuated.go
@@ -15,9 +15,9 @@
 
 // updateEvacuation applies the evacuation state of the data centre as sent by a balancer,
 // and notifies all balancers if it changes what the agent does.
-func (g *Gate) updateEvacuation(now time.Duration, from netip.AddrPort, word evacuation.State) {
+func (g *Gate) updateEvacuation(now time.Duration, from netip.AddrPort, received evacuation.State) {
 	before := g.evacuation
-	g.evacuation = before.Newer(word)
+	g.evacuation = before.Newer(received)
 	if g.evacuation.Evacuated == before.Evacuated {
 		return
 	}
@@ -28,7 +28,7 @@
 	if g.evacuation.Evacuated {
 		reason = "data-centre-evacuated"
 	}
-	g.note(now, Note{Kind: KindEvacuation, Peer: from, Reason: reason, Detail: "as of " + word.AsOf.String()})
+	g.note(now, Note{Kind: KindEvacuation, Peer: from, Reason: reason, Detail: "as of " + received.AsOf.String()})
 	g.announce(now)
 }
 
--- a/internal/packetface/gate/evacuated_test.go
+++ b/internal/packetface/gate/evacuated_test.go
@@ -16,8 +16,8 @@
 	return evacuation.State{Evacuated: true, AsOf: asOf}
 }
 
-func (b *bench) poll(word evacuation.State) {
-	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Evacuation: word}))
+func (b *bench) poll(state evacuation.State) {
+	b.balancerSends(inner.AppendPoll(nil, inner.Poll{Evacuation: state}))
 }
 
 // lastStatus returns the status that was last sent to a balancer.
--- a/internal/packetface/outcome/outcome_test.go
+++ b/internal/packetface/outcome/outcome_test.go
@@ -173,7 +173,7 @@
 
 // A service may use several faces, with requests that take 1 ms on one and 30 ms on
 // another. With a common average an upstream was shut out for that in the middle of a
-// burst, as seen in the run kigali-1.
+// burst, as observed under load.
 func TestResponseTimesAreTrackedPerFace(t *testing.T) {
 	u := newUpstream(t)
 	u.answerAsUsual()
@@ -220,8 +220,8 @@
 }
 
 // failurePattern is a pattern of failures of an upstream that gets one request every 20 ms
-// while it accepts flows. The patterns are in the order in which the run scale-1, on a
-// larger scale, showed them.
+// while it accepts flows. The patterns are those of a load test on a larger scale, in the
+// order in which they occurred there.
 type failurePattern struct {
 	name string
 	// fails reports whether a request at the given time fails; fast selects a fast answer
--- a/internal/packetface/steer/evacuation.go
+++ b/internal/packetface/steer/evacuation.go
@@ -77,9 +77,9 @@
 // mergeEvacuation merges a reported state of an agent's data centre with the known one
 // and the balancer's own, and keeps the newest. It reports whether the agent's evacuation
 // has started or ended by that.
-func (c *Core) mergeEvacuation(a *agent, word evacuation.State) (changed bool) {
+func (c *Core) mergeEvacuation(a *agent, received evacuation.State) (changed bool) {
 	before := a.evacuation
-	a.evacuation = c.evacuations.Resolve(a.DataCentre, before.Newer(word))
+	a.evacuation = c.evacuations.Resolve(a.DataCentre, before.Newer(received))
 	return a.evacuation.Evacuated != before.Evacuated
 }
 
