--- a/internal/packetface/inner/forward.go
+++ b/internal/packetface/inner/forward.go
@@ -9,16 +9,16 @@
 type Terms struct {
 	// Priority is the priority of requests that wait for a slot, 0 for the most urgent.
 	Priority uint8
-	// TargetLatency is the target latency of requests and Timeout the time after which their
-	// callers give up, each 0 if the route does not set it. They are encoded in steps of
-	// 8 ms and 64 ms, which limits them to 2 s and 16 s.
+	// TargetLatency is the target latency of requests and Timeout the time after which
+	// their callers give up, each 0 if the route does not set it. They are encoded in steps
+	// of 8 ms and 64 ms, which limits them to 2 s and 16 s.
 	TargetLatency, Timeout time.Duration
 }
 
 // Units in which the times in Terms are encoded.
 const (
-	aimStep     = 8 * time.Millisecond
-	timeoutStep = 64 * time.Millisecond
+	targetLatencyStep = 8 * time.Millisecond
+	timeoutStep       = 64 * time.Millisecond
 )
 
 // Forward is the header of a datagram with a packet of an established flow.
@@ -30,7 +30,7 @@
 // AppendForward appends a datagram of KindForward.
 func AppendForward(b []byte, head Forward, packet []byte) []byte {
 	t := head.Terms
-	b = append(b, byte(KindForward), byte(head.Flags), t.Priority, inSteps(t.TargetLatency, aimStep), inSteps(t.Timeout, timeoutStep))
+	b = append(b, byte(KindForward), byte(head.Flags), t.Priority, inSteps(t.TargetLatency, targetLatencyStep), inSteps(t.Timeout, timeoutStep))
 	return append(b, packet...)
 }
 
@@ -39,7 +39,7 @@
 	if len(b) < forwardSize || KindOf(b) != KindForward {
 		return Forward{}, nil, ErrDatagram
 	}
-	terms := Terms{Priority: b[2], TargetLatency: time.Duration(b[3]) * aimStep, Timeout: time.Duration(b[4]) * timeoutStep}
+	terms := Terms{Priority: b[2], TargetLatency: time.Duration(b[3]) * targetLatencyStep, Timeout: time.Duration(b[4]) * timeoutStep}
 	return Forward{Flags: Flags(b[1]), Terms: terms}, b[forwardSize:], nil
 }
 
--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -39,8 +39,8 @@
 	KindReturned
 	// KindAnswer is the response to KindAsk (9 bytes and 13 bytes a flow).
 	KindAnswer
-	// KindWatchRequest asks a balancer for its current store update and subscribes to later
-	// ones (2 bytes). KindNews carries a store update (23 bytes).
+	// KindWatchRequest asks a balancer for its current store update and registers the
+	// sender as its listener (2 bytes). KindStoreUpdate carries a store update (23 bytes).
 	KindWatchRequest
 	KindStoreUpdate
 	// KindCheck is sent by an agent to ask a balancer whether the store lists the agent;
@@ -108,9 +108,9 @@
 	Cold       Cold
 }
 
-// Versions holds the versions of the configuration and of the agent list that a process has.
-// Agents forward the highest versions that they receive, so that a balancer detects that
-// its own are outdated.
+// Versions holds the versions of the configuration and of the agent list that a process
+// has. Agents forward the highest versions that they receive, so that a balancer detects
+// that its own are outdated.
 type Versions struct {
 	// Version is the version of the configuration.
 	Version uint64
@@ -119,8 +119,8 @@
 }
 
 // Max returns the higher of both versions in each field.
-func (k Versions) Max(o Versions) Versions {
-	return Versions{Version: max(k.Version, o.Version), Listing: max(k.Listing, o.Listing)}
+func (v Versions) Max(o Versions) Versions {
+	return Versions{Version: max(v.Version, o.Version), Listing: max(v.Listing, o.Listing)}
 }
 
 // Status is the status of an agent and its upstream.
@@ -151,8 +151,8 @@
 	// Evacuation is the latest information that the agent has on whether its data centre
 	// is evacuated.
 	Evacuation evacuation.State
-	// ResponseTime is the recent time from a request to its response, in steps of 1 ms up to 65
-	// s; 0 if there was none.
+	// ResponseTime is the recent time from a request to its response, in steps of 1 ms up
+	// to 65 s; 0 if there was none.
 	ResponseTime time.Duration
 	// Warmup is how long upstreams of the service are cold after their start, as reported
 	// to or estimated by the agent, in steps of 1 ms up to 65 s; 0 if unknown.
@@ -166,8 +166,8 @@
 
 // Sizes of the fixed parts of datagrams in bytes.
 const (
-	openSize       = 3 + 8 + 2 + knownSize + evacuationSize + coldSize
-	knownSize      = 8 + 8
+	openSize       = 3 + 8 + 2 + versionsSize + evacuationSize + coldSize
+	versionsSize   = 8 + 8
 	evacuationSize = 1 + 8
 	coldSize       = 2 + 2
 	askHead        = 1 + 8 + coldSize
@@ -176,8 +176,8 @@
 	questionSize   = flowSize + 4
 	verdictSize    = 1 + flowSize
 	answerHead     = 1 + 8
-	pollSize       = 2 + 8 + knownSize + evacuationSize + coldSize
-	statusSize     = 2 + 8 + knownSize + 2 + 2 + 4 + 4 + 2 + 1 + 4 + evacuationSize + 2 + 2
+	pollSize       = 2 + 8 + versionsSize + evacuationSize + coldSize
+	statusSize     = 2 + 8 + versionsSize + 2 + 2 + 4 + 4 + 2 + 1 + 4 + evacuationSize + 2 + 2
 	returnedSize   = 2 + 8 + 2
 
 	// MaxBusyHops is the number of agents that may return an opening packet because all
@@ -208,7 +208,7 @@
 	b = append(b, byte(KindOpen), byte(o.Flags), o.Hops)
 	b = binary.BigEndian.AppendUint64(b, o.Service)
 	b = binary.BigEndian.AppendUint16(b, o.Slots)
-	b = appendKnown(b, o.Versions)
+	b = appendVersions(b, o.Versions)
 	b = appendEvacuation(b, o.Evacuation)
 	b = appendCold(b, o.Cold)
 	return append(b, packet...)
@@ -221,9 +221,9 @@
 	}
 	o = Open{
 		Flags: Flags(b[1]), Hops: b[2],
-		Service: binary.BigEndian.Uint64(b[3:]), Slots: binary.BigEndian.Uint16(b[11:]), Versions: parseKnown(b[13:]),
-		Evacuation: parseEvacuation(b[13+knownSize:]),
-		Cold:       parseCold(b[13+knownSize+evacuationSize:]),
+		Service: binary.BigEndian.Uint64(b[3:]), Slots: binary.BigEndian.Uint16(b[11:]), Versions: parseVersions(b[13:]),
+		Evacuation: parseEvacuation(b[13+versionsSize:]),
+		Cold:       parseCold(b[13+versionsSize+evacuationSize:]),
 	}
 	return o, b[openSize:], nil
 }
@@ -231,7 +231,7 @@
 // AppendPoll appends a datagram of KindPoll.
 func AppendPoll(b []byte, p Poll) []byte {
 	b = binary.BigEndian.AppendUint64(append(b, byte(KindPoll), byte(p.Flags)), p.Service)
-	b = appendKnown(b, p.Versions)
+	b = appendVersions(b, p.Versions)
 	b = appendEvacuation(b, p.Evacuation)
 	return appendCold(b, p.Cold)
 }
@@ -242,8 +242,8 @@
 		return Poll{}, ErrDatagram
 	}
 	return Poll{
-		Flags: Flags(b[1]), Service: binary.BigEndian.Uint64(b[2:]), Versions: parseKnown(b[10:]),
-		Evacuation: parseEvacuation(b[10+knownSize:]), Cold: parseCold(b[10+knownSize+evacuationSize:]),
+		Flags: Flags(b[1]), Service: binary.BigEndian.Uint64(b[2:]), Versions: parseVersions(b[10:]),
+		Evacuation: parseEvacuation(b[10+versionsSize:]), Cold: parseCold(b[10+versionsSize+evacuationSize:]),
 	}, nil
 }
 
@@ -254,7 +254,7 @@
 func AppendStatus(b []byte, s Status) []byte {
 	b = append(b, byte(KindStatus), byte(s.State))
 	b = binary.BigEndian.AppendUint64(b, s.Incarnation)
-	b = appendKnown(b, s.Versions)
+	b = appendVersions(b, s.Versions)
 	b = binary.BigEndian.AppendUint16(b, s.Running)
 	b = binary.BigEndian.AppendUint16(b, s.Slots)
 	b = binary.BigEndian.AppendUint32(b, s.Flows)
@@ -281,7 +281,7 @@
 	return Status{
 		State:         State(b[1]),
 		Incarnation:   binary.BigEndian.Uint64(b[2:]),
-		Versions:      parseKnown(b[10:]),
+		Versions:      parseVersions(b[10:]),
 		Running:       binary.BigEndian.Uint16(b[26:]),
 		Slots:         binary.BigEndian.Uint16(b[28:]),
 		Flows:         binary.BigEndian.Uint32(b[30:]),
@@ -331,12 +331,12 @@
 
 func parsePosition(b []byte) store.Position { return store.Position(binary.BigEndian.Uint64(b)) }
 
-func appendKnown(b []byte, k Versions) []byte {
-	b = binary.BigEndian.AppendUint64(b, k.Version)
-	return appendPosition(b, k.Listing)
+func appendVersions(b []byte, v Versions) []byte {
+	b = binary.BigEndian.AppendUint64(b, v.Version)
+	return appendPosition(b, v.Listing)
 }
 
-func parseKnown(b []byte) Versions {
+func parseVersions(b []byte) Versions {
 	return Versions{Version: binary.BigEndian.Uint64(b), Listing: parsePosition(b[8:])}
 }
 
@@ -358,12 +358,12 @@
 	return Cold{Rate: binary.BigEndian.Uint16(b), Warmup: parseMillis(b[2:])}
 }
 
-func appendEvacuation(b []byte, w evacuation.State) []byte {
+func appendEvacuation(b []byte, s evacuation.State) []byte {
 	evacuated := byte(0)
-	if w.Evacuated {
+	if s.Evacuated {
 		evacuated = 1
 	}
-	return appendPosition(append(b, evacuated), w.AsOf)
+	return appendPosition(append(b, evacuated), s.AsOf)
 }
 
 func parseEvacuation(b []byte) evacuation.State {
--- a/internal/packetface/inner/inner_test.go
+++ b/internal/packetface/inner/inner_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func drawKnown(t *rapid.T) inner.Versions {
+func drawVersions(t *rapid.T) inner.Versions {
 	return inner.Versions{Version: rapid.Uint64().Draw(t, "version"), Listing: store.Position(rapid.Uint64().Draw(t, "listing"))}
 }
 
@@ -39,7 +39,7 @@
 		packet := rapid.SliceOfN(rapid.Byte(), 0, platform.MaxPacketSize).Draw(t, "packet")
 		flags := inner.Flags(rapid.Byte().Draw(t, "flags"))
 
-		open := inner.Open{Flags: flags, Hops: rapid.Byte().Draw(t, "hops"), Service: rapid.Uint64().Draw(t, "service"), Slots: rapid.Uint16().Draw(t, "open slots"), Versions: drawKnown(t), Evacuation: drawEvacuation(t), Cold: drawCold(t)}
+		open := inner.Open{Flags: flags, Hops: rapid.Byte().Draw(t, "hops"), Service: rapid.Uint64().Draw(t, "service"), Slots: rapid.Uint16().Draw(t, "open slots"), Versions: drawVersions(t), Evacuation: drawEvacuation(t), Cold: drawCold(t)}
 		b := inner.AppendOpen(nil, open, packet)
 		g.Expect(len(b)).To(BeNumerically("<=", inner.MaxSize))
 		gotOpen, gotPacket, err := inner.ParseOpen(b)
@@ -56,7 +56,7 @@
 		g.Expect(gotForward).To(Equal(forward))
 		g.Expect(string(gotPacket)).To(Equal(string(packet)))
 
-		known := drawKnown(t)
+		known := drawVersions(t)
 		poll := inner.Poll{Flags: flags, Service: rapid.Uint64().Draw(t, "poll service"), Versions: known, Evacuation: drawEvacuation(t), Cold: drawCold(t)}
 		gotPoll, err := inner.ParsePoll(inner.AppendPoll(nil, poll))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -97,16 +97,16 @@
 
 func TestTermsAreRoundedDownToSteps(t *testing.T) {
 	g := NewWithT(t)
-	cases := []struct{ aim, timeout, wantAim, wantTimeout time.Duration }{
+	cases := []struct{ targetLatency, timeout, wantTargetLatency, wantTimeout time.Duration }{
 		{0, 0, 0, 0},
 		{250 * time.Millisecond, 2500 * time.Millisecond, 248 * time.Millisecond, 2496 * time.Millisecond},
 		{time.Minute, time.Minute, 2040 * time.Millisecond, 16320 * time.Millisecond},
 	}
 	for _, c := range cases {
-		head := inner.Forward{Flags: inner.FlagLastChoice, Terms: inner.Terms{Priority: 3, TargetLatency: c.aim, Timeout: c.timeout}}
+		head := inner.Forward{Flags: inner.FlagLastChoice, Terms: inner.Terms{Priority: 3, TargetLatency: c.targetLatency, Timeout: c.timeout}}
 		got, _, err := inner.ParseForward(inner.AppendForward(nil, head, nil))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(got).To(Equal(inner.Forward{Flags: inner.FlagLastChoice, Terms: inner.Terms{Priority: 3, TargetLatency: c.wantAim, Timeout: c.wantTimeout}}))
+		g.Expect(got).To(Equal(inner.Forward{Flags: inner.FlagLastChoice, Terms: inner.Terms{Priority: 3, TargetLatency: c.wantTargetLatency, Timeout: c.wantTimeout}}))
 	}
 }
 
--- a/internal/packetface/inner/peer.go
+++ b/internal/packetface/inner/peer.go
@@ -9,16 +9,16 @@
 )
 
 // Datagrams with which balancers share watches of the platform's store: some balancers
-// watch the store, and others subscribe to a balancer that has the store's changes
-// (package watchshare). Subscriptions form trees. The root of a tree watches the store,
-// and the source of any other balancer is the one that it subscribes to.
+// watch the store, and others listen to a balancer that has the store's changes (package
+// watchshare). Listeners form trees. The root of a tree watches the store, and the source
+// of any other balancer is the one that it listens to.
 
 // StoreUpdate is a store update: the state of the store as a balancer knows it.
 type StoreUpdate struct {
-	// AcceptsListeners reports that the sender accepts subscribers: it watches the store, or
-	// subscribes to a balancer that has the store's changes.
+	// AcceptsListeners reports that the sender accepts listeners: it watches the store, or
+	// listens to a balancer that has the store's changes.
 	AcceptsListeners bool
-	// Redirects reports that Source is one of the sender's subscribers, named because the
+	// Redirects reports that Source is one of the sender's listeners, named because the
 	// sender can accept no more.
 	Redirects bool
 	// Depth is the number of levels between the sender and the balancer that watches the
@@ -31,51 +31,52 @@
 	// Age is the time since the store last answered the root of the sender's tree, in
 	// steps of 1 ms up to 65 s.
 	Age time.Duration
-	// Source is the host of the sender's own source, or of one of its subscribers if
+	// Source is the host of the sender's own source, or of one of its listeners if
 	// Below is set; invalid for none.
 	Source netip.Addr
-	// OtherListener is the host of another subscriber of the sender, invalid for none. The
+	// OtherListener is the host of another listener of the sender, invalid for none. The
 	// receiver can ask it for a new source if the sender fails.
 	OtherListener netip.Addr
 }
 
-// WatchRequest asks a balancer for its current store update and subscribes to later ones.
+// WatchRequest asks a balancer for its current store update and registers the sender as its
+// listener.
 type WatchRequest struct {
 	// Redirected reports that the receiver's source named the receiver. The receiver then
-	// accepts the subscriber or names one of its own subscribers, never its source.
+	// accepts the listener or names one of its own listeners, never its source.
 	Redirected bool
-	// Root reports that the sender watches the store and has subscribers.
+	// Root reports that the sender watches the store and has listeners.
 	Root bool
 }
 
 const (
-	updateSize    = 3 + 8 + 2 + 4 + 4 + 2
-	subscribeSize = 2
+	storeUpdateSize  = 3 + 8 + 2 + 4 + 4 + 2
+	watchRequestSize = 2
 )
 
-// Bits of the flag byte of KindNews.
+// Bits of the flag byte of KindStoreUpdate.
 const (
-	updateAccepts = 1 << iota
-	updateRedirects
+	storeUpdateAccepts = 1 << iota
+	storeUpdateRedirects
 )
 
-// Bits of the flag byte of KindFollow.
+// Bits of the flag byte of KindWatchRequest.
 const (
-	subscribeRedirected = 1 << iota
-	subscribeRoot
+	watchRequestRedirected = 1 << iota
+	watchRequestRoot
 )
 
-// AppendWatchRequest appends a datagram of KindFollow.
-func AppendWatchRequest(b []byte, f WatchRequest) []byte {
-	return append(b, byte(KindWatchRequest), flag(f.Redirected, subscribeRedirected)|flag(f.Root, subscribeRoot))
+// AppendWatchRequest appends a datagram of KindWatchRequest.
+func AppendWatchRequest(b []byte, r WatchRequest) []byte {
+	return append(b, byte(KindWatchRequest), flag(r.Redirected, watchRequestRedirected)|flag(r.Root, watchRequestRoot))
 }
 
-// ParseWatchRequest decodes a datagram of KindFollow.
+// ParseWatchRequest decodes a datagram of KindWatchRequest.
 func ParseWatchRequest(b []byte) (WatchRequest, error) {
-	if len(b) != subscribeSize || KindOf(b) != KindWatchRequest {
+	if len(b) != watchRequestSize || KindOf(b) != KindWatchRequest {
 		return WatchRequest{}, ErrDatagram
 	}
-	return WatchRequest{Redirected: b[1]&subscribeRedirected != 0, Root: b[1]&subscribeRoot != 0}, nil
+	return WatchRequest{Redirected: b[1]&watchRequestRedirected != 0, Root: b[1]&watchRequestRoot != 0}, nil
 }
 
 // flag returns the bit if set is true, otherwise 0.
@@ -86,24 +87,24 @@
 	return 0
 }
 
-// AppendStoreUpdate appends a datagram of KindNews.
-func AppendStoreUpdate(b []byte, n *StoreUpdate) []byte {
-	b = append(b, byte(KindStoreUpdate), flag(n.AcceptsListeners, updateAccepts)|flag(n.Redirects, updateRedirects), n.Depth)
-	b = appendPosition(b, n.AsOf)
-	b = appendMillis(b, n.Age)
-	b = appendHost(b, n.Source)
-	b = appendHost(b, n.OtherListener)
-	return binary.BigEndian.AppendUint16(b, n.Balancers)
+// AppendStoreUpdate appends a datagram of KindStoreUpdate.
+func AppendStoreUpdate(b []byte, u *StoreUpdate) []byte {
+	b = append(b, byte(KindStoreUpdate), flag(u.AcceptsListeners, storeUpdateAccepts)|flag(u.Redirects, storeUpdateRedirects), u.Depth)
+	b = appendPosition(b, u.AsOf)
+	b = appendMillis(b, u.Age)
+	b = appendHost(b, u.Source)
+	b = appendHost(b, u.OtherListener)
+	return binary.BigEndian.AppendUint16(b, u.Balancers)
 }
 
-// ParseStoreUpdate decodes a datagram of KindNews.
+// ParseStoreUpdate decodes a datagram of KindStoreUpdate.
 func ParseStoreUpdate(b []byte) (StoreUpdate, error) {
-	if len(b) != updateSize || KindOf(b) != KindStoreUpdate {
+	if len(b) != storeUpdateSize || KindOf(b) != KindStoreUpdate {
 		return StoreUpdate{}, ErrDatagram
 	}
-	n := StoreUpdate{
-		AcceptsListeners: b[1]&updateAccepts != 0,
-		Redirects:        b[1]&updateRedirects != 0,
+	u := StoreUpdate{
+		AcceptsListeners: b[1]&storeUpdateAccepts != 0,
+		Redirects:        b[1]&storeUpdateRedirects != 0,
 		Depth:            b[2],
 		AsOf:             parsePosition(b[3:]),
 		Age:              parseMillis(b[11:]),
@@ -111,7 +112,7 @@
 		OtherListener:    parseHost(b[17:]),
 		Balancers:        binary.BigEndian.Uint16(b[21:]),
 	}
-	return n, nil
+	return u, nil
 }
 
 // appendHost appends an IPv4 address, zeros if the address is invalid.
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -148,7 +148,7 @@
 	b.follower.Balancers = b.balancerCount
 	b.follower.Known = b.knownAgents
 	b.follower.Unlisted = b.unlistedAgents
-	b.follower.AgentsReceived = b.onPeersAsked
+	b.follower.AgentsReceived = b.addPeerAgents
 	b.follower.Shared = b.hasListeners
 	b.follower.AwaitSource = true
 	b.follower.Snapshots = !b.env.Host.FirstStart
@@ -168,9 +168,9 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if blind := b.core.Isolated(b.clock()); blind != b.noAgentAnswers {
-		b.noAgentAnswers = blind
-		if blind {
+	if isolated := b.core.Isolated(b.clock()); isolated != b.noAgentAnswers {
+		b.noAgentAnswers = isolated
+		if isolated {
 			b.log.Warn("Not ready, no agent answers.", "version", b.version)
 		} else {
 			b.log.Info("Ready again, agents answer.", "version", b.version)
@@ -321,9 +321,9 @@
 	}
 }
 
-// onPeersAsked adds the agents that other balancers know. The store may not list some of
+// addPeerAgents adds the agents that other balancers know. The store may not list some of
 // them.
-func (b *balancer) onPeersAsked(known []steer.Agent) {
+func (b *balancer) addPeerAgents(known []steer.Agent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.apply(b.core.AddPeerAgents(b.clock(), known))
--- a/internal/packetface/role/watchshare.go
+++ b/internal/packetface/role/watchshare.go
@@ -16,8 +16,8 @@
 // changes.
 
 var (
-	subscribeRequests = metrics.NewCounter(`saltbend_packet_watch_requests_total`)
-	rejectedMessages  = metrics.NewCounter(`saltbend_packet_watch_unreadable_total`)
+	watchRequests    = metrics.NewCounter(`saltbend_packet_watch_requests_total`)
+	rejectedMessages = metrics.NewCounter(`saltbend_packet_watch_unreadable_total`)
 )
 
 // updatesByPosition counts the store updates of other balancers by their store position
@@ -49,31 +49,31 @@
 	}
 	now := b.clock()
 	if kind == inner.KindWatchRequest {
-		subscribeRequests.Inc()
-		follow, err := inner.ParseWatchRequest(datagram)
+		watchRequests.Inc()
+		request, err := inner.ParseWatchRequest(datagram)
 		if err != nil {
 			rejectedMessages.Inc()
 			return true
 		}
-		b.sendWatchShare(b.watchShare.HandleWatchRequest(now, from.Addr(), follow))
+		b.sendWatchShare(b.watchShare.HandleWatchRequest(now, from.Addr(), request))
 		return true
 	}
-	news, err := inner.ParseStoreUpdate(datagram)
+	update, err := inner.ParseStoreUpdate(datagram)
 	if err != nil {
 		rejectedMessages.Inc()
 		return true
 	}
-	b.sendWatchShare(b.watchShare.HandleStoreUpdate(now, from.Addr(), news))
+	b.sendWatchShare(b.watchShare.HandleStoreUpdate(now, from.Addr(), update))
 	b.updateSource()
-	b.countUpdate(from.Addr(), news)
+	b.countUpdate(from.Addr(), update)
 	return true
 }
 
 // countUpdate counts a store update by its position compared with this balancer's. It
 // logs when the source first reports a lower position than this balancer has; the
 // follower ignores what such a source sends.
-func (b *balancer) countUpdate(from netip.Addr, news inner.StoreUpdate) {
-	switch order := cmp.Compare(news.AsOf, b.knownUpTo); {
+func (b *balancer) countUpdate(from netip.Addr, update inner.StoreUpdate) {
+	switch order := cmp.Compare(update.AsOf, b.knownUpTo); {
 	case order > 0:
 		updatesByPosition["more"].Inc()
 	case order == 0:
@@ -81,7 +81,7 @@
 	default:
 		updatesByPosition["less"].Inc()
 		if from == b.source && b.laggingSource != from {
-			b.log.Info("Source has fewer store changes than this balancer.", "source", from.String(), "as_of", news.AsOf, "own_as_of", b.knownUpTo)
+			b.log.Info("Source has fewer store changes than this balancer.", "source", from.String(), "as_of", update.AsOf, "own_as_of", b.knownUpTo)
 			b.laggingSource = from
 		}
 		return
@@ -107,11 +107,11 @@
 func (b *balancer) sendWatchShare(messages []watchshare.Send) {
 	for _, m := range messages {
 		to := netip.AddrPortFrom(m.To, b.env.Host.InnerPorts[0])
-		if m.News == nil {
-			send(b.agents, to, inner.AppendWatchRequest(nil, m.Follow))
+		if m.StoreUpdate == nil {
+			send(b.agents, to, inner.AppendWatchRequest(nil, m.WatchRequest))
 			continue
 		}
-		send(b.agents, to, inner.AppendStoreUpdate(nil, m.News))
+		send(b.agents, to, inner.AppendStoreUpdate(nil, m.StoreUpdate))
 	}
 }
 
--- a/internal/packetface/watchshare/size_test.go
+++ b/internal/packetface/watchshare/size_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// The first news of a seed that has just started show that the fleet is large. Starting
-// balancers then have to wait for the seed's own reading, even if it takes long.
+// The first store update of a seed that has just started shows that the fleet is large.
+// Starting balancers then have to wait for the seed's own reading, even if it takes long.
 func TestStartingBalancerWaitsForSeedThatReadsStore(t *testing.T) {
 	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
--- a/internal/packetface/watchshare/start.go
+++ b/internal/packetface/watchshare/start.go
@@ -11,7 +11,7 @@
 // read the store, the readings would fill the store's link, and their size grows with
 // balancers times agents. So a balancer that is no seed requests the listing from the
 // seeds first. The seeds, which start at the same time, record these requests and send
-// their news once they have read the store.
+// their store updates once they have read the store.
 
 // Intervals and time limits of a start.
 const (
@@ -54,14 +54,14 @@
 // listing yet.
 func (s *State) lacksListing() bool { return s.asOf == 0 }
 
-// awaitsSeed reports whether the process accepts news from a host that it did not ask
-// last: it does from any seed while it has neither a listing nor a source.
+// awaitsSeed reports whether the process accepts a store update from a host that it did not
+// ask last: it does from any seed while it has neither a listing nor a source.
 func (s *State) awaitsSeed(host netip.Addr) bool {
 	return s.lacksListing() && !s.source.IsValid() && slices.Contains(s.seeds, host)
 }
 
-// ShouldReadStore reports whether a process without a listing should read the store itself. A
-// seed does so at once; another balancer does when no source has answered in time.
+// ShouldReadStore reports whether a process without a listing should read the store itself.
+// A seed does so at once; another balancer does when no source has answered in time.
 func (s *State) ShouldReadStore(now time.Duration) bool {
 	if s.start.seed || len(s.seeds) == 0 {
 		return true
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -1,23 +1,24 @@
 // Package watchshare decides whether a balancer watches the platform's store itself or
-// listens to another balancer, its source, which announces changes to it. The package
-// makes no calls and reads no clock: messages of other balancers, answers of the store
-// and the time are its input, and messages are its output. A message is either a request
-// to listen (inner.Follow) or news (inner.News), the state of the sender.
+// listens to another balancer, its source, which announces changes to it. The package makes
+// no calls and reads no clock: messages of other balancers, answers of the store and the
+// time are its input, and messages are its output. A message is either a watch request
+// (inner.WatchRequest), which asks for changes, or a store update (inner.StoreUpdate), the
+// state of the sender.
 //
 // Each call of the store is paid for, and each change ends the watch of every balancer.
 // If each of 60 balancers watched the store, a release of 45 upstreams would cost
 // thousands of calls, which is the highest cost of a normal day. With shared watches the
 // number of calls grows with the number of changes only.
 //
-// There is no agreement and no election: any number of watching balancers is correct,
-// even all. A balancer asks the seeds of its settings whether they watch the store. A
-// balancer that watches accepts it as a listener; one that listens itself refers it to
-// its own source; one that has no room refers it to one of its listeners, which accepts
-// it. So the listeners of a watching balancer form a tree with that balancer as the root,
-// and no host serves more than maxListeners. A balancer that has listeners continues to
-// watch, unless it joins another watching balancer together with its listeners (see
-// joinsWatcher). All news contain the time since the store last answered the root of the
-// tree; a listener without news younger than StaleAfter watches the store itself.
+// There is no agreement and no election: any number of watching balancers is correct, even
+// all. A balancer asks the seeds of its settings whether they watch the store. A balancer
+// that watches accepts it as a listener; one that listens itself refers it to its own
+// source; one that has no room refers it to one of its listeners, which accepts it. So the
+// listeners of a watching balancer form a tree with that balancer as the root, and no host
+// serves more than maxListeners. A balancer that has listeners continues to watch, unless
+// it joins another watching balancer together with its listeners (see joinsWatcher). All
+// store updates contain the time since the store last answered the root of the tree; a
+// listener without a store update younger than StaleAfter watches the store itself.
 //
 // A balancer that has just started asks for a source before it reads the store; see
 // start.go.
@@ -44,11 +45,11 @@
 	// slow store its answer comes within StaleAfter.
 	WatchWait = 1400 * time.Millisecond
 	// renewInterval is the time between two requests to the source, each of which the
-	// source answers with news.
+	// source answers with a store update.
 	renewInterval = 450 * time.Millisecond
-	// silenceTimeout is the time without news of the source after which a listener asks
-	// other balancers, while its own listing is still recent enough: the source has not
-	// answered two requests.
+	// silenceTimeout is the time without a store update of the source after which a
+	// listener asks other balancers, while its own listing is still recent enough: the
+	// source has not answered two requests.
 	silenceTimeout = 2*renewInterval + 50*time.Millisecond
 	// askInterval is the time between these requests to other balancers.
 	askInterval = 200 * time.Millisecond
@@ -84,12 +85,12 @@
 	minFleetToShare = 12
 )
 
-// Send is a message to the balancer of a host: news, or a request to listen if News is
-// nil.
+// Send is a message to the balancer of a host: a store update, or a watch request if
+// StoreUpdate is nil.
 type Send struct {
-	To     netip.Addr
-	News   *inner.StoreUpdate
-	Follow inner.WatchRequest
+	To           netip.Addr
+	StoreUpdate  *inner.StoreUpdate
+	WatchRequest inner.WatchRequest
 }
 
 // State is the state of one balancer. Times are those of a monotonic clock since the
@@ -98,8 +99,8 @@
 	self   netip.Addr
 	random *rand.Rand
 	seeds  []netip.Addr
-	// candidates are other balancers that have sent news or were named in news, to be
-	// asked if no seed answers.
+	// candidates are other balancers that have sent store updates or were named in them, to
+	// be asked if no seed answers.
 	candidates []netip.Addr
 	start      start
 	// asOf is the position up to which this process knows every change. lastAnswer is
@@ -110,11 +111,11 @@
 	// store. depth is the number of levels up to the root.
 	source netip.Addr
 	depth  uint8
-	// sourceAsOf is the position that the source has announced, confirmed the time at
-	// which the store last answered the root, lastNews the time of the last news of the
-	// source.
-	sourceAsOf          store.Position
-	confirmed, lastNews time.Duration
+	// sourceAsOf is the position that the source has announced, confirmed the time at which
+	// the store last answered the root, lastStoreUpdate the time of the last store update
+	// of the source.
+	sourceAsOf                 store.Position
+	confirmed, lastStoreUpdate time.Duration
 	// asked is the balancer that was asked last and has not answered yet. nextAsk is when
 	// the next balancer is asked.
 	asked   netip.Addr
@@ -123,7 +124,7 @@
 	unanswered int
 	// listeners are the balancers that rely on this one, or wait until it has a listing,
 	// with the times of their last requests. lastNotified is when all of them were last
-	// sent news.
+	// sent a store update.
 	listeners    map[netip.Addr]time.Duration
 	lastNotified time.Duration
 	// fleetSize is the highest number of balancers that was reported so far.
@@ -195,31 +196,31 @@
 	s.lastNotified = now
 	var out []Send
 	for host := range s.listeners {
-		out = append(out, s.newsFor(now, host))
+		out = append(out, s.storeUpdateFor(now, host))
 	}
 	return out
 }
 
-// newsFor returns a message with news for a balancer. It names another listener as a
-// balancer to ask when this one fails.
-func (s *State) newsFor(now time.Duration, to netip.Addr) Send {
-	n := s.news(now)
+// storeUpdateFor returns a message with a store update for a balancer. It names another
+// listener as a balancer to ask when this one fails.
+func (s *State) storeUpdateFor(now time.Duration, to netip.Addr) Send {
+	u := s.storeUpdate(now)
 	if other := s.anyListener(); other != to {
-		n.OtherListener = other
+		u.OtherListener = other
 	}
-	return Send{To: to, News: n}
+	return Send{To: to, StoreUpdate: u}
 }
 
-// news returns the current state of this process for other balancers.
-func (s *State) news(now time.Duration) *inner.StoreUpdate {
-	n := &inner.StoreUpdate{
+// storeUpdate returns the current state of this process for other balancers.
+func (s *State) storeUpdate(now time.Duration) *inner.StoreUpdate {
+	u := &inner.StoreUpdate{
 		AcceptsListeners: s.canServe(now), AsOf: s.asOf, Age: now - s.lastAnswer, Source: s.source,
 		Depth: s.depth, Balancers: s.balancers(now),
 	}
 	if s.source.IsValid() {
-		n.Age = now - s.confirmed
+		u.Age = now - s.confirmed
 	}
-	return n
+	return u
 }
 
 // balancers returns the size of the fleet, or 0 if the process has started too recently
@@ -244,16 +245,16 @@
 	return s.lastAnswer > 0 && now-s.lastAnswer < StaleAfter
 }
 
-// HandleWatchRequest handles the request of another balancer to listen to this one.
-func (s *State) HandleWatchRequest(now time.Duration, from netip.Addr, f inner.WatchRequest) []Send {
+// HandleWatchRequest handles the watch request of another balancer.
+func (s *State) HandleWatchRequest(now time.Duration, from netip.Addr, r inner.WatchRequest) []Send {
 	if from == s.self {
 		return nil
 	}
 	_, listens := s.listeners[from]
-	if s.source.IsValid() && !f.Redirected && !listens {
+	if s.source.IsValid() && !r.Redirected && !listens {
 		return s.referToSource(now, from)
 	}
-	if f.Root && !s.precedes(from) {
+	if r.Root && !s.precedes(from) {
 		return s.ask(now, from, false)
 	}
 	if from == s.asked && s.canServe(now) {
@@ -266,35 +267,35 @@
 		return s.referToListener(now, from)
 	}
 	if s.leaving {
-		return []Send{s.newsFor(now, from)}
+		return []Send{s.storeUpdateFor(now, from)}
 	}
 	s.listeners[from] = now
 	if !listens && len(s.listeners)+1 == minFleetToShare {
 		return s.notifyListeners(now) // starting balancers wait longer in a large fleet
 	}
-	return []Send{s.newsFor(now, from)}
+	return []Send{s.storeUpdateFor(now, from)}
 }
 
 // referToSource refers a balancer to the source of this one. If the source is silent,
 // this balancer watches the store itself, because others need a source that works.
 func (s *State) referToSource(now time.Duration, from netip.Addr) []Send {
-	if now-s.lastNews > silenceTimeout && !s.leaving {
+	if now-s.lastStoreUpdate > silenceTimeout && !s.leaving {
 		s.abandonSource(now)
 	}
-	n := s.news(now)
-	n.AcceptsListeners = false
-	return []Send{{To: from, News: n}}
+	u := s.storeUpdate(now)
+	u.AcceptsListeners = false
+	return []Send{{To: from, StoreUpdate: u}}
 }
 
 // referToListener refers a balancer to one of the listeners, because there is no room for
 // another one.
 func (s *State) referToListener(now time.Duration, from netip.Addr) []Send {
-	n := s.news(now)
-	n.AcceptsListeners = false
+	u := s.storeUpdate(now)
+	u.AcceptsListeners = false
 	if s.canServe(now) {
-		n.Source, n.Redirects = s.anyListener(), true
+		u.Source, u.Redirects = s.anyListener(), true
 	}
-	return []Send{{To: from, News: n}}
+	return []Send{{To: from, StoreUpdate: u}}
 }
 
 // anyListener returns a random listener, or the invalid address if there is none.
@@ -312,42 +313,42 @@
 	return netip.Addr{}
 }
 
-// HandleStoreUpdate handles news of another balancer. It ignores those of a balancer that is neither
-// the source nor was asked.
-func (s *State) HandleStoreUpdate(now time.Duration, from netip.Addr, n inner.StoreUpdate) []Send {
+// HandleStoreUpdate handles a store update of another balancer. It ignores that of a
+// balancer that is neither the source nor was asked.
+func (s *State) HandleStoreUpdate(now time.Duration, from netip.Addr, u inner.StoreUpdate) []Send {
 	if from != s.source && from != s.asked && !s.awaitsSeed(from) {
 		return nil
 	}
 	s.remember(from)
-	s.remember(n.OtherListener)
-	s.fleetSize = max(s.fleetSize, int(n.Balancers))
+	s.remember(u.OtherListener)
+	s.fleetSize = max(s.fleetSize, int(u.Balancers))
 	if slices.Contains(s.seeds, from) {
 		s.unanswered = 0
 	}
-	s.start.smallFleet = n.Balancers > 0 && n.Balancers < minFleetToShare
-	if !n.AcceptsListeners {
-		return s.handleRefusal(now, from, n)
+	s.start.smallFleet = u.Balancers > 0 && u.Balancers < minFleetToShare
+	if !u.AcceptsListeners {
+		return s.handleRefusal(now, from, u)
 	}
-	if n.AsOf.Era() < s.asOf.Era() {
+	if u.AsOf.Era() < s.asOf.Era() {
 		return s.handleRefusal(now, from, inner.StoreUpdate{}) // the sender has not detected a restore of the store yet
 	}
-	if !s.accepts(now, from, n) {
+	if !s.accepts(now, from, u) {
 		return nil
 	}
-	newer := now-n.Age > s.confirmed
-	s.source, s.asked, s.depth = from, netip.Addr{}, n.Depth+1
-	s.sourceAsOf, s.confirmed, s.lastNews = max(s.sourceAsOf, n.AsOf), max(s.confirmed, now-n.Age), now
+	newer := now-u.Age > s.confirmed
+	s.source, s.asked, s.depth = from, netip.Addr{}, u.Depth+1
+	s.sourceAsOf, s.confirmed, s.lastStoreUpdate = max(s.sourceAsOf, u.AsOf), max(s.confirmed, now-u.Age), now
 	if newer {
 		return s.notifyUnlessRecent(now)
 	}
 	return nil
 }
 
-// accepts reports whether this balancer uses the sender of the news as its source, or
-// continues to do so.
-func (s *State) accepts(now time.Duration, from netip.Addr, n inner.StoreUpdate) bool {
+// accepts reports whether this balancer uses the sender of the store update as its source,
+// or continues to do so.
+func (s *State) accepts(now time.Duration, from netip.Addr, u inner.StoreUpdate) bool {
 	switch {
-	case s.leaving || n.Age >= StaleAfter || n.Depth >= maxDepth:
+	case s.leaving || u.Age >= StaleAfter || u.Depth >= maxDepth:
 		return false
 	case from == s.source:
 		return true
@@ -356,9 +357,9 @@
 	case s.Listeners(now) == 0 || s.lacksListing():
 		return true
 	case !s.source.IsValid():
-		return s.joinsWatcher(from, n)
+		return s.joinsWatcher(from, u)
 	}
-	return n.Depth <= s.depth // a deeper one may be a listener of this process
+	return u.Depth <= s.depth // a deeper one may be a listener of this process
 }
 
 // joinsWatcher reports whether a watching balancer with listeners becomes a listener of
@@ -366,8 +367,8 @@
 // cannot be a listener of this one. Of two watching balancers only one joins the other: a
 // seed continues to watch rather than one that is no seed, and otherwise the one with the
 // lower address.
-func (s *State) joinsWatcher(from netip.Addr, n inner.StoreUpdate) bool {
-	return n.Depth == 0 && !s.precedes(from)
+func (s *State) joinsWatcher(from netip.Addr, u inner.StoreUpdate) bool {
+	return u.Depth == 0 && !s.precedes(from)
 }
 
 // precedes reports whether, of this balancer and another one, this one continues to
@@ -381,28 +382,28 @@
 
 // handleRefusal asks the balancer to which another one has referred this one. If the
 // refusal comes from the source, it also makes the next tick ask other balancers.
-func (s *State) handleRefusal(now time.Duration, from netip.Addr, n inner.StoreUpdate) []Send {
+func (s *State) handleRefusal(now time.Duration, from netip.Addr, u inner.StoreUpdate) []Send {
 	if from == s.asked {
 		s.asked = netip.Addr{}
 	}
 	if from == s.source {
-		s.lastNews = min(s.lastNews, now-silenceTimeout-1) // ask others while the last news is still recent enough
+		s.lastStoreUpdate = min(s.lastStoreUpdate, now-silenceTimeout-1) // ask others while the last store update is still recent enough
 		s.nextAsk = now
 	}
-	if other := n.Source; other.IsValid() && other != s.self && other != from {
+	if other := u.Source; other.IsValid() && other != s.self && other != from {
 		s.remember(other)
-		return s.ask(now, other, n.Redirects)
+		return s.ask(now, other, u.Redirects)
 	}
 	return nil
 }
 
-// ask returns a request to a balancer. below is set if the balancer's source has referred
-// this one to it.
-func (s *State) ask(now time.Duration, host netip.Addr, below bool) []Send {
+// ask returns a request to a balancer. redirected is set if the balancer's source has
+// referred this one to it.
+func (s *State) ask(now time.Duration, host netip.Addr, redirected bool) []Send {
 	s.asked = host
 	s.nextAsk = max(s.nextAsk, now+startRequestInterval)
-	leads := !s.source.IsValid() && s.Listeners(now) > 0
-	return []Send{{To: host, Follow: inner.WatchRequest{Redirected: below, Root: leads}}}
+	root := !s.source.IsValid() && s.Listeners(now) > 0
+	return []Send{{To: host, WatchRequest: inner.WatchRequest{Redirected: redirected, Root: root}}}
 }
 
 // askAny asks a random seed. If seeds have not answered repeatedly, or there are none, it
@@ -453,8 +454,8 @@
 	return nil
 }
 
-// tickListening requests news from the source, asks other balancers if the source is
-// silent, and abandons the source if the last confirmed answer of the store is too old.
+// tickListening requests a store update from the source, asks other balancers if the source
+// is silent, and abandons the source if the last confirmed answer of the store is too old.
 func (s *State) tickListening(now time.Duration) []Send {
 	if now-s.confirmed >= StaleAfter+s.grace(now) {
 		s.abandonSource(now)
@@ -463,18 +464,18 @@
 	if now < s.nextAsk {
 		return nil
 	}
-	if now-s.lastNews <= silenceTimeout {
+	if now-s.lastStoreUpdate <= silenceTimeout {
 		s.nextAsk = now + renewInterval
-		return []Send{{To: s.source, Follow: inner.WatchRequest{Redirected: s.depth > 1}}}
+		return []Send{{To: s.source, WatchRequest: inner.WatchRequest{Redirected: s.depth > 1}}}
 	}
 	s.nextAsk = now + askInterval
 	return s.askAny(now)
 }
 
-// grace returns the additional time for which a source that still sends news may reach
-// the store again.
+// grace returns the additional time for which a source that still sends store updates may
+// reach the store again.
 func (s *State) grace(now time.Duration) time.Duration {
-	if now-s.lastNews > silenceTimeout {
+	if now-s.lastStoreUpdate > silenceTimeout {
 		return 0
 	}
 	return min(time.Duration(s.depth-1)*gracePerLevel, graceMax)
--- a/internal/packetface/watchshare/watchshare_test.go
+++ b/internal/packetface/watchshare/watchshare_test.go
@@ -47,10 +47,10 @@
 }
 
 type message struct {
-	due      time.Duration
-	from, to netip.Addr
-	news     *inner.StoreUpdate
-	follow   inner.WatchRequest
+	due          time.Duration
+	from, to     netip.Addr
+	storeUpdate  *inner.StoreUpdate
+	watchRequest inner.WatchRequest
 }
 
 // fleet is the simulated system.
@@ -121,7 +121,7 @@
 func (f *fleet) send(m *member, messages []watchshare.Send) {
 	for _, s := range messages {
 		if f.random.Float64() >= f.loss {
-			f.inFlight = append(f.inFlight, message{due: f.now + step, from: m.host, to: s.To, news: s.News, follow: s.Follow})
+			f.inFlight = append(f.inFlight, message{due: f.now + step, from: m.host, to: s.To, storeUpdate: s.StoreUpdate, watchRequest: s.WatchRequest})
 		}
 	}
 }
@@ -150,10 +150,10 @@
 	case l.due > f.now:
 		f.inFlight = append(f.inFlight, l)
 	case m.dead || m.frozen:
-	case l.news == nil:
-		f.send(m, m.share.HandleWatchRequest(f.clock(m), l.from, l.follow))
+	case l.storeUpdate == nil:
+		f.send(m, m.share.HandleWatchRequest(f.clock(m), l.from, l.watchRequest))
 	default:
-		f.send(m, m.share.HandleStoreUpdate(f.clock(m), l.from, *l.news))
+		f.send(m, m.share.HandleStoreUpdate(f.clock(m), l.from, *l.storeUpdate))
 	}
 }
 
@@ -289,7 +289,7 @@
 	}
 }
 
-func TestNewsOfUnrequestedSenderIsIgnored(t *testing.T) {
+func TestStoreUpdateOfUnrequestedSenderIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	s := watchshare.New(host(9), rand.New(rand.NewPCG(1, 2)))
 	s.StoreAnswered(time.Second)
@@ -380,22 +380,22 @@
 	now := time.Second
 	s.StoreAnswered(now)
 	s.SetKnown(now, store.At(1, 52))
-	news := func(at store.Position) inner.StoreUpdate { return inner.StoreUpdate{AcceptsListeners: true, AsOf: at} }
+	update := func(at store.Position) inner.StoreUpdate { return inner.StoreUpdate{AcceptsListeners: true, AsOf: at} }
 	g.Expect(s.Tick(now, 20)).To(ConsistOf(watchshare.Send{To: host(1)}))
-	s.HandleStoreUpdate(now, host(1), news(store.At(1, 52)))
+	s.HandleStoreUpdate(now, host(1), update(store.At(1, 52)))
 	_, listens := s.Source()
 	g.Expect(listens).To(BeTrue())
 	s.SetKnown(now, store.At(2, 48)) // read from the store after a hint
 	for range 30 {
 		now += 100 * time.Millisecond
 		s.Tick(now, 20)
-		s.HandleStoreUpdate(now, host(1), news(store.At(1, 60)))
+		s.HandleStoreUpdate(now, host(1), update(store.At(1, 60)))
 	}
 	_, listens = s.Source()
 	g.Expect(listens).To(BeFalse(), "the balancer watches the store itself")
 	now += 3 * time.Second
 	s.StoreAnswered(now)
 	g.Expect(s.Tick(now, 20)).NotTo(BeEmpty())
-	s.HandleStoreUpdate(now, host(1), news(store.At(2, 50)))
+	s.HandleStoreUpdate(now, host(1), update(store.At(2, 50)))
 	g.Expect(s.Behind()).To(BeTrue())
 }
