--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -109,8 +109,8 @@
 	writeUncompressed(w, Changes{AsOf: log.changes.to, Items: items})
 }
 
-// SetSource sets the source: the control address of the balancer to fetch changes from. With
-// an invalid address the follower watches the store itself.
+// SetSource sets the source: the control address of the balancer to fetch changes from.
+// With an invalid address the follower watches the store itself.
 func (f *Follower) SetSource(source netip.AddrPort) {
 	f.unconfirmed.Store(!source.IsValid())
 	f.source.Store(&source)
--- a/internal/packetface/registry/entry.go
+++ b/internal/packetface/registry/entry.go
@@ -3,8 +3,8 @@
 // to evacuate data centres. An agent is the process on a host with upstreams that
 // receives flows; a balancer assigns flows to agents.
 //
-// Publisher decides which call of the store is due for the entry of an agent. Listing is
-// a balancer's copy of the store's keys. Neither makes calls; Agent and Follower do. A
+// Publisher decides which call of the store is due for the entry of an agent. Listing is a
+// balancer's copy of the store's keys. Neither makes calls; EntryKeeper and Follower do. A
 // seed is a balancer that the settings name as a first contact.
 //
 // The store numbers its changes by revisions. If it is restored from an older copy,
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -78,15 +78,15 @@
 	Known func() []steer.Agent
 	// Unlisted returns the known agents that the store does not list.
 	Unlisted func() []steer.Agent
-	// AgentsReceived is called once, after the first listing, with the agents that other balancers
-	// returned.
+	// AgentsReceived is called once, after the first listing, with the agents that other
+	// balancers returned.
 	AgentsReceived func([]steer.Agent)
 	// Balancers returns the number of balancers that follow the store.
 	Balancers func() int
 	// Shared reports whether others rely on the watches of this process; nil means never.
 	Shared func() bool
 	// AwaitSource makes Run load the first listing from another balancer: it waits for
-	// Listen, or for ReadStore if there is no balancer to listen to.
+	// SetSource, or for ReadStore if there is no balancer to listen to.
 	AwaitSource bool
 	// Snapshots is set if the store may hold a snapshot because the whole system has run
 	// before.
@@ -119,7 +119,7 @@
 	snapshot    snapshot
 	unconfirmed atomic.Bool
 	// initialSource is the balancer that the first listing came from, invalid for the
-	// store. agentsReceived is set before Asked is called.
+	// store. agentsReceived is set before AgentsReceived is called.
 	initialSource  netip.AddrPort
 	agentsReceived atomic.Bool
 	// recent holds the most recent changes. published has them with the newest listing,
--- a/internal/packetface/registry/follow_test.go
+++ b/internal/packetface/registry/follow_test.go
@@ -156,7 +156,7 @@
 func startConfiguredAgent(t *testing.T, fake *packetplatform.Store, addr string, prepare func(*registry.EntryKeeper)) (agent *registry.EntryKeeper, entry *registry.Entry) {
 	started := time.Now()
 	entry = &registry.Entry{Addr: netip.MustParseAddrPort(addr), Service: "s", DataCentre: "a", Slots: 3}
-	agent = registry.NewAgent(client(fake), discardLog, func() time.Duration { return time.Since(started) + 1 }, *entry)
+	agent = registry.NewEntryKeeper(client(fake), discardLog, func() time.Duration { return time.Since(started) + 1 }, *entry)
 	agent.PositionObserved = func(store.Position) {}
 	prepare(agent)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -40,17 +40,17 @@
 
 	// MinLease is the shortest lease that the store grants.
 	MinLease time.Duration
-	// PositionObserved is called with the store's position whenever this process has observed a newer
-	// one. All entries up to that position may then be in the store.
+	// PositionObserved is called with the store's position whenever this process has
+	// observed a newer one. All entries up to that position may then be in the store.
 	PositionObserved func(at store.Position)
 
-	routes       storeRoutes
-	publisher    *Publisher
-	entryUpdates chan *Entry
-	hints        chan struct{}
-	idleSignals  chan struct{}
-	eras         chan uint64
-	failing      bool
+	routes              storeRoutes
+	publisher           *Publisher
+	entryUpdates        chan *Entry
+	missingSignals      chan struct{}
+	notContactedSignals chan struct{}
+	eras                chan uint64
+	failing             bool
 	// entry is the wanted entry, nil for none. inherited is the entry that the previous
 	// process left.
 	entry     *Entry
@@ -59,52 +59,52 @@
 	noCallDue atomic.Bool
 }
 
-// NewAgent returns an Agent that maintains the entry at the address of self. Seen must be
-// set before Run.
-func NewAgent(s *platform.Store, log *slog.Logger, clock func() time.Duration, self Entry) *EntryKeeper {
+// NewEntryKeeper returns an EntryKeeper that maintains the entry at the address of self.
+// PositionObserved must be set before Run.
+func NewEntryKeeper(s *platform.Store, log *slog.Logger, clock func() time.Duration, self Entry) *EntryKeeper {
 	return &EntryKeeper{
 		routes: newStoreRoutes(s), Log: log, Clock: clock, publisher: NewPublisher(agentKey(self.Addr)),
-		entryUpdates: make(chan *Entry, 1), hints: make(chan struct{}, 1), idleSignals: make(chan struct{}, 1),
+		entryUpdates: make(chan *Entry, 1), missingSignals: make(chan struct{}, 1), notContactedSignals: make(chan struct{}, 1),
 		eras: make(chan uint64, 1),
 	}
 }
 
 // SetSeeds sets the control addresses of balancers that relay calls while the store
 // refuses those of this host. They may be down.
-func (a *EntryKeeper) SetSeeds(seeds []netip.AddrPort) { a.routes.setSeeds(seeds) }
+func (k *EntryKeeper) SetSeeds(seeds []netip.AddrPort) { k.routes.setSeeds(seeds) }
 
 // SetEntry sets the entry that should be in the store, nil for none.
-func (a *EntryKeeper) SetEntry(entry *Entry) {
+func (k *EntryKeeper) SetEntry(entry *Entry) {
 	select {
-	case <-a.entryUpdates: // replaced by the newer one
+	case <-k.entryUpdates: // replaced by the newer one
 	default:
 	}
-	a.entryUpdates <- entry
-	a.noCallDue.Store(false)
+	k.entryUpdates <- entry
+	k.noCallDue.Store(false)
 }
 
 // Inherit makes Run reuse the entry that the previous process left at the address. It
 // must be called before Run.
-func (a *EntryKeeper) Inherit() { a.publisher.Inherit() }
+func (k *EntryKeeper) Inherit() { k.publisher.Inherit() }
 
 // NoCallDue reports whether no call was due when Run last checked.
-func (a *EntryKeeper) NoCallDue() bool { return a.noCallDue.Load() }
+func (k *EntryKeeper) NoCallDue() bool { return k.noCallDue.Load() }
 
 // EntryMissing signals that, according to a balancer, the entry is missing in the store.
-func (a *EntryKeeper) EntryMissing() { signal(a.hints) }
+func (k *EntryKeeper) EntryMissing() { signal(k.missingSignals) }
 
-// ObserveEra passes on an era of the store that balancers have observed. It must be called from
-// one goroutine only.
-func (a *EntryKeeper) ObserveEra(era uint64) {
+// ObserveEra passes on an era of the store that balancers have observed. It must be called
+// from one goroutine only.
+func (k *EntryKeeper) ObserveEra(era uint64) {
 	select {
-	case <-a.eras: // replaced by the newer one
+	case <-k.eras: // replaced by the newer one
 	default:
 	}
-	a.eras <- era
+	k.eras <- era
 }
 
 // NotContacted signals that no balancer has contacted the agent for a while.
-func (a *EntryKeeper) NotContacted() { signal(a.idleSignals) }
+func (k *EntryKeeper) NotContacted() { signal(k.notContactedSignals) }
 
 // signal sends to a channel of capacity 1 unless a signal is already pending.
 func signal(ch chan<- struct{}) {
@@ -115,151 +115,151 @@
 }
 
 // Run makes the due calls until ctx ends.
-func (a *EntryKeeper) Run(ctx context.Context) {
+func (k *EntryKeeper) Run(ctx context.Context) {
 	backoff := seed.Backoff{Least: retryMin, Most: retryMax}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
-		wait := a.publisher.Due(a.Clock())
-		step := a.publisher.Next(a.Clock())
-		a.noCallDue.Store(step == StepNone && len(a.entryUpdates) == 0)
+		wait := k.publisher.Due(k.Clock())
+		step := k.publisher.Next(k.Clock())
+		k.noCallDue.Store(step == StepNone && len(k.entryUpdates) == 0)
 		if step != StepNone {
-			if err := a.call(ctx, step); err == nil {
+			if err := k.call(ctx, step); err == nil {
 				backoff.Reset()
 				continue
 			}
 			wait = backoff.Next(random)
 		}
-		a.wait(ctx, wait)
+		k.wait(ctx, wait)
 	}
 }
 
-func (a *EntryKeeper) wait(ctx context.Context, wait time.Duration) {
+func (k *EntryKeeper) wait(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-a.hints:
-		a.publisher.Hint(a.Clock())
-	case <-a.idleSignals:
-		a.publisher.Idle(a.Clock())
-	case era := <-a.eras:
-		a.observeEra(era, rand.N(verifyWindow))
-	case a.entry = <-a.entryUpdates:
-		a.updateWanted()
+	case <-k.missingSignals:
+		k.publisher.EntryMissing(k.Clock())
+	case <-k.notContactedSignals:
+		k.publisher.NotContacted(k.Clock())
+	case era := <-k.eras:
+		k.observeEra(era, rand.N(verifyWindow))
+	case k.entry = <-k.entryUpdates:
+		k.updateWanted()
 	}
 }
 
 // updateWanted passes the wanted entry to the publisher. It keeps the warm-up time that
 // the previous process observed if that was longer.
-func (a *EntryKeeper) updateWanted() {
-	if a.entry == nil {
-		a.publisher.Want(nil)
+func (k *EntryKeeper) updateWanted() {
+	if k.entry == nil {
+		k.publisher.Want(nil)
 		return
 	}
-	entry := *a.entry
-	if entry.Service == a.inherited.Service {
-		entry.WarmupMS = max(entry.WarmupMS, a.inherited.WarmupMS)
+	entry := *k.entry
+	if entry.Service == k.inherited.Service {
+		entry.WarmupMS = max(entry.WarmupMS, k.inherited.WarmupMS)
 	}
-	a.publisher.Want(entry.encode())
+	k.publisher.Want(entry.encode())
 }
 
 // useInherited stores the entry of the previous process, and applies its warm-up time to
 // the wanted entry.
-func (a *EntryKeeper) useInherited(item platform.Item) {
+func (k *EntryKeeper) useInherited(item platform.Item) {
 	entry, err := decodeEntry(item)
 	if err != nil {
 		return // an invalid entry is overwritten
 	}
-	a.inherited = entry
-	if a.entry != nil {
-		a.updateWanted()
+	k.inherited = entry
+	if k.entry != nil {
+		k.updateWanted()
 	}
 }
 
 // observeEra passes an era to the publisher. It logs and counts a restore of the store
 // from an older copy that the era reveals.
-func (a *EntryKeeper) observeEra(era uint64, within time.Duration) {
-	p := a.publisher
+func (k *EntryKeeper) observeEra(era uint64, within time.Duration) {
+	p := k.publisher
 	before := p.era
-	p.ObserveEra(a.Clock(), era, within)
+	p.ObserveEra(k.Clock(), era, within)
 	if p.restored && p.era != before {
 		agentRestores.Inc()
-		a.Log.Warn("Store came back older; the entry will be read again.", "era_before", before, "era", era,
+		k.Log.Warn("Store came back older; the entry will be read again.", "era_before", before, "era", era,
 			"listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "within_ms", within.Milliseconds())
 	}
 }
 
 // call makes one call and passes its outcome to the publisher, after the era that the
 // answer named.
-func (a *EntryKeeper) call(ctx context.Context, step Step) (err error) {
-	sent := a.Clock()
-	listed, seen := a.publisher.Listed(), a.publisher.asOf
-	calls := a.routes.store(sent)
+func (k *EntryKeeper) call(ctx context.Context, step Step) (err error) {
+	sent := k.Clock()
+	listed, seen := k.publisher.Listed(), k.publisher.asOf
+	calls := k.routes.store(sent)
 	switch step {
 	case StepGrant:
 		var lease platform.Lease
-		lease, err = calls.Grant(ctx, max(leaseTTL, a.MinLease))
-		a.observeAnswerEra()
+		lease, err = calls.Grant(ctx, max(leaseTTL, k.MinLease))
+		k.observeAnswerEra()
 		if err == nil {
-			a.publisher.Granted(lease, sent)
+			k.publisher.Granted(lease, sent)
 		}
 	case StepRead:
-		err = a.read(ctx, calls)
+		err = k.read(ctx, calls)
 	case StepWrite:
 		var at store.Position
-		w := a.publisher.Write()
-		at, err = a.write(ctx, calls, w)
-		a.publisher.Wrote(w.Value, at, err)
+		w := k.publisher.Write()
+		at, err = k.write(ctx, calls, w)
+		k.publisher.Wrote(w.Value, at, err)
 		if errors.Is(err, store.ErrConflict) {
 			err = nil // the store has answered; the publisher reads the key next
 		}
 	case StepEnd:
-		err = calls.End(ctx, a.publisher.lease.ID)
-		a.observeAnswerEra()
-		a.publisher.Ended(err)
+		err = calls.End(ctx, k.publisher.lease.ID)
+		k.observeAnswerEra()
+		k.publisher.Ended(err)
 	case StepRenew:
-		err = calls.Renew(ctx, a.publisher.lease.ID)
-		a.observeAnswerEra()
-		a.publisher.Renewed(err, sent)
+		err = calls.Renew(ctx, k.publisher.lease.ID)
+		k.observeAnswerEra()
+		k.publisher.Renewed(err, sent)
 	}
-	if err != nil && !a.routes.skipWriters && !errors.Is(err, platform.ErrLeaseEnded) {
-		a.routes.useNext(a.Clock())
+	if err != nil && !k.routes.skipWriters && !errors.Is(err, platform.ErrLeaseEnded) {
+		k.routes.useNext(k.Clock())
 	}
-	a.logOutcome(step, listed, err)
-	if a.publisher.asOf > seen {
-		a.PositionObserved(a.publisher.asOf)
+	k.logOutcome(step, listed, err)
+	if k.publisher.asOf > seen {
+		k.PositionObserved(k.publisher.asOf)
 	}
 	return err
 }
 
 // write sends the entry to a balancer, which combines the writes of many agents into one
 // call. If no balancer has accepted the write, it calls the store on the current route.
-func (a *EntryKeeper) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
-	at, err = a.routes.writeViaBalancer(ctx, w)
+func (k *EntryKeeper) write(ctx context.Context, calls *platform.Store, w platform.Write) (at store.Position, err error) {
+	at, err = k.routes.writeViaBalancer(ctx, w)
 	if !errors.Is(err, errNotSent) {
-		a.observeEra(at.Era(), 0)
-		if err == nil && at.Era() < a.publisher.era {
-			err = errors.Wrapf(store.ErrOutcomeUnknown, "registry: write acknowledged at %s, but the store is already in era %d", at, a.publisher.era)
+		k.observeEra(at.Era(), 0)
+		if err == nil && at.Era() < k.publisher.era {
+			err = errors.Wrapf(store.ErrOutcomeUnknown, "registry: write acknowledged at %s, but the store is already in era %d", at, k.publisher.era)
 		}
 		return at, err
 	}
-	if a.routes.current == 0 && !errors.Is(err, errNoWriter) {
-		a.Log.Info("No balancer accepted the entry; writing it to the store directly.", "error", err.Error())
+	if k.routes.current == 0 && !errors.Is(err, errNoWriter) {
+		k.Log.Info("No balancer accepted the entry; writing it to the store directly.", "error", err.Error())
 	}
 	at, err = calls.Apply(ctx, w)
-	a.observeAnswerEra()
+	k.observeAnswerEra()
 	return at, err
 }
 
 // read reads the entry from the store.
-func (a *EntryKeeper) read(ctx context.Context, calls *platform.Store) error {
-	item, asOf, err := calls.Get(ctx, a.publisher.key)
-	a.observeAnswerEra()
-	inherits := a.publisher.inherit
-	a.publisher.Read(item, asOf, err)
+func (k *EntryKeeper) read(ctx context.Context, calls *platform.Store) error {
+	item, asOf, err := calls.Get(ctx, k.publisher.key)
+	k.observeAnswerEra()
+	inherits := k.publisher.inherit
+	k.publisher.Read(item, asOf, err)
 	if inherits && err == nil {
-		a.useInherited(item)
+		k.useInherited(item)
 	}
 	if errors.Is(err, store.ErrNotFound) {
 		return nil // the store has answered
@@ -268,23 +268,23 @@
 }
 
 // observeAnswerEra observes the era that the latest answer of the store named.
-func (a *EntryKeeper) observeAnswerEra() { a.observeEra(a.routes.direct.Era(), 0) }
+func (k *EntryKeeper) observeAnswerEra() { k.observeEra(k.routes.direct.Era(), 0) }
 
 // logOutcome logs changes of the entry, and when calls begin to fail or succeed again.
-func (a *EntryKeeper) logOutcome(step Step, listed bool, err error) {
-	p := a.publisher
+func (k *EntryKeeper) logOutcome(step Step, listed bool, err error) {
+	p := k.publisher
 	if err != nil {
-		if !a.failing {
-			a.Log.Warn("Store call failed.", "step", step.String(), "error", err.Error(), "listed", p.Listed())
+		if !k.failing {
+			k.Log.Warn("Store call failed.", "step", step.String(), "error", err.Error(), "listed", p.Listed())
 		}
-		a.failing = true
+		k.failing = true
 		return
 	}
-	if a.failing {
-		a.failing = false
-		a.Log.Info("Store answers again.", "step", step.String())
+	if k.failing {
+		k.failing = false
+		k.Log.Info("Store answers again.", "step", step.String())
 	}
 	if step != StepRenew || listed != p.Listed() {
-		a.Log.Info("Store call for the entry succeeded.", "step", step.String(), "listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "by_way_of_seed", a.routes.current)
+		k.Log.Info("Store call for the entry succeeded.", "step", step.String(), "listed", p.Listed(), "at", p.at, "lease", p.lease.ID, "by_way_of_seed", k.routes.current)
 	}
 }
--- a/internal/packetface/registry/publisher.go
+++ b/internal/packetface/registry/publisher.go
@@ -67,7 +67,7 @@
 	inherit, withdrawn bool
 	// asOf is the highest position of the store that this process itself has observed.
 	asOf store.Position
-	// era is the highest observed era. returned is set if the store was restored from an
+	// era is the highest observed era. restored is set if the store was restored from an
 	// older copy since the entry was last read; verifyAt is the latest time for the next
 	// reading.
 	era      uint64
@@ -88,19 +88,19 @@
 // Want an existing entry is left as it is, because the upstream may be running.
 func (p *Publisher) Want(text []byte) { p.wanted, p.withdrawn = text, text == nil }
 
-// Hint reports that the entry may be missing in the store.
-func (p *Publisher) Hint(now time.Duration) {
+// EntryMissing reports that the entry may be missing in the store.
+func (p *Publisher) EntryMissing(now time.Duration) {
 	if p.checked == 0 || now-p.checked >= recheckInterval {
 		p.uncertain, p.checked = true, now
 	}
 }
 
-// Idle reports that no balancer has contacted the agent for a while, so the entry may be
-// missing. A renewal is the cheapest call that shows whether the lease still exists; the
-// entry itself is read less often.
-func (p *Publisher) Idle(now time.Duration) {
+// NotContacted reports that no balancer has contacted the agent for a while, so the entry
+// may be missing. A renewal is the cheapest call that shows whether the lease still exists;
+// the entry itself is read less often.
+func (p *Publisher) NotContacted(now time.Duration) {
 	if now-p.checked >= idleReadInterval {
-		p.Hint(now)
+		p.EntryMissing(now)
 		return
 	}
 	p.renewSoon = true
--- a/internal/packetface/registry/publisher_test.go
+++ b/internal/packetface/registry/publisher_test.go
@@ -60,7 +60,7 @@
 	cases := map[string]func(*Publisher){
 		"write conflict":          func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrConflict, "apply")) },
 		"answer lost":             func(p *Publisher) { p.Wrote(entryText, 0, errors.Wrap(store.ErrOutcomeUnknown, "apply")) },
-		"hint that it is missing": func(p *Publisher) { p.Hint(time.Second) },
+		"hint that it is missing": func(p *Publisher) { p.EntryMissing(time.Second) },
 	}
 	for name, event := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -112,13 +112,13 @@
 func TestIdlePublisherRenewsLeaseAndReadsRarely(t *testing.T) {
 	g := NewWithT(t)
 	p := newPublished(g)
-	p.Idle(2 * time.Second)
+	p.NotContacted(2 * time.Second)
 	g.Expect(p.Next(2 * time.Second)).To(Equal(StepRenew))
 	p.Renewed(nil, 2*time.Second)
 	g.Expect(p.Next(2 * time.Second)).To(Equal(StepNone))
-	p.Idle(idleReadInterval)
+	p.NotContacted(idleReadInterval)
 	g.Expect(p.Next(idleReadInterval)).To(Equal(StepRead))
-	p.Idle(idleReadInterval + time.Second)
+	p.NotContacted(idleReadInterval + time.Second)
 	p.Renewed(platform.ErrLeaseEnded, idleReadInterval)
 	g.Expect(p.Next(idleReadInterval)).To(Equal(StepGrant))
 }
--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -115,7 +115,7 @@
 	}
 	a.store = platform.NewStore(a.env.Host.Store)
 	a.store.SetLogger(logging.Part(a.env.Logger, "registry"))
-	a.registry = registry.NewAgent(a.store, logging.Part(a.env.Logger, "registry"), a.clock, a.entry())
+	a.registry = registry.NewEntryKeeper(a.store, logging.Part(a.env.Logger, "registry"), a.clock, a.entry())
 	a.setSeeds()
 	a.registry.MinLease = a.env.Host.MinLease
 	a.registry.PositionObserved = a.onStorePosition
