--- a/internal/packetface/admission/admission.go
+++ b/internal/packetface/admission/admission.go
@@ -4,11 +4,11 @@
 //
 // It is designed for a burst of requests. When hosts have been unavailable for a second or
 // two, their callers have been waiting or retry all at once, and the upstreams are slow at
-// first. A request that has waited has missed its aim, the response time wanted for its
-// route, and is worth less than one that arrives now. But a request that is never answered
-// is worth nothing and harms its caller most. So requests that can still meet their aim run
-// first and the others wait, until one of them might miss its caller's deadline by waiting
-// longer; it then runs before all others.
+// first. A request that has waited has missed the target latency of its route and is worth
+// less than one that arrives now. But a request that is never answered is worth nothing and
+// harms its caller most. So requests that can still meet their target latency run first and
+// the others wait, until one of them might miss its caller's deadline by waiting longer; it
+// then runs before all others.
 package admission
 
 import "time"
@@ -19,11 +19,11 @@
 	// are known to allow for a request (2 s).
 	MaxHold = 1500 * time.Millisecond
 	// lateAfter is the age from which on a request counts as late if the route states no
-	// aim.
+	// target latency.
 	lateAfter = 120 * time.Millisecond
 	// transitTime is the time reserved for the transit of a request and its answer when the
-	// aim and the timeout are applied: 2 to 8 ms within one region, and as much again for a
-	// busy host.
+	// target latency and the timeout are applied: 2 to 8 ms within one region, and as much
+	// again for a busy host.
 	transitTime = 15 * time.Millisecond
 	// minLateAge is the age below which no request counts as late.
 	minLateAge = 20 * time.Millisecond
@@ -32,34 +32,34 @@
 	// simulated burst at half the upstreams' rate, 3, 6, 10 and 15 lose 35, 6, 3 and 2 of
 	// some 500 requests; 6 is the smallest value that loses hardly any.
 	spareAnswers = 6
-	// slotShare is the share of the slots that requests past their aim are assumed to get
-	// while they wait. Requests that arrive meanwhile take the rest, and answers take
-	// longer while an upstream is cold. With 0.5 or 0.35 as many requests are lost in the
-	// simulated burst, and fewer of the others are answered in time.
+	// slotShare is the share of the slots that requests past their target latency are
+	// assumed to get while they wait. Requests that arrive meanwhile take the rest, and
+	// answers take longer while an upstream is cold. With 0.5 or 0.35 as many requests are
+	// lost in the simulated burst, and fewer of the others are answered in time.
 	slotShare = 0.75
 	// minRetryTimeLeft is the share of its timeout that a possible retry must have left at
 	// its admission for the deadline of the first attempt to apply to it. The value lies
 	// between two cases. Requests with a timeout of 2 s have a quarter left, which is less
-	// time than a burst lasts: applying that deadline to them saved 0.3% of the requests in
-	// the run ras-live and made 1% late. Requests with a timeout of 2.25 s have a third
-	// left: without that deadline for them the run umurongo-kgl lost 0.9 and 1.2% instead
-	// of 0.3%.
+	// time than a burst lasts: in a deployment whose requests time out after 2 s, applying
+	// that deadline to them saved 0.3% of the requests and made 1% late. Requests with a
+	// timeout of 2.25 s have a third left: in a deployment with that timeout, 0.9 and 1.2%
+	// of the requests were lost without that deadline for them instead of 0.3%.
 	minRetryTimeLeft = 0.3
 )
 
 // Request holds the properties of a waiting request that determine its order.
 type Request struct {
-	// Rank is the priority of the request's route, 0 for the most urgent.
-	Rank uint8
+	// Priority is the priority of the request's route, 0 for the most urgent.
+	Priority uint8
 	// Arrived is when the request began to wait here.
 	Arrived time.Duration
 	// Asked is when the caller made the request, as far as known. EarliestAttempt is when
 	// the caller may have made its first attempt if the request may be a retry, and equals
 	// Asked otherwise.
 	Asked, EarliestAttempt time.Duration
-	// Aim is the time within which the caller wants the answer, Timeout that after which it
-	// gives up; 0 if the route does not state it.
-	Aim, Timeout time.Duration
+	// TargetLatency is the time within which the caller wants the answer, Timeout that
+	// after which it gives up; 0 if the route does not state it.
+	TargetLatency, Timeout time.Duration
 	// FirstTry is true if the request is certainly not a retry.
 	FirstTry bool
 }
@@ -73,13 +73,13 @@
 	Answer time.Duration
 }
 
-// late reports whether a request can hardly be answered within its aim any more.
+// late reports whether a request can hardly be answered within its target latency any more.
 func (r *Request) late(now time.Duration, p Pace) bool {
 	age := now - r.Asked
-	if r.Aim == 0 {
+	if r.TargetLatency == 0 {
 		return age > lateAfter
 	}
-	return age > max(r.Aim-p.Answer-transitTime, minLateAge)
+	return age > max(r.TargetLatency-p.Answer-transitTime, minLateAge)
 }
 
 // deadline returns when the caller gives up. For a possible retry this is computed from the
--- a/internal/packetface/admission/burst_test.go
+++ b/internal/packetface/admission/burst_test.go
@@ -46,16 +46,16 @@
 
 // kind is a type of request with its share of the load and the worth of an answer.
 type kind struct {
-	rank             uint8
-	share            float64
-	work             time.Duration
-	aim, timeout     time.Duration
-	worth, worthLate float64
+	priority               uint8
+	share                  float64
+	work                   time.Duration
+	targetLatency, timeout time.Duration
+	worth, worthLate       float64
 }
 
 var kinds = []kind{
-	{rank: 1, share: 2.0 / 9, work: 39 * time.Millisecond, aim: 200 * time.Millisecond, timeout: 3 * time.Second, worth: 2, worthLate: 0.6},
-	{rank: 2, share: 7.0 / 9, work: 30 * time.Millisecond, aim: 150 * time.Millisecond, timeout: 2500 * time.Millisecond, worth: 1, worthLate: 0.3},
+	{priority: 1, share: 2.0 / 9, work: 39 * time.Millisecond, targetLatency: 200 * time.Millisecond, timeout: 3 * time.Second, worth: 2, worthLate: 0.6},
+	{priority: 2, share: 7.0 / 9, work: 30 * time.Millisecond, targetLatency: 150 * time.Millisecond, timeout: 2500 * time.Millisecond, worth: 1, worthLate: 0.3},
 }
 
 // simRequest is one request of a caller.
@@ -98,7 +98,7 @@
 
 func (r *queueOrder) add(a *simRequest, now time.Duration) {
 	seen := now - a.copy
-	q := admission.Request{Rank: a.kind.rank, Arrived: now, Asked: seen, Aim: a.kind.aim, Timeout: a.kind.timeout}
+	q := admission.Request{Priority: a.kind.priority, Arrived: now, Asked: seen, TargetLatency: a.kind.targetLatency, Timeout: a.kind.timeout}
 	q.EarliestAttempt = seen
 	if !r.ignoreRetries && admission.MayBeRetry(seen-a.back) {
 		q.EarliestAttempt -= admission.RetryInterval
@@ -163,9 +163,9 @@
 }
 
 // TestFewRequestsAreLostInABurst simulates the loads. It guards against two faults:
-// requests past their aim are left waiting until their callers have given up (order
-// "late-last"), and retries are treated as first tries (order "least-slack"). The bounds
-// lie between the losses of either faulty order and those of the Queue.
+// requests past their target latency are left waiting until their callers have given up
+// (order "late-last"), and retries are treated as first tries (order "least-slack"). The
+// bounds lie between the losses of either faulty order and those of the Queue.
 func TestFewRequestsAreLostInABurst(t *testing.T) {
 	most := map[string]float64{"common": 5, "busy": 65, "long": 150, "short": 5, "wide": 5, "wider": 30}
 	for _, r := range bursts {
@@ -302,7 +302,7 @@
 		owed[w] += a.kind.worth
 		switch {
 		case !answered:
-		case a.end <= a.first+a.kind.aim:
+		case a.end <= a.first+a.kind.targetLatency:
 			got[w] += a.kind.worth
 		default:
 			got[w] += a.kind.worthLate
--- a/internal/packetface/admission/queue.go
+++ b/internal/packetface/admission/queue.go
@@ -9,12 +9,13 @@
 // Queue holds the requests that wait for an upstream, each with an item of the user. The
 // zero value is an empty queue. A Queue is not safe for concurrent use.
 type Queue[T comparable] struct {
-	// LateLast disables the handling of deadlines: requests past their aim run last.
+	// LateLast disables the handling of deadlines: requests past their target latency run
+	// last.
 	LateLast bool
 	waiting  []waiting[T]
-	// late and ranks are buffers that are reused across calls.
-	late  []lateRequest
-	ranks []uint8
+	// late and priorities are buffers that are reused across calls.
+	late       []lateRequest
+	priorities []uint8
 }
 
 type waiting[T comparable] struct {
@@ -22,11 +23,11 @@
 	item T
 }
 
-// lateRequest is a request past its aim: its index in the queue, its route's rank and its
-// deadline.
+// lateRequest is a request past its target latency: its index in the queue, its route's
+// priority and its deadline.
 type lateRequest struct {
 	at       int
-	rank     uint8
+	priority uint8
 	deadline time.Duration
 }
 
@@ -66,12 +67,13 @@
 const (
 	// None: no request is to run.
 	None Choice = ""
-	// InTime: the request can be answered within its aim.
+	// InTime: the request can be answered within its target latency.
 	InTime Choice = "in-time"
-	// Pressing: a request past its aim might miss its deadline if this one waited longer.
+	// Pressing: a request past its target latency might miss its deadline if this one
+	// waited longer.
 	Pressing Choice = "pressing"
-	// Late: the request is past its aim, and no waiting request of its rank can still meet
-	// its own.
+	// Late: the request is past its target latency, and no waiting request of its priority
+	// can still meet its own.
 	Late Choice = "late"
 	// Overdue: the request has waited for its full timeout, although no slot is free.
 	Overdue Choice = "overdue"
@@ -98,32 +100,32 @@
 }
 
 // pressing returns the index of the request that has to run now so that no request past its
-// aim misses its deadline, -1 for none. It takes precedence over more urgent requests: a
-// request that is answered late harms its caller less than one that is lost. If not all can
-// be answered in time, the more urgent ones are: whether they are pressing is decided
-// regardless of the requests that wait on less urgent routes.
+// target latency misses its deadline, -1 for none. It takes precedence over more urgent
+// requests: a request that is answered late harms its caller less than one that is lost. If
+// not all can be answered in time, the more urgent ones are: whether they are pressing is
+// decided regardless of the requests that wait on less urgent routes.
 func (q *Queue[T]) pressing(now time.Duration, p Pace) int {
 	if q.LateLast || p.Slots == 0 {
 		return -1
 	}
 	q.collectLate(now, p)
-	for _, rank := range q.ranks {
-		if at := q.pressingAmong(now, p, rank); at >= 0 {
+	for _, priority := range q.priorities {
+		if at := q.pressingAmong(now, p, priority); at >= 0 {
 			return at
 		}
 	}
 	return -1
 }
 
-// pressingAmong does the same as pressing for the requests of a rank and of more urgent
-// ones. Requests past their aim run in the order of their deadlines, which loses the
-// fewest. The k-th begins after the k before it have passed through the slots; if that is
-// too late for its deadline, there is no slack and the first one is pressing.
-func (q *Queue[T]) pressingAmong(now time.Duration, p Pace, rank uint8) int {
+// pressingAmong does the same as pressing for the requests of a priority and of more urgent
+// ones. Requests past their target latency run in the order of their deadlines, which loses
+// the fewest. The k-th begins after the k before it have passed through the slots; if that
+// is too late for its deadline, there is no slack and the first one is pressing.
+func (q *Queue[T]) pressingAmong(now time.Duration, p Pace, priority uint8) int {
 	each := time.Duration(float64(p.Answer) / (slotShare * float64(p.Slots)))
 	first, begins := -1, now+spareAnswers*p.Answer+transitTime
 	for _, l := range q.late {
-		if l.rank > rank {
+		if l.priority > priority {
 			continue
 		}
 		if first < 0 {
@@ -137,30 +139,30 @@
 	return -1
 }
 
-// collectLate collects the requests that are past their aim and may still be answered, in
-// the order of their deadlines, and their ranks, the most urgent first.
+// collectLate collects the requests that are past their target latency and may still be
+// answered, in the order of their deadlines, and their priorities, the most urgent first.
 func (q *Queue[T]) collectLate(now time.Duration, p Pace) {
-	q.late, q.ranks = q.late[:0], q.ranks[:0]
+	q.late, q.priorities = q.late[:0], q.priorities[:0]
 	for i := range q.waiting {
 		r := &q.waiting[i].Request
 		if r.Timeout == 0 || r.missesTimeout(now, p) || !r.late(now, p) {
 			continue
 		}
-		q.late = append(q.late, lateRequest{at: i, rank: r.Rank, deadline: r.deadline(now)})
-		if !slices.Contains(q.ranks, r.Rank) {
-			q.ranks = append(q.ranks, r.Rank)
+		q.late = append(q.late, lateRequest{at: i, priority: r.Priority, deadline: r.deadline(now)})
+		if !slices.Contains(q.priorities, r.Priority) {
+			q.priorities = append(q.priorities, r.Priority)
 		}
 	}
-	slices.Sort(q.ranks)
+	slices.Sort(q.priorities)
 	slices.SortStableFunc(q.late, func(a, b lateRequest) int { return cmp.Compare(a.deadline, b.deadline) })
 }
 
 // before reports whether a runs before b if no request is pressing. The criteria, in this
-// order: the more urgent route; requests that can meet their aim; requests that can be
-// answered before their deadline; first tries; the earlier arrival.
+// order: the more urgent route; requests that can meet their target latency; requests that
+// can be answered before their deadline; first tries; the earlier arrival.
 func (q *Queue[T]) before(now time.Duration, p Pace, a, b *Request) bool {
-	if a.Rank != b.Rank {
-		return a.Rank < b.Rank
+	if a.Priority != b.Priority {
+		return a.Priority < b.Priority
 	}
 	if late := a.late(now, p); late != b.late(now, p) {
 		return !late
--- a/internal/packetface/admission/queue_test.go
+++ b/internal/packetface/admission/queue_test.go
@@ -12,17 +12,17 @@
 
 const ms = time.Millisecond
 
-// since returns a request that was made the given time ago, with an aim of 150 ms and a
-// timeout of 2.5 s.
-func since(age time.Duration, rank uint8) admission.Request {
-	return admission.Request{Rank: rank, Arrived: now - age, Asked: now - age, EarliestAttempt: now - age, Aim: 150 * ms, Timeout: 2500 * ms}
+// since returns a request that was made the given time ago, with a target latency of 150 ms
+// and a timeout of 2.5 s.
+func since(age time.Duration, priority uint8) admission.Request {
+	return admission.Request{Priority: priority, Arrived: now - age, Asked: now - age, EarliestAttempt: now - age, TargetLatency: 150 * ms, Timeout: 2500 * ms}
 }
 
 const now = 100 * time.Second
 
 var pace = admission.Pace{Slots: 4, Answer: 30 * ms}
 
-func TestNextChoosesByDeadlineAndRank(t *testing.T) {
+func TestNextChoosesByDeadlineAndPriority(t *testing.T) {
 	possibleRetry := since(850*ms, 2)
 	possibleRetry.EarliestAttempt -= 1500 * ms
 	shortTimeout := since(350*ms, 2)
@@ -36,7 +36,7 @@
 		want    string
 	}{
 		{"the more urgent route runs first", map[string]admission.Request{"urgent": since(10*ms, 1), "other": since(50*ms, 2)}, "urgent"},
-		{"a request that can meet its aim runs before a late one", map[string]admission.Request{"late": since(500*ms, 2), "in time": since(10*ms, 2)}, "in time"},
+		{"a request that can meet its target latency runs before a late one", map[string]admission.Request{"late": since(500*ms, 2), "in time": since(10*ms, 2)}, "in time"},
 		{"a late request runs first once it might miss its deadline", map[string]admission.Request{"late": since(2320*ms, 2), "in time": since(10*ms, 2)}, "late"},
 		{"the earlier deadline of two late requests runs first", map[string]admission.Request{"late": since(2330*ms, 2), "later": since(2320*ms, 2)}, "late"},
 		{"a request whose caller gives up before the answer runs last", map[string]admission.Request{"hopeless": since(2490*ms, 2), "late": since(500*ms, 2)}, "late"},
@@ -106,7 +106,8 @@
 }
 
 // BenchmarkCapacityPacketOrder measures the choice of the next request among waiting ones,
-// most of them past their aim as in a burst. The choice is made once for each request.
+// most of them past their target latency as in a burst. The choice is made once for each
+// request.
 func BenchmarkCapacityPacketOrder(b *testing.B) {
 	for _, size := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("waiting=%d", size), func(b *testing.B) {
--- a/internal/packetface/coldrate/coldrate.go
+++ b/internal/packetface/coldrate/coldrate.go
@@ -46,14 +46,14 @@
 	admitted []time.Duration
 }
 
-// Allows reports whether one more flow may be admitted. must is true if no other upstream
-// accepts it.
-func (w *Window) Allows(now time.Duration, b Bounds, must bool) bool {
+// Allows reports whether one more flow may be admitted. lastChoice is true if no other
+// upstream accepts it.
+func (w *Window) Allows(now time.Duration, b Bounds, lastChoice bool) bool {
 	if b.Usual == 0 {
 		return true
 	}
 	w.expire(now)
-	if must {
+	if lastChoice {
 		return len(w.admitted) < b.Most
 	}
 	return len(w.admitted) < b.Usual
--- a/internal/packetface/coldrate/coldrate_test.go
+++ b/internal/packetface/coldrate/coldrate_test.go
@@ -35,8 +35,8 @@
 		now := time.Second
 		for range rapid.IntRange(1, 200).Draw(t, "arrivals") {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "gap")) * time.Millisecond
-			must := rapid.Bool().Draw(t, "must")
-			if !w.Allows(now, b, must) {
+			lastChoice := rapid.Bool().Draw(t, "must")
+			if !w.Allows(now, b, lastChoice) {
 				continue
 			}
 			w.Add(now, b)
--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	g.updateKnown(from, head.Versions)
+	g.updateVersions(from, head.Versions)
 	g.updateEvacuation(now, from, head.Evacuation)
 	g.updateCold(now, head.Service, head.Versions.Version, head.Cold)
 	g.listedSlots = max(int(head.Slots), g.listedSlots)
@@ -40,7 +40,7 @@
 // refusal returns why an opening packet must not be forwarded to the upstream, 0 if it may
 // be.
 func (g *Gate) refusal(now time.Duration, id platform.Flow, head inner.Open) inner.Reason {
-	must := head.Flags&inner.FlagLastChoice != 0
+	lastChoice := head.Flags&inner.FlagLastChoice != 0
 	switch {
 	case head.Service != g.service:
 		return inner.ReasonService
@@ -50,15 +50,15 @@
 		return inner.ReasonEvacuated
 	case g.flows[id] != nil && !g.upstream.draining:
 		return 0 // retransmission of an admitted opening packet
-	case g.upstream.draining && (!must || now-g.upstream.drainingSince > g.settings.DrainWithin-drainMargin):
+	case g.upstream.draining && (!lastChoice || now-g.upstream.drainingSince > g.settings.DrainTimeout-drainMargin):
 		return inner.ReasonDraining
-	case g.stopping && !must:
+	case g.stopping && !lastChoice:
 		return inner.ReasonDraining
-	case !must && g.refusedByVerdict(now):
+	case !lastChoice && g.refusedByVerdict(now):
 		return inner.ReasonFailing
-	case !g.cold.window.Allows(now, g.coldBounds(now), must):
+	case !g.cold.window.Allows(now, g.coldBounds(now), lastChoice):
 		return inner.ReasonCold
-	case !must && head.Hops < inner.MaxBusyHops && g.full():
+	case !lastChoice && head.Hops < inner.MaxBusyHops && g.full():
 		return inner.ReasonBusy
 	}
 	return 0
--- a/internal/packetface/gate/answer.go
+++ b/internal/packetface/gate/answer.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return err
 	}
-	g.updateKnown(from, poll.Versions)
+	g.updateVersions(from, poll.Versions)
 	g.updateEvacuation(now, from, poll.Evacuation)
 	g.updateCold(now, poll.Service, poll.Versions.Version, poll.Cold)
 	otherService := poll.Service != 0 && poll.Service != g.service // its entry for this agent is outdated or another writer's
@@ -28,13 +28,13 @@
 	return nil
 }
 
-// updateKnown records the newest configuration version and store position that any balancer
-// has reported, and which balancer reported them.
-func (g *Gate) updateKnown(from netip.AddrPort, known inner.Versions) {
-	if known.Max(g.known) == known && from.Addr().Is4() {
+// updateVersions records the newest configuration version and store position that any
+// balancer has reported, and which balancer reported them.
+func (g *Gate) updateVersions(from netip.AddrPort, reported inner.Versions) {
+	if reported.Max(g.versions) == reported && from.Addr().Is4() {
 		g.source = from.Addr().As4()
 	}
-	g.known = g.known.Max(known)
+	g.versions = g.versions.Max(reported)
 }
 
 // TakeUnlisted reports whether a balancer has reported since the last call that the store
@@ -62,13 +62,13 @@
 }
 
 // Era returns the highest era of the store that the process has read itself or that
-// balancers have reported. A new era begins when the store returns from an older copy of
-// its data.
+// balancers have reported. A new era begins when the store is restored from an older copy
+// of its data.
 func (g *Gate) Era() uint64 { return g.listing().Era() }
 
-// SetOwnPosition records the store's position at which this process itself last read or wrote its
-// entry. It sends the status to all balancers at once, because some may have removed the
-// agent from their tables while it was silent.
+// SetOwnPosition records the store's position at which this process itself last read or
+// wrote its entry. It sends the status to all balancers at once, because some may have
+// removed the agent from their tables while it was silent.
 func (g *Gate) SetOwnPosition(now time.Duration, at store.Position) *Result {
 	g.resetResult()
 	g.ownPosition = at
@@ -79,7 +79,7 @@
 // listing returns the newest position of the store that the process has read itself or that
 // balancers have reported. A balancer whose list of agents is older may lack the agent that
 // holds a flow.
-func (g *Gate) listing() store.Position { return max(g.known.Listing, g.ownPosition) }
+func (g *Gate) listing() store.Position { return max(g.versions.Listing, g.ownPosition) }
 
 // listingKnown reports whether the process knows a store position that is recent enough for
 // a balancer to detect by it that its own list lacks an agent. This is so once the process
@@ -92,7 +92,7 @@
 // start. After a common power loss all entries are rewritten, and that wait delayed resets
 // of dead flows by 2 to 20 s in a fleet of 60 balancers and 140 agents (from its logs).
 func (g *Gate) listingKnown() bool {
-	return g.ownPosition != 0 || g.pastSettleTime && g.known.Listing != 0
+	return g.ownPosition != 0 || g.pastSettleTime && g.versions.Listing != 0
 }
 
 // verdict returns whether the upstream holds a flow, for a caller that has acknowledged
@@ -133,17 +133,17 @@
 func (g *Gate) Status(now time.Duration) inner.Status {
 	u := &g.upstream
 	return inner.Status{
-		State: g.state(now), StateFor: now - g.stateSince, Incarnation: g.settings.Incarnation, Versions: g.newestKnown(), Source: g.source,
+		State: g.state(now), StateFor: now - g.stateSince, Incarnation: g.settings.Incarnation, Versions: g.newestVersions(), Source: g.source,
 		Running: g.load(), Slots: uint16(u.slots), Flows: uint32(g.open),
 		Balancers: uint16(min(len(g.balancers), 1<<16-1)), Cold: now < u.coldEnd, Evacuation: g.evacuation,
-		ResponseTime: g.answerTime(now), Warmup: max(g.cold.reported, g.cold.estimate), KnowsAllFlows: u.fullyObserved,
+		ResponseTime: g.responseTime(now), Warmup: max(g.cold.reported, g.cold.estimate), KnowsAllFlows: u.fullyObserved,
 	}
 }
 
-// newestKnown returns the newest configuration version and store position known to the
+// newestVersions returns the newest configuration version and store position known to the
 // process.
-func (g *Gate) newestKnown() inner.Versions {
-	return inner.Versions{Version: g.known.Version, Listing: g.listing()}
+func (g *Gate) newestVersions() inner.Versions {
+	return inner.Versions{Version: g.versions.Version, Listing: g.listing()}
 }
 
 // load returns the number of requests that the upstream is processing or that wait for a
--- a/internal/packetface/gate/cold.go
+++ b/internal/packetface/gate/cold.go
@@ -99,10 +99,10 @@
 // datagrams in a fleet of 15 balancers and 50 agents).
 func (g *Gate) startedUnobserved() bool {
 	u := &g.upstream
-	if u.initialColdFor == 0 || u.initialColdFor > g.cold.warmup {
+	if u.initialWarmupLeft == 0 || u.initialWarmupLeft > g.cold.warmup {
 		return false
 	}
-	return g.cold.warmup-u.initialColdFor < g.settings.HeartbeatEvery/unobservedStartDivisor
+	return g.cold.warmup-u.initialWarmupLeft < g.settings.HeartbeatInterval/unobservedStartDivisor
 }
 
 // unobservedStartDivisor divides the heartbeat interval into the time since its start
--- a/internal/packetface/gate/cold_test.go
+++ b/internal/packetface/gate/cold_test.go
@@ -39,7 +39,7 @@
 	b.last = r
 	b.Expect(b.openFlows(1, 40, 0)).To(Equal(coldRate))
 	b.Expect(b.openFlows(100, 20, 0)).To(Equal(coldRate), "the bound applies anew to the next second")
-	b.gate.SetTimes(gate.Times{HeartbeatEvery: second, ColdOverage: 2})
+	b.gate.SetTimes(gate.Times{HeartbeatInterval: second, ColdOverage: 2})
 	b.now += second
 	b.Expect(b.openFlows(150, 40, inner.FlagLastChoice)).To(Equal(7), "flows that no other upstream accepts")
 	b.now += 3 * second
--- a/internal/packetface/gate/flows.go
+++ b/internal/packetface/gate/flows.go
@@ -76,7 +76,7 @@
 			return
 		}
 	}
-	g.upstream.fullyObserved, g.upstream.initialColdFor = false, 0 // an open flow is lost: only the upstream knows its flows now
+	g.upstream.fullyObserved, g.upstream.initialWarmupLeft = false, 0 // an open flow is lost: only the upstream knows its flows now
 	for id, f := range g.flows {
 		g.removeFlow(id, f)
 		return
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -7,7 +7,7 @@
 // forwards them to the upstream and sends replies directly to the caller. Because it sees
 // every packet of its upstream in both directions, it knows the upstream's open flows,
 // except those that are older than the agent process. An instance of the upstream is one
-// run of it, identified by platform.Life.
+// run of it, identified by platform.Instance.
 //
 // The agent makes the last check on an opening packet: it refuses one that is meant for
 // another service or that arrives after the upstream has announced that it is leaving. A
@@ -43,14 +43,14 @@
 
 // Times are the settings that may change while the process runs.
 type Times struct {
-	// DrainWithin is the time after the acknowledgement of a drain from which on no new
+	// DrainTimeout is the time after the acknowledgement of a drain from which on no new
 	// flow may reach the upstream.
-	DrainWithin time.Duration
+	DrainTimeout time.Duration
 	// FlowMaxAge is the maximum age of a flow. A flow without packets for that long is
 	// discarded.
 	FlowMaxAge time.Duration
-	// HeartbeatEvery is the interval between two heartbeats of the upstream.
-	HeartbeatEvery time.Duration
+	// HeartbeatInterval is the interval between two heartbeats of the upstream.
+	HeartbeatInterval time.Duration
 	// ColdOverage is the multiple of its cold rate that a cold upstream may get at most,
 	// for flows that no other upstream accepts.
 	ColdOverage float64
@@ -128,7 +128,7 @@
 
 // Limits and timeouts.
 const (
-	// drainMargin is subtracted from DrainWithin to allow for the transit time of a packet
+	// drainMargin is subtracted from DrainTimeout to allow for the transit time of a packet
 	// to the upstream.
 	drainMargin = 700 * time.Millisecond
 	// closedTTL is how long a closed or reset flow is kept, so that late packets are still
@@ -196,9 +196,9 @@
 	lastHeartbeat time.Duration
 	sequence      uint64
 	coldEnd       time.Duration
-	// initialColdFor is the remaining cold time given in the first heartbeat received from
-	// this instance, 0 if that does not allow a conclusion about the instance's start.
-	initialColdFor time.Duration
+	// initialWarmupLeft is the remaining warm-up time given in the first heartbeat received
+	// from this instance, 0 if that does not allow a conclusion about the instance's start.
+	initialWarmupLeft time.Duration
 	// fullyObserved is true if every packet of this instance has gone through this agent
 	// process, so that a flow that the agent does not know is not held. confirmed is false
 	// if the instance is known only from a single heartbeat that was not its first: that
@@ -228,8 +228,10 @@
 	// contested is true if an instance of another service has reported from the upstream's
 	// address and could not be checked against the configuration.
 	contested bool
-	known     inner.Versions
-	cold      cold
+	// versions are the newest configuration version and store position that any balancer
+	// has reported.
+	versions inner.Versions
+	cold     cold
 	// evacuation is the newest evacuation state of the data centre.
 	evacuation evacuation.State
 	// source is the host of the balancer that reported the newest configuration version,
@@ -294,7 +296,7 @@
 }
 
 func (g *Gate) note(now time.Duration, n Note) {
-	n.Version, n.Running = g.known.Version, g.running
+	n.Version, n.Running = g.versions.Version, g.running
 	if g.upstream.lastHeartbeat > 0 {
 		n.Age = now - g.upstream.lastHeartbeat
 	}
--- a/internal/packetface/gate/gate_test.go
+++ b/internal/packetface/gate/gate_test.go
@@ -40,7 +40,7 @@
 	b.Expect(unknown).To(BeEmpty())
 	b.gate = gate.New(gate.Settings{
 		Policies: policies,
-		Service:  service, CallerPort: 9000, Incarnation: 5, Times: gate.Times{DrainWithin: 3 * second, FlowMaxAge: time.Minute, HeartbeatEvery: second},
+		Service:  service, CallerPort: 9000, Incarnation: 5, Times: gate.Times{DrainTimeout: 3 * second, FlowMaxAge: time.Minute, HeartbeatInterval: second},
 	})
 	return b
 }
@@ -169,7 +169,7 @@
 		{"another service", func(b *bench) {}, other, inner.ReasonService},
 		{"draining", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{}, inner.ReasonDraining},
 		{"draining, no other upstream is left", func(b *bench) { b.heartbeat("i-1", true) }, inner.Open{Flags: inner.FlagLastChoice}, 0},
-		{"draining for nearly DrainWithin, no other upstream is left", func(b *bench) {
+		{"draining for nearly DrainTimeout, no other upstream is left", func(b *bench) {
 			b.heartbeat("i-1", true)
 			b.now += 2500 * time.Millisecond
 		}, inner.Open{Flags: inner.FlagLastChoice}, inner.ReasonDraining},
--- a/internal/packetface/gate/idle.go
+++ b/internal/packetface/gate/idle.go
@@ -75,7 +75,7 @@
 // CheckListed sends a check to a balancer, asking whether the store lists this agent, if no
 // balancer has sent a datagram for idleTimeout. written reports that no write to the store
 // is pending: balancers do not know an entry yet that has just been written. If no balancer
-// answers, TakeAlone returns true.
+// answers, TakeNoBalancerAnswered returns true.
 func (g *Gate) CheckListed(now time.Duration, written bool) *Result {
 	g.resetResult()
 	i := &g.idle
@@ -103,8 +103,8 @@
 	return &g.out
 }
 
-// TakeNoBalancerAnswered reports whether checks have been left unanswered by all balancers since the
-// last call of TakeNoBalancerAnswered.
+// TakeNoBalancerAnswered reports whether checks have been left unanswered by all balancers
+// since the last call of TakeNoBalancerAnswered.
 func (g *Gate) TakeNoBalancerAnswered() bool {
 	allSilent := g.idle.allSilent
 	g.idle.allSilent = false
--- a/internal/packetface/gate/idle_test.go
+++ b/internal/packetface/gate/idle_test.go
@@ -13,7 +13,7 @@
 // runChecks lets time pass in steps of the agent's ticks. It returns the balancers that the
 // agent sent checks to, and how often it found that none had answered. poll reports whether
 // a balancer answers with a poll.
-func runChecks(t *testing.T, g *Gate, from, to time.Duration, poll func(netip.AddrPort) bool) (asked []netip.AddrPort, alone int) {
+func runChecks(t *testing.T, g *Gate, from, to time.Duration, poll func(netip.AddrPort) bool) (asked []netip.AddrPort, unanswered int) {
 	const tick = 200 * time.Millisecond
 	for now := from; now < to; now += tick {
 		for _, a := range g.CheckListed(now, true).Actions {
@@ -25,10 +25,10 @@
 			}
 		}
 		if g.TakeNoBalancerAnswered() {
-			alone++
+			unanswered++
 		}
 	}
-	return asked, alone
+	return asked, unanswered
 }
 
 var (
@@ -47,8 +47,8 @@
 
 func TestIdleAgentChecksWithABalancerRatherThanTheStore(t *testing.T) {
 	g := NewWithT(t)
-	asked, alone := runChecks(t, usedAgent(t), 0, 21*time.Second, func(netip.AddrPort) bool { return true })
-	g.Expect(alone).To(Equal(0))
+	asked, unanswered := runChecks(t, usedAgent(t), 0, 21*time.Second, func(netip.AddrPort) bool { return true })
+	g.Expect(unanswered).To(Equal(0))
 	g.Expect(len(asked)).To(BeNumerically("~", 10, 1), "one check in two seconds")
 	g.Expect(asked).To(HaveEach(balancerA))
 }
@@ -57,15 +57,15 @@
 // store, the agent falls back to the store after another 600 ms.
 func TestIdleAgentFallsBackToTheStoreIfNoBalancerAnswers(t *testing.T) {
 	g := NewWithT(t)
-	asked, alone := runChecks(t, usedAgent(t), 0, 3200*time.Millisecond, func(netip.AddrPort) bool { return false })
-	g.Expect(alone).To(Equal(1))
+	asked, unanswered := runChecks(t, usedAgent(t), 0, 3200*time.Millisecond, func(netip.AddrPort) bool { return false })
+	g.Expect(unanswered).To(Equal(1))
 	g.Expect(asked).To(Equal([]netip.AddrPort{balancerA, seedA}))
 }
 
 func TestIdleAgentChecksWithASeedIfItsBalancerIsGone(t *testing.T) {
 	g := NewWithT(t)
-	_, alone := runChecks(t, usedAgent(t), 0, 10*time.Second, func(to netip.AddrPort) bool { return to == seedA })
-	g.Expect(alone).To(Equal(0))
+	_, unanswered := runChecks(t, usedAgent(t), 0, 10*time.Second, func(to netip.AddrPort) bool { return to == seedA })
+	g.Expect(unanswered).To(Equal(0))
 }
 
 func TestPolledAgentSendsNoChecks(t *testing.T) {
@@ -81,8 +81,8 @@
 // An agent that knows no balancer at all falls back to the store each time.
 func TestAgentWithoutBalancersFallsBackToTheStore(t *testing.T) {
 	g := NewWithT(t)
-	_, alone := runChecks(t, New(Settings{Service: "s"}), 0, 9*time.Second, func(netip.AddrPort) bool { return false })
-	g.Expect(alone).To(BeNumerically("~", 4, 1))
+	_, unanswered := runChecks(t, New(Settings{Service: "s"}), 0, 9*time.Second, func(netip.AddrPort) bool { return false })
+	g.Expect(unanswered).To(BeNumerically("~", 4, 1))
 }
 
 // An entry that is being written is not yet in the balancers' lists. If the agent sent a
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -9,9 +9,9 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// An instance of the upstream is identified by its id and its start time (platform.Life).
-// The upstream may restart under the same id; the new instance does not hold the flows of
-// the earlier one.
+// An instance of the upstream is identified by its id and its start time
+// (platform.Instance). The upstream may restart under the same id; the new instance does
+// not hold the flows of the earlier one.
 //
 // A heartbeat may arrive after its sender has crashed and a new instance has reported from
 // the same address. Such a heartbeat must not make the agent switch back to the ended
@@ -83,12 +83,12 @@
 	return successionLikely
 }
 
-// HandleUncheckedHeartbeat handles a heartbeat of an instance of another service that could not be checked
-// against the configuration. As long as the current instance reports, the other's heartbeat
-// may be wrong. But if the address has been reused, a request for the current service must
-// not run there, so the upstream gets no new flow until either instance reports again.
-// contested is false if the current instance has ended or is overdue; the heartbeat must
-// then be processed as usual.
+// HandleUncheckedHeartbeat handles a heartbeat of an instance of another service that could
+// not be checked against the configuration. As long as the current instance reports, the
+// other's heartbeat may be wrong. But if the address has been reused, a request for the
+// current service must not run there, so the upstream gets no new flow until either
+// instance reports again. contested is false if the current instance has ended or is
+// overdue; the heartbeat must then be processed as usual.
 func (g *Gate) HandleUncheckedHeartbeat(now time.Duration, beat platform.Heartbeat) (result *Result, contested bool) {
 	g.resetResult()
 	if g.upstream.unknown() || g.overdue(now) {
@@ -110,7 +110,7 @@
 // overdue reports whether the current instance has ended or has missed heartbeats.
 func (g *Gate) overdue(now time.Duration) bool {
 	u := &g.upstream
-	return u.down || u.left || u.silent || now-u.lastHeartbeat >= overdueHeartbeats*g.settings.HeartbeatEvery
+	return u.down || u.left || u.silent || now-u.lastHeartbeat >= overdueHeartbeats*g.settings.HeartbeatInterval
 }
 
 // confirm requires a second, later heartbeat of an instance before the instance is adopted.
@@ -120,7 +120,7 @@
 		g.candidate = candidate{instance: beat.Instance, sequence: beat.Sequence, since: now}
 		return successionNone
 	}
-	if beat.Sequence <= earlier.sequence || now-earlier.since < g.settings.HeartbeatEvery/confirmDivisor {
+	if beat.Sequence <= earlier.sequence || now-earlier.since < g.settings.HeartbeatInterval/confirmDivisor {
 		return successionNone
 	}
 	return successionLikely
@@ -151,7 +151,7 @@
 	seenAll := beat.Sequence <= firstHeartbeat
 	g.upstream = upstream{instance: beat.Instance, dataCentre: beat.DataCentre, fullyObserved: seenAll, confirmed: seenAll}
 	if before.unknown() {
-		g.upstream.initialColdFor = beat.WarmupLeft
+		g.upstream.initialWarmupLeft = beat.WarmupLeft
 		g.estimateWarmup(beat)
 		g.upstream.fullyObserved = seenAll || g.startedUnobserved()
 	}
--- a/internal/packetface/gate/queue.go
+++ b/internal/packetface/gate/queue.go
@@ -39,8 +39,8 @@
 func (w *waiting) request() admission.Request {
 	f := w.flow
 	r := admission.Request{
-		Rank: f.terms.Priority, Arrived: w.since, Asked: w.since, EarliestAttempt: w.since,
-		Aim: f.terms.TargetLatency, Timeout: f.terms.Timeout, FirstTry: f.served,
+		Priority: f.terms.Priority, Arrived: w.since, Asked: w.since, EarliestAttempt: w.since,
+		TargetLatency: f.terms.TargetLatency, Timeout: f.terms.Timeout, FirstTry: f.served,
 	}
 	if !f.served {
 		r.Asked -= f.openingAge
--- a/internal/packetface/gate/queue_test.go
+++ b/internal/packetface/gate/queue_test.go
@@ -14,9 +14,9 @@
 
 const urgent, ordinary = 1, 2
 
-// request sends a request with the given rank.
-func (b *bench) request(n int, seq uint32, rank int) {
-	b.requestOn(n, seq, inner.Terms{Priority: uint8(rank)})
+// request sends a request with the given priority.
+func (b *bench) request(n int, seq uint32, priority int) {
+	b.requestOn(n, seq, inner.Terms{Priority: uint8(priority)})
 }
 
 // requestOn sends a request on a route with the given terms.
@@ -147,8 +147,8 @@
 	b.Expect(b.ran()).To(Equal([]uint16{2}))
 }
 
-// A request that has missed its aim lets requests pass that can still meet theirs, and
-// those of more urgent routes.
+// A request that has missed its target latency lets requests pass that can still meet
+// theirs, and those of more urgent routes.
 func TestLateRequestsRunAfterThoseInTime(t *testing.T) {
 	b := filled(t, 8)
 	b.request(4, 2, ordinary)
@@ -163,8 +163,9 @@
 	b.Expect(b.ran()).To(Equal([]uint16{4}))
 }
 
-// Whether a request is late depends on the route's aim and on the mean response time.
-func TestRequestIsLateIfItMissesTheRoutesAim(t *testing.T) {
+// Whether a request is late depends on the route's target latency and on the mean response
+// time.
+func TestRequestIsLateIfItMissesTheRoutesTargetLatency(t *testing.T) {
 	patient := inner.Terms{TargetLatency: 400 * time.Millisecond, Timeout: 4 * time.Second}
 	cases := []struct {
 		name string
@@ -172,7 +173,7 @@
 		want uint16
 	}{
 		{"still in time: the first request runs first", 150 * time.Millisecond, 2},
-		{"late: the request that can meet its aim runs first", 450 * time.Millisecond, 3},
+		{"late: the request that can meet its target latency runs first", 450 * time.Millisecond, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -222,7 +223,7 @@
 		b.requestOn(3, 2, terms)
 		b.now += 30 * time.Millisecond
 		b.answer(flow(0))
-		b.Expect(b.ran()).To(Equal([]uint16{3})) // it can meet its aim
+		b.Expect(b.ran()).To(Equal([]uint16{3})) // it can meet its target latency
 		b.openFlagged(flow(4), 0, flags)         // its caller may have made a first attempt 1.5 s ago
 		b.requestOn(4, 2, terms)
 		b.now += 550 * time.Millisecond
--- a/internal/packetface/gate/reply.go
+++ b/internal/packetface/gate/reply.go
@@ -134,9 +134,9 @@
 	g.latency += time.Duration(latencyWeight * float64(latency-g.latency))
 }
 
-// answerTime returns the upstream's mean response time, 0 if it has answered no request
+// responseTime returns the upstream's mean response time, 0 if it has answered no request
 // within latencyMaxAge.
-func (g *Gate) answerTime(now time.Duration) time.Duration {
+func (g *Gate) responseTime(now time.Duration) time.Duration {
 	if now-g.answeredAt > latencyMaxAge {
 		return 0
 	}
--- a/internal/packetface/gate/restart_test.go
+++ b/internal/packetface/gate/restart_test.go
@@ -12,9 +12,9 @@
 
 // An upstream may restart under the same id; its start time distinguishes the instances.
 
-const born = 1_764_000_000_000
+const startedMS = 1_764_000_000_000
 
-func (b *bench) heartbeatBorn(at int64, sequence uint64) {
+func (b *bench) heartbeatWithStart(at int64, sequence uint64) {
 	r, ok := b.gate.Heartbeat(b.now, platform.Heartbeat{Instance: platform.Instance{ID: "i-1", StartedMS: at}, Slots: slots, Sequence: sequence})
 	b.Expect(ok).To(BeTrue())
 	b.last = r
@@ -23,12 +23,12 @@
 // running returns a bench whose upstream has sent 41 heartbeats and holds flow 1.
 func running(t *testing.T) *bench {
 	b := newBench(t)
-	b.heartbeatBorn(born, 1)
+	b.heartbeatWithStart(startedMS, 1)
 	b.setListing()
 	b.open(flow(1))
 	for sequence := range uint64(40) {
 		b.now += second
-		b.heartbeatBorn(born, 2+sequence)
+		b.heartbeatWithStart(startedMS, 2+sequence)
 	}
 	return b
 }
@@ -36,11 +36,11 @@
 func TestRestartUnderTheSameIDResetsFlows(t *testing.T) {
 	b := running(t)
 	b.now += 300 * time.Millisecond
-	b.heartbeatBorn(born+45_000, 1)
+	b.heartbeatWithStart(startedMS+45_000, 1)
 	b.Expect(resets(b)).To(ConsistOf(flow(1)), "the new instance does not hold the flow")
 	b.Expect(b.verdict(flow(2), 0)).To(Equal(inner.VerdictNone), "the agent has seen every packet of this instance")
 	b.now += second
-	b.heartbeatBorn(born+45_000, 2)
+	b.heartbeatWithStart(startedMS+45_000, 2)
 	b.Expect(b.gate.Counts(b.now).HeartbeatAge).To(BeZero(), "sequence numbers restart with the instance")
 	b.open(flow(3))
 }
@@ -50,7 +50,7 @@
 func TestRestartIsProbedIfItsFirstHeartbeatWasLost(t *testing.T) {
 	b := running(t)
 	b.now += 300 * time.Millisecond
-	b.heartbeatBorn(born+45_000, 2)
+	b.heartbeatWithStart(startedMS+45_000, 2)
 	b.Expect(b.upstreamID()).To(Equal("i-1@1764000045000"))
 	b.Expect(resets(b)).To(BeEmpty())
 	b.Expect(b.verdict(flow(1), 0)).To(Equal(inner.VerdictUnknown))
@@ -62,12 +62,12 @@
 
 func TestHeartbeatOfAnEarlierStartIsIgnored(t *testing.T) {
 	b := running(t)
-	b.heartbeatBorn(born+45_000, 1)
+	b.heartbeatWithStart(startedMS+45_000, 1)
 	b.open(flow(2))
 	for sequence := range uint64(3) {
 		b.now += second
-		b.heartbeatBorn(born+45_000, 2+sequence)
-		b.heartbeatBorn(born, 100+sequence)
+		b.heartbeatWithStart(startedMS+45_000, 2+sequence)
+		b.heartbeatWithStart(startedMS, 100+sequence)
 		b.Expect(resets(b)).To(BeEmpty())
 		b.Expect(b.upstreamID()).To(Equal("i-1@1764000045000"))
 	}
@@ -75,14 +75,14 @@
 
 func TestLeaveOfAnEarlierStartIsIgnored(t *testing.T) {
 	b := running(t)
-	b.heartbeatBorn(born+45_000, 1)
+	b.heartbeatWithStart(startedMS+45_000, 1)
 	b.open(flow(2))
-	b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1", StartedMS: born})
+	b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1", StartedMS: startedMS})
 	b.now += second
 	b.last = b.gate.Tick(b.now)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateReady))
-	b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1", StartedMS: born + 45_000})
+	b.gate.HandleLeave(b.now, platform.Instance{ID: "i-1", StartedMS: startedMS + 45_000})
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateDown))
 }
 
@@ -92,14 +92,14 @@
 func TestInstanceIsAdoptedAfterTheClockWasSetBack(t *testing.T) {
 	b := running(t)
 	b.now += second
-	b.heartbeatBorn(born-10_000, 1)
+	b.heartbeatWithStart(startedMS-10_000, 1)
 	b.Expect(b.upstreamID()).To(Equal("i-1@1764000000000"))
 	b.now += second
-	b.heartbeatBorn(born-10_000, 2)
+	b.heartbeatWithStart(startedMS-10_000, 2)
 	b.Expect(b.upstreamID()).To(Equal("i-1@1763999990000"))
 	b.Expect(resets(b)).To(BeEmpty())
 	b.open(flow(2))
-	b.heartbeatBorn(born, 60) // a delayed heartbeat of the previous instance
+	b.heartbeatWithStart(startedMS, 60) // a delayed heartbeat of the previous instance
 	b.Expect(b.upstreamID()).To(Equal("i-1@1763999990000"), "a later start time does not suffice for an instance that has ended")
 	b.Expect(resets(b)).To(BeEmpty())
 }
@@ -107,12 +107,12 @@
 // Upstreams of an older version do not report their start time.
 func TestHeartbeatWithoutStartTimeIsOrderedBySequence(t *testing.T) {
 	b := newBench(t)
-	b.heartbeatBorn(0, 1)
+	b.heartbeatWithStart(0, 1)
 	b.open(flow(1))
 	b.now += second
-	b.heartbeatBorn(born, 2)
+	b.heartbeatWithStart(startedMS, 2)
 	b.Expect(resets(b)).To(BeEmpty())
 	b.now += second
-	b.heartbeatBorn(0, 3)
+	b.heartbeatWithStart(0, 3)
 	b.Expect(b.gate.Counts(b.now).HeartbeatAge).To(BeZero())
 }
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -45,7 +45,7 @@
 		}
 		g.adoptInstance(now, beat, s)
 	}
-	if u.lastHeartbeat != 0 && now-u.lastHeartbeat >= g.settings.HeartbeatEvery/confirmDivisor {
+	if u.lastHeartbeat != 0 && now-u.lastHeartbeat >= g.settings.HeartbeatInterval/confirmDivisor {
 		u.confirmed = true
 	}
 	g.judge.NoteAlive(now)
@@ -53,7 +53,7 @@
 	u.lastHeartbeat, u.sequence, u.slots, u.down, u.silent = now, beat.Sequence, beat.Slots, false, false
 	u.coldEnd = now + beat.WarmupLeft
 	if revived {
-		u.fullyObserved, u.initialColdFor = false, 0 // it may have opened flows unobserved while it counted as down
+		u.fullyObserved, u.initialWarmupLeft = false, 0 // it may have opened flows unobserved while it counted as down
 		g.note(now, Note{Kind: KindUpstream, Reason: "back " + u.instance.String()})
 		g.announce(now)
 	}
@@ -89,8 +89,8 @@
 	return instance.MayBeSame(u.instance) || instance.ID == u.instance.ID && instance.StartedMS > u.instance.StartedMS
 }
 
-// HandleRefusedPacket handles a packet to the upstream that was refused because no socket listened.
-// Several in a row, refusalSpan apart, show that the upstream has ended.
+// HandleRefusedPacket handles a packet to the upstream that was refused because no socket
+// listened. Several in a row, refusalSpan apart, show that the upstream has ended.
 func (g *Gate) HandleRefusedPacket(now time.Duration) *Result {
 	g.resetResult()
 	u := &g.upstream
@@ -108,7 +108,7 @@
 // have stopped. The latter may still be running, so its flows are not reset.
 func (g *Gate) checkUpstream(now time.Duration) {
 	u := &g.upstream
-	timeout := missedHeartbeats * g.settings.HeartbeatEvery
+	timeout := missedHeartbeats * g.settings.HeartbeatInterval
 	switch {
 	case u.down:
 	case g.stopping && g.noSignSinceStart(now):
@@ -177,7 +177,7 @@
 // after a power loss, from logs of a fleet of 140 agents).
 func (g *Gate) noSignSinceStart(now time.Duration) bool {
 	u := &g.upstream
-	return u.unknown() && !u.sentPacket && now-g.resumed >= missedHeartbeats*g.settings.HeartbeatEvery
+	return u.unknown() && !u.sentPacket && now-g.resumed >= missedHeartbeats*g.settings.HeartbeatInterval
 }
 
 // Finished reports whether a process that is shutting down has nothing left to do for its
--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -289,10 +289,10 @@
 }
 
 // Deregistered implements platform.UpstreamListener.
-func (a *agent) Deregistered(life platform.Instance) bool {
+func (a *agent) Deregistered(instance platform.Instance) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	result, ok := a.core.HandleLeave(a.clock(), life)
+	result, ok := a.core.HandleLeave(a.clock(), instance)
 	a.apply(result)
 	a.updateRegistration()
 	return ok
@@ -307,7 +307,7 @@
 
 // gateTimes returns the times in the settings that the core uses.
 func gateTimes(c platform.ReloadableSettings) gate.Times {
-	return gate.Times{DrainWithin: c.DrainTimeout, FlowMaxAge: c.FlowMaxAge, HeartbeatEvery: c.HeartbeatInterval, ColdOverage: c.ColdOverage}
+	return gate.Times{DrainTimeout: c.DrainTimeout, FlowMaxAge: c.FlowMaxAge, HeartbeatInterval: c.HeartbeatInterval, ColdOverage: c.ColdOverage}
 }
 
 // applySettings applies changed settings.
--- a/internal/packetface/routing/routing_test.go
+++ b/internal/packetface/routing/routing_test.go
@@ -50,9 +50,9 @@
 
 func TestTermsComeFromConfiguration(t *testing.T) {
 	g := NewWithT(t)
-	for rank, want := range map[int]uint8{-1: 0, 0: 0, 3: 3, 999: 255} {
+	for priority, want := range map[int]uint8{-1: 0, 0: 0, 3: 3, 999: 255} {
 		built := routing.NewTable(platform.Configuration{Version: 1, Routes: []platform.Route{
-			{Face: netip.MustParseAddrPort("198.18.0.1:443"), Priority: rank, TargetLatency: 250 * time.Millisecond, Timeout: 4 * time.Second},
+			{Face: netip.MustParseAddrPort("198.18.0.1:443"), Priority: priority, TargetLatency: 250 * time.Millisecond, Timeout: 4 * time.Second},
 		}})
 		g.Expect(built.Find(flow(1)).Terms).To(Equal(inner.Terms{Priority: want, TargetLatency: 250 * time.Millisecond, Timeout: 4 * time.Second}))
 	}
--- a/internal/packetface/steer/sim_restarts_test.go
+++ b/internal/packetface/steer/sim_restarts_test.go
@@ -32,7 +32,7 @@
 	s.listedAt = w.now + time.Duration(w.random.Int64N(int64(50*time.Millisecond)))
 	s.gate = gate.New(gate.Settings{
 		Service: service, CallerPort: callerPort,
-		Times: gate.Times{DrainWithin: 3 * time.Second, FlowMaxAge: time.Minute, HeartbeatEvery: 1200 * time.Millisecond},
+		Times: gate.Times{DrainTimeout: 3 * time.Second, FlowMaxAge: time.Minute, HeartbeatInterval: 1200 * time.Millisecond},
 	})
 }
 
