--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -57,15 +57,15 @@
 	service uint64
 	// long is set if the flow stays open for many requests.
 	long bool
-	// homes are the regions to which the flow may go, none for all; regions maps data
-	// centres to their regions.
-	homes   []string
-	regions map[string]string
+	// allowedRegions are the regions to which the flow may go, none for all; regions maps
+	// data centres to their regions.
+	allowedRegions []string
+	regions        map[string]string
 }
 
 // inHomeRegion reports whether the agent is in a region to which the flow may go.
 func (w *requirements) inHomeRegion(a *agent) bool {
-	return len(w.homes) == 0 || slices.Contains(w.homes, w.regions[a.DataCentre])
+	return len(w.allowedRegions) == 0 || slices.Contains(w.allowedRegions, w.regions[a.DataCentre])
 }
 
 // allows reports whether the flow may go to an agent's data centre.
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -204,7 +204,7 @@
 // list are asked in searches like others while they answer.
 func (c *Core) AddPeerAgents(now time.Duration, known []Agent) *Result {
 	c.begin(now)
-	c.peersAsked = true
+	c.peerAgentsAdded = true
 	for _, agent := range known {
 		if c.roster.agents[agent.Addr] != nil {
 			continue
@@ -315,7 +315,7 @@
 	a.warmupSent = cold.Warmup
 	start := len(c.buffer)
 	c.buffer = inner.AppendPoll(c.buffer, inner.Poll{
-		Flags: flags, Service: a.Service, Versions: c.known(), Evacuation: a.evacuation, Cold: cold,
+		Flags: flags, Service: a.Service, Versions: c.versions(), Evacuation: a.evacuation, Cold: cold,
 	})
 	c.send(a.Addr, start)
 }
--- a/internal/packetface/steer/agents_test.go
+++ b/internal/packetface/steer/agents_test.go
@@ -132,7 +132,7 @@
 	b.Expect(b.resets()).To(BeZero())
 }
 
-func TestBalancerIsBlindIfNoAgentAnswers(t *testing.T) {
+func TestBalancerIsIsolatedIfNoAgentAnswers(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "b"))
 	status := inner.Status{Versions: inner.Versions{Listing: 1}} // by the answers to the first polls
 	b.status(101, status)
--- a/internal/packetface/steer/flows.go
+++ b/internal/packetface/steer/flows.go
@@ -23,9 +23,9 @@
 	// been tried and the best of them has been sent the packet again.
 	tried, busy []*agent
 	lastTry     bool
-	// mayRepeat is set if the caller may have sent the same request before, on another
+	// mayBeRetry is set if the caller may have sent the same request before, on another
 	// flow.
-	mayRepeat bool
+	mayBeRetry bool
 }
 
 // forwardOrSearch sends a packet of an open flow to the flow's agent, or searches for the
--- a/internal/packetface/steer/listing_check.go
+++ b/internal/packetface/steer/listing_check.go
@@ -25,6 +25,6 @@
 		return
 	}
 	start := len(c.buffer)
-	c.buffer = inner.AppendPoll(c.buffer, inner.Poll{Flags: inner.FlagStatus | inner.FlagUnlisted, Versions: c.known()})
+	c.buffer = inner.AppendPoll(c.buffer, inner.Poll{Flags: inner.FlagStatus | inner.FlagUnlisted, Versions: c.versions()})
 	c.send(from, start)
 }
--- a/internal/packetface/steer/newer_state.go
+++ b/internal/packetface/steer/newer_state.go
@@ -14,7 +14,7 @@
 // has reported with the balancer's own, and adds a note if the reported ones are newer.
 func (c *Core) noteReported(now time.Duration, a *agent, reported inner.Versions, source [4]byte) {
 	c.roster.newestReported = max(c.roster.newestReported, reported.Listing)
-	newer := reported.Version > c.known().Version || reported.Listing > c.roster.age.AsOf
+	newer := reported.Version > c.versions().Version || reported.Listing > c.roster.age.AsOf
 	if reported.Version > c.newer.version {
 		c.newer = newerVersion{reported.Version, a.Addr, source}
 	}
@@ -34,7 +34,7 @@
 // tickNewer repeats the note of a version that is still missing. An idle agent reports a
 // version once, and the attempt to fetch it after the first note may have failed.
 func (c *Core) tickNewer(now time.Duration) {
-	if c.newer.version > c.known().Version && now-c.newerNotedAt >= newerRepeatInterval {
+	if c.newer.version > c.versions().Version && now-c.newerNotedAt >= newerRepeatInterval {
 		c.noteNewer(now, c.newer.agent, c.newer.version, c.newer.source)
 	}
 }
--- a/internal/packetface/steer/owner_search.go
+++ b/internal/packetface/steer/owner_search.go
@@ -307,7 +307,7 @@
 // blockReason returns what kept a flow from being reset, for the log.
 func (c *Core) blockReason(now time.Duration, id platform.Flow, q *ownerSearch) string {
 	switch {
-	case c.settings.AwaitPeers && !c.peersAsked:
+	case c.settings.AwaitPeers && !c.peerAgentsAdded:
 		return "peers-not-asked"
 	case c.roster.outdated():
 		return "list-outdated"
--- a/internal/packetface/steer/placement.go
+++ b/internal/packetface/steer/placement.go
@@ -23,7 +23,7 @@
 	f := c.flows[id]
 	if f == nil {
 		f = c.addFlow(id, now)
-		f.mayRepeat = c.mayRepeat(now, b)
+		f.mayBeRetry = c.mayBeRetry(now, b)
 	}
 	f.seen, f.terms = now, route.Terms
 	if f.agent != nil && (f.open || !silentSincePlaced(f, now)) {
@@ -51,9 +51,9 @@
 	return slices.Concat(f.tried, f.busy)
 }
 
-// mayRepeat reports whether an opening packet may be for a request that its caller has
+// mayBeRetry reports whether an opening packet may be for a request that its caller has
 // sent before.
-func (c *Core) mayRepeat(now time.Duration, b []byte) bool {
+func (c *Core) mayBeRetry(now time.Duration, b []byte) bool {
 	p, err := platform.ParsePacket(b)
 	return err == nil && c.settings.Policies.On(policy.Repetition) && admission.MayBeRetry(now-p.CopyAge())
 }
@@ -111,7 +111,7 @@
 func (c *Core) rejectReason(w requirements) string {
 	open, home := c.roster.countAllowed(w)
 	switch {
-	case home == 0 && len(w.homes) > 0:
+	case home == 0 && len(w.allowedRegions) > 0:
 		return "no-upstream-at-home"
 	case open == 0 && home > 0:
 		return "service-evacuated"
@@ -121,13 +121,13 @@
 
 // requirementsOf returns what a new flow of a route requires of its agent.
 func (c *Core) requirementsOf(route *routing.Route, service uint64) requirements {
-	return requirements{service: service, long: route.Idempotent, homes: route.AllowedRegions, regions: c.settings.Regions}
+	return requirements{service: service, long: route.Idempotent, allowedRegions: route.AllowedRegions, regions: c.settings.Regions}
 }
 
 // reject resets a flow that no agent takes, so that its caller knows at once; no request
 // of the flow has run. While the list of agents may be incomplete, the packet is dropped
 // instead unless it is the last copy: the caller's next copy is placed anew, and the
-// caller does not use up one of its repetitions.
+// caller does not use up one of its retries.
 func (c *Core) reject(now time.Duration, id platform.Flow, reason string, b []byte) {
 	delete(c.flows, id)
 	p, err := platform.ParsePacket(b)
@@ -141,7 +141,7 @@
 // listComplete reports whether the list has every agent that the store or other balancers
 // know of.
 func (c *Core) listComplete(now time.Duration) bool {
-	if c.settings.AwaitPeers && !c.peersAsked {
+	if c.settings.AwaitPeers && !c.peerAgentsAdded {
 		return false
 	}
 	wait := listSettleTime
@@ -155,11 +155,11 @@
 	service, _ := route.Choose(id)
 	start := len(c.buffer)
 	flags |= c.flagsFor(a, now, maxStatusAgeOpen)
-	if f.mayRepeat {
+	if f.mayBeRetry {
 		flags |= inner.FlagMayBeRetry
 	}
 	c.buffer = inner.AppendOpen(c.buffer, inner.Open{
-		Flags: flags, Hops: uint8(min(f.hops(), maxHops)), Service: service, Slots: c.roster.slots(a), Versions: c.known(),
+		Flags: flags, Hops: uint8(min(f.hops(), maxHops)), Service: service, Slots: c.roster.slots(a), Versions: c.versions(),
 		Evacuation: a.evacuation, Cold: c.coldOf(service),
 	}, b)
 	c.send(a.Addr, start)
--- a/internal/packetface/steer/placement_test.go
+++ b/internal/packetface/steer/placement_test.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// If more upstreams of a service fail than not, the service or the requests are the
-// likely cause. Then all upstreams are used, and their agents are sent FlagMust so that
-// they take the flow.
+// If more upstreams of a service fail than not, the service or the requests are the likely
+// cause. Then all upstreams are used, and their agents are sent FlagLastChoice so that they
+// take the flow.
 func TestFailingUpstreamsAreUsedIfMostOfServiceFail(t *testing.T) {
 	b := newBench(t, agentAt(101, "a"), agentAt(102, "a"), agentAt(103, "a"))
 	b.status(101, inner.Status{State: inner.StateFailing})
@@ -168,10 +168,10 @@
 	b.Expect(b.sent(inner.KindOpen)).To(HaveLen(511))
 }
 
-// A balancer that has just started assumes that new flows repeat earlier requests:
+// A balancer that has just started assumes that new flows are retries of earlier requests:
 // callers whose opening packets were lost open new flows as long as their last copies may
 // still arrive.
-func TestOpeningsSoonAfterStartAreFlaggedAsRepetitions(t *testing.T) {
+func TestOpeningsSoonAfterStartAreFlaggedAsRetries(t *testing.T) {
 	cases := []struct {
 		name   string
 		at     time.Duration
@@ -199,7 +199,7 @@
 
 // A flow that all agents return is reset at once, so that its caller may send the request
 // elsewhere. While the list may lack agents, the packet is dropped instead: the caller's
-// next copy is placed anew, and the caller does not use up a repetition.
+// next copy is placed anew, and the caller does not use up a retry.
 func TestFlowReturnedByAllAgentsIsResetOrRetried(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -289,7 +289,7 @@
 	b.now += 30 * time.Millisecond
 	opening := packet(caller(1), 1, 0, platform.FlagSYN, 0)
 	b.fromAgent(101, inner.AppendReturned(nil, inner.Returned{Reason: inner.ReasonBusy}, opening))
-	moved := b.notes(steer.KindPlacedAgain)
-	b.Expect(moved).To(HaveLen(1))
-	b.Expect(moved[0].Took).To(Equal(30 * time.Millisecond))
+	placedAgain := b.notes(steer.KindPlacedAgain)
+	b.Expect(placedAgain).To(HaveLen(1))
+	b.Expect(placedAgain[0].Took).To(Equal(30 * time.Millisecond))
 }
--- a/internal/packetface/steer/sim_fleet_test.go
+++ b/internal/packetface/steer/sim_fleet_test.go
@@ -31,16 +31,16 @@
 type simAgent struct {
 	addr netip.AddrPort
 	gate *gate.Gate
-	// lives are all instances of the upstream; the last is the present one.
-	lives       []platform.Instance
-	life        int
+	// instances are all instances of the upstream; the last is the present one.
+	instances   []platform.Instance
+	instance    int
 	sequence    uint64
 	incarnation uint64
 	dataCentre  string
-	// started is when the agent process last started, born when the upstream did,
-	// acknowledged when any agent process last acknowledged a heartbeat of this instance,
-	// 0 for not yet.
-	started, born, acknowledged time.Duration
+	// started is when the agent process last started, upstreamStarted when the upstream
+	// did, acknowledged when any agent process last acknowledged a heartbeat of this
+	// instance, 0 for not yet.
+	started, upstreamStarted, acknowledged time.Duration
 	// listedAt is when the restarted agent process will be listed, 0 once it has been.
 	listedAt time.Duration
 	// entryLost is set if the restored store lacks the entry. era is the store's era as
@@ -57,7 +57,7 @@
 
 // answer returns the sequence number of the upstream's answer to an opening packet.
 func (s *simAgent) answer() uint32 {
-	return uint32(s.addr.Addr().As4()[3])*1_000_000 + uint32(s.life)*1000
+	return uint32(s.addr.Addr().As4()[3])*1_000_000 + uint32(s.instance)*1000
 }
 
 // balancer is a simulated balancer.
@@ -148,7 +148,7 @@
 }
 
 func (w *simFleet) addAgent() {
-	s := &simAgent{addr: address(100+len(w.agents), 1), dataCentre: "a", lives: []platform.Instance{{ID: fmt.Sprintf("i-%d", len(w.agents)), StartedMS: 1_000_000}}, held: map[platform.Flow]bool{}}
+	s := &simAgent{addr: address(100+len(w.agents), 1), dataCentre: "a", instances: []platform.Instance{{ID: fmt.Sprintf("i-%d", len(w.agents)), StartedMS: 1_000_000}}, held: map[platform.Flow]bool{}}
 	w.agents, w.agentByAddr[s.addr] = append(w.agents, s), s
 	w.startAgent(s)
 	w.heartbeat(s)
--- a/internal/packetface/steer/sim_restarts_test.go
+++ b/internal/packetface/steer/sim_restarts_test.go
@@ -11,19 +11,19 @@
 
 // Starts and restarts of the simulated agents and upstreams.
 
-// newLife starts another instance of the upstream: with another id, or with the same id
+// newInstance starts another instance of the upstream: with another id, or with the same id
 // and another start time, which is earlier if the host's clock was set back.
-func (s *simAgent) newLife(random *rand.Rand) {
-	life := s.lives[len(s.lives)-1]
+func (s *simAgent) newInstance(random *rand.Rand) {
+	instance := s.instances[len(s.instances)-1]
 	switch random.IntN(4) {
 	case 0:
-		life.StartedMS -= 1 + random.Int64N(5000)
+		instance.StartedMS -= 1 + random.Int64N(5000)
 	case 1, 2:
-		life.StartedMS += 1 + random.Int64N(5000)
+		instance.StartedMS += 1 + random.Int64N(5000)
 	case 3:
-		life.ID = fmt.Sprintf("%s-%d", s.addr, len(s.lives))
+		instance.ID = fmt.Sprintf("%s-%d", s.addr, len(s.instances))
 	}
-	s.lives = append(s.lives, life)
+	s.instances = append(s.instances, instance)
 }
 
 func (w *simFleet) startAgent(s *simAgent) {
@@ -38,13 +38,15 @@
 
 func (w *simFleet) heartbeat(s *simAgent) {
 	s.sequence++
-	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Instance: s.lives[s.life], Slots: 2, Sequence: s.sequence, WarmupLeft: s.coldFor(w.now), Age: s.age(w.now)})
+	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Instance: s.instances[s.instance], Slots: 2, Sequence: s.sequence, WarmupLeft: s.warmupLeft(w.now), Age: s.age(w.now)})
 	s.acknowledged = w.now
 	w.fromAgent(s, r)
 }
 
 // age returns how long ago the upstream started by its host's clock.
-func (s *simAgent) age(now time.Duration) time.Duration { return max(0, now-s.born+s.clockOffset) }
+func (s *simAgent) age(now time.Duration) time.Duration {
+	return max(0, now-s.upstreamStarted+s.clockOffset)
+}
 
 // stepClock sets a host's clock back or ahead, by up to 2 s or up to 10 s.
 func (w *simFleet) stepClock(s *simAgent) {
@@ -52,17 +54,17 @@
 	s.clockOffset += time.Duration(w.random.Int64N(int64(2*maxStep))) - maxStep
 }
 
-// coldFor returns how long the upstream reports that it stays cold, 0 if it reports
+// warmupLeft returns how long the upstream reports that it stays cold, 0 if it reports
 // nothing. A real upstream reports at once when it starts, repeats that until a report is
 // acknowledged, and reports again after a heartbeat's interval. A simulated upstream that
 // has not kept to these times reports nothing.
-func (s *simAgent) coldFor(now time.Duration) time.Duration {
-	unheard := s.acknowledged == 0 && now-max(s.born, s.started) <= retryTime
+func (s *simAgent) warmupLeft(now time.Duration) time.Duration {
+	unheard := s.acknowledged == 0 && now-max(s.upstreamStarted, s.started) <= retryTime
 	regular := s.acknowledged != 0 && now-s.acknowledged >= 1200*time.Millisecond
 	if !unheard && !regular {
 		return 0
 	}
-	return max(0, warmup-(now-s.born))
+	return max(0, warmup-(now-s.upstreamStarted))
 }
 
 // restartAgents restarts all agents at once, as after a fault of all hosts that their
@@ -97,19 +99,19 @@
 
 // lateHeartbeat delivers a delayed heartbeat of an earlier instance of the upstream.
 func (w *simFleet) lateHeartbeat(s *simAgent) {
-	if s.life == 0 || s.sequence == 0 {
+	if s.instance == 0 || s.sequence == 0 {
 		return // there is no earlier instance, or the present one has not reported yet
 	}
-	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Instance: s.lives[w.random.IntN(s.life)], Slots: 2, Sequence: 2 + w.random.Uint64N(20)})
+	r, _ := s.gate.Heartbeat(w.now, platform.Heartbeat{Instance: s.instances[w.random.IntN(s.instance)], Slots: 2, Sequence: 2 + w.random.Uint64N(20)})
 	w.fromAgent(s, r)
 }
 
 // replaceUpstream ends the upstream and starts a new instance, which reports at once
 // unless late is set.
 func (w *simFleet) replaceUpstream(s *simAgent, late bool) {
-	s.newLife(w.random)
-	s.life++
-	s.sequence, s.born, s.acknowledged, s.clockOffset = 0, w.now, 0, 0
+	s.newInstance(w.random)
+	s.instance++
+	s.sequence, s.upstreamStarted, s.acknowledged, s.clockOffset = 0, w.now, 0, 0
 	s.held = map[platform.Flow]bool{}
 	if !late {
 		w.heartbeat(s)
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -35,11 +35,11 @@
 	// CallerPort is the port at which callers receive packets.
 	CallerPort uint16
 	// AbsentAfter is the time without an answer from an agent after which flows that it
-	// may hold are reset, if their requests can be repeated; 0 for never.
+	// may hold are reset, if their requests can be retried; 0 for never.
 	AbsentAfter time.Duration
 	// FlowMaxAge is the maximum lifetime of a flow, 0 if it is not known.
 	FlowMaxAge time.Duration
-	// AwaitPeers holds back resets of flows that no upstream holds until SetPeersAsked is
+	// AwaitPeers holds back resets of flows that no upstream holds until AddPeerAgents is
 	// called.
 	AwaitPeers bool
 	// Policies are the optional decisions that are enabled.
@@ -171,9 +171,9 @@
 	// questioned are the agents with questions to send; lastFlush is when questions were
 	// last sent.
 	questioned []*agent
-	// peersAsked is set once other balancers have reported which agents they know.
-	peersAsked bool
-	lastFlush  time.Duration
+	// peerAgentsAdded is set once other balancers have reported which agents they know.
+	peerAgentsAdded bool
+	lastFlush       time.Duration
 	// early are opening packets that arrived before the first list of agents.
 	early  []earlyOpening
 	out    Result
@@ -358,13 +358,13 @@
 	return nil
 }
 
-// known returns which configuration and list of agents the balancer has.
-func (c *Core) known() inner.Versions {
-	k := inner.Versions{Listing: c.roster.age.Newest}
+// versions returns which configuration and list of agents the balancer has.
+func (c *Core) versions() inner.Versions {
+	v := inner.Versions{Listing: c.roster.age.Newest}
 	if c.table != nil {
-		k.Version = c.table.Version
+		v.Version = c.table.Version
 	}
-	return k
+	return v
 }
 
 // coldOf returns how upstreams of a service warm up. If the configuration does not
--- a/internal/packetface/steer/store_restore_test.go
+++ b/internal/packetface/steer/store_restore_test.go
@@ -65,8 +65,8 @@
 		s.era, s.verifyAt = era, w.now+time.Duration(w.random.Int64N(int64(maxVerifyTime)))
 	}
 	w.fromAgent(s, s.gate.CheckListed(w.now, true))
-	alone := s.gate.TakeNoBalancerAnswered()
-	if s.entryLost && s.listedAt == 0 && (s.gate.TakeUnlisted() || alone) && (s.verifyAt == 0 || s.verifyAt > soon) {
+	unanswered := s.gate.TakeNoBalancerAnswered()
+	if s.entryLost && s.listedAt == 0 && (s.gate.TakeUnlisted() || unanswered) && (s.verifyAt == 0 || s.verifyAt > soon) {
 		s.verifyAt = soon
 	}
 	if s.verifyAt == 0 || w.now < s.verifyAt {
--- a/internal/packetface/steer/view.go
+++ b/internal/packetface/steer/view.go
@@ -14,8 +14,8 @@
 type View struct {
 	Counts Counts
 	Routes int
-	// List is how recent the list of agents is, Heard the highest position of an entry
-	// that an agent has reported.
+	// List is how recent the list of agents is, NewestReported the highest position of an
+	// entry that an agent has reported.
 	List           ListAge
 	NewestReported store.Position
 	// Evacuations are the operators' requests to evacuate data centres.
