--- a/internal/agent/follow.go
+++ b/internal/agent/follow.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// judged takes up what the upstream has earned.
-func (a *agent) judged(v health.Verdict) {
+// onVerdict sets the weight of a health verdict, and makes the agent leave if the upstream
+// is draining.
+func (a *agent) onVerdict(v health.Verdict) {
 	a.node.SetLoad(v.Weight)
 	if v.Draining {
 		a.leaving.ask()
@@ -55,7 +56,7 @@
 }
 
 // applyService takes up the configuration of the agent's service. Until there
-// is one, the agent can't tell which requests may repeat, and asks for none.
+// is one, the agent can't tell which requests are idempotent, and asks for none.
 func (a *agent) applyService(service *config.Service) {
 	if slots := service.Limits.Slots; slots > 0 && slots != a.fleet.slots {
 		a.fleet.slots = slots
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -186,7 +186,7 @@
 		Caller:    a.process.Peer,
 		Registry:  a.process.Peer,
 		Tickets:   a.tickets,
-		OnVerdict: a.judged,
+		OnVerdict: a.onVerdict,
 		Events:    a.env.Events,
 		Logger:    a.env.Logger,
 	})
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -144,12 +144,12 @@
 const endless = 1 << 20
 
 func policies() []policy {
-	alone := dispatch.Options{LocalOnly: true, IgnoreDeadlines: true}
+	localOnly := dispatch.Options{LocalOnly: true, IgnoreDeadlines: true}
 	return []policy{
-		{name: "ideal", choose: atRandom, options: alone, single: true, queue: endless},
-		{name: "random", choose: atRandom, options: alone, queue: endless},
-		{name: "round-robin", choose: roundRobin, options: alone, queue: endless},
-		{name: "hash", choose: byHash, options: alone, queue: endless},
+		{name: "ideal", choose: atRandom, options: localOnly, single: true, queue: endless},
+		{name: "random", choose: atRandom, options: localOnly, queue: endless},
+		{name: "round-robin", choose: roundRobin, options: localOnly, queue: endless},
+		{name: "hash", choose: byHash, options: localOnly, queue: endless},
 		{name: "chosen", choose: byHash, queue: endless, health: true},
 	}
 }
