--- a/internal/packetface/policy/policy.go
+++ b/internal/packetface/policy/policy.go
@@ -31,7 +31,7 @@
 	ListedSlots Name = "listed-slots"
 	// Outcomes judges upstreams by the outcomes of their flows and requests (outcome).
 	Outcomes Name = "outcomes"
-	// Repetition assumes that flows opened right after a start repeat earlier requests,
+	// Repetition assumes that flows opened right after a start retry earlier requests,
 	// which have less time left than they appear to have (admission).
 	Repetition Name = "repetition"
 	// SharedWatches lets balancers receive changes of the store through the watch of
--- a/internal/packetface/steer/owner_search.go
+++ b/internal/packetface/steer/owner_search.go
@@ -320,7 +320,7 @@
 }
 
 // maySkip reports whether a search may skip an agent because it is absent: a flow that it
-// may hold makes no progress, and the caller can repeat its requests.
+// may hold makes no progress, and the caller can retry its requests.
 func (c *Core) maySkip(now time.Duration, id platform.Flow, a *agent) bool {
 	route := c.route(id)
 	return route != nil && route.Idempotent && a.isAbsent(now, c.settings.AbsentAfter)
