--- a/internal/balancer/gone.go
+++ b/internal/balancer/gone.go
@@ -12,7 +12,7 @@
 
 // gone holds the data addresses whose agents are gone. A published one is not
 // changed.
-type gone map[netip.AddrPort]*datapath.Gone
+type gone map[netip.AddrPort]*datapath.GoneAddress
 
 // update returns what the snapshot says. An address of which it says the same
 // as before keeps what is known of its silence. One at which an agent lives is
@@ -26,7 +26,7 @@
 		m := &s.Gone[i]
 		at := next[m.Data]
 		if at == nil {
-			at = &datapath.Gone{Service: config.TagOf(m.Service)}
+			at = &datapath.GoneAddress{Service: config.TagOf(m.Service)}
 			next[m.Data] = at
 		}
 		tag := token.IncarnationTag(m.Incarnation)
--- a/internal/datapath/classify.go
+++ b/internal/datapath/classify.go
@@ -10,11 +10,12 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// minInitial is QUIC's least size of a datagram that opens a flow, in bytes.
+// minInitial is the minimum size in bytes that QUIC requires of a datagram that
+// opens a flow.
 const minInitial = 1200
 
-// minInitialID is QUIC's least length of the connection ID that a caller
-// chooses, in bytes.
+// minInitialID is the minimum length in bytes that QUIC requires of the
+// connection ID that a caller chooses for a new flow.
 const minInitialID = 8
 
 // Bits of a QUIC packet's first byte (RFC 9000, RFC 9369).
@@ -23,35 +24,37 @@
 	longType = 0x30
 )
 
-// Types of a long-header packet that opens a flow, by version.
+// QUIC versions, and the packet type of an Initial in each. Version 0 marks a
+// Version Negotiation packet.
 const (
-	version1         = 0x00000001
-	version2         = 0x6b3343cf
-	initialVersion1  = 0x00
-	initialVersion2  = 0x10
-	negotiateVersion = 0
+	version1           = 0x00000001
+	version2           = 0x6b3343cf
+	initialVersion1    = 0x00
+	initialVersion2    = 0x10
+	versionNegotiation = 0
 )
 
-// versionEnd is the length of a long header up to the end of its version, in
-// bytes.
+// versionEnd is the offset in bytes at which the version field of a long header
+// ends.
 const versionEnd = 5
 
-// verdict is what the classify filter found out about a datagram.
+// verdict is the result of the classify filter for one datagram.
 type verdict struct {
 	drop Reason
-	// incarnation is the tag of the agent's incarnation in an open flow.
+	// incarnation is the tag of the agent's incarnation; set for an open flow.
 	incarnation uint16
-	// service is the one that the datagram is meant for.
+	// service is the service that the datagram's flow belongs to.
 	service config.Tag
-	// agent ends the datagram's flow; it is invalid for a new flow.
+	// agent is the data address of the agent that terminates the flow; it is
+	// invalid for a new flow.
 	agent netip.AddrPort
-	// id is the connection ID that the caller chose for a new flow; it shares
-	// the datagram's memory.
+	// id is the connection ID that the caller chose for a new flow; it aliases
+	// the datagram's buffer.
 	id []byte
 }
 
-// classify decides whether a datagram that came in at the face belongs to an
-// open flow, opens a new one, or is to be dropped.
+// classify determines whether a datagram received at the face belongs to an open
+// flow, opens a new flow, or must be dropped.
 func classify(b []byte, f *Face, tokens *token.Codec) verdict {
 	if len(b) > encap.MaxPayload {
 		return verdict{drop: Oversized}
@@ -76,7 +79,8 @@
 	return verdict{service: f.Service, id: id}
 }
 
-// openToken opens a token of the face's service or of a former one.
+// openToken verifies a token against the face's service and, if it belongs to
+// another service, against the face's former services.
 func openToken(id []byte, f *Face, tokens *token.Codec) (t token.Token, err error) {
 	t, err = tokens.Open(id, f.Service)
 	for i := 0; err == token.ErrService && i < len(f.Former); i++ {
@@ -85,17 +89,17 @@
 	return t, err
 }
 
-// opensFlow reports whether a whole long-header packet may be a flow's first. A
-// packet of an unknown version may: the agent answers it with the versions that
-// it knows.
+// opensFlow reports whether a long-header packet, complete up to its version
+// field, may be the first packet of a flow. This includes packets of unknown
+// versions: the agent answers them with a list of the versions that it supports.
 func opensFlow(b []byte) bool {
 	switch binary.BigEndian.Uint32(b[1:versionEnd]) {
 	case version1:
 		return b[0]&(fixedBit|longType) == fixedBit|initialVersion1
 	case version2:
 		return b[0]&(fixedBit|longType) == fixedBit|initialVersion2
-	case negotiateVersion:
-		return false // only servers send it
+	case versionNegotiation:
+		return false // only servers send Version Negotiation packets
 	}
 	return true
 }
--- a/internal/datapath/doc.go
+++ b/internal/datapath/doc.go
@@ -1,6 +1,9 @@
-// Package datapath carries callers' datagrams to agents and the agents'
-// answers back, as filters: receive, classify, route, forward. It keeps no
-// state per flow: what a filter needs comes with the datagram or stands in the
-// current Snapshot, which the control side replaces as a whole. Datagrams
-// never wait for control.
+// Package datapath forwards QUIC datagrams between callers and agents. A face
+// is a public UDP address of a service; an agent is the process that terminates
+// the service's QUIC connections. A flow is one QUIC connection.
+//
+// A datagram passes through a fixed sequence of filters: receive, classify,
+// route, forward. The path keeps no state per flow: a filter uses only the
+// datagram and the current Snapshot, which the control side replaces as a
+// whole. Forwarding never blocks on the control side.
 package datapath
--- a/internal/datapath/forward.go
+++ b/internal/datapath/forward.go
@@ -12,9 +12,9 @@
 type forwardCounters struct {
 	*counters
 	flows, initials *metrics.Counter
-	// resets counts datagrams answered for an agent that is gone, asks the
-	// probes of such agents.
-	resets, asks *metrics.Counter
+	// resets counts datagrams answered with a stateless reset because their
+	// agent is gone; probes counts the probes sent to such agents.
+	resets, probes *metrics.Counter
 }
 
 func newForwardCounters() *forwardCounters {
@@ -23,25 +23,28 @@
 		flows:    metrics.GetOrCreateCounter(`saltbend_balancer_forwarded_total{kind="flow"}`),
 		initials: metrics.GetOrCreateCounter(`saltbend_balancer_forwarded_total{kind="initial"}`),
 		resets:   metrics.GetOrCreateCounter(`saltbend_balancer_resets_total`),
-		asks:     metrics.GetOrCreateCounter(`saltbend_balancer_gone_probes_total`),
+		probes:   metrics.GetOrCreateCounter(`saltbend_balancer_gone_probes_total`),
 	}
 }
 
-// forwarder decides on the datagrams of one face; it belongs to one goroutine.
+// forwarder decides where to forward the datagrams of one face. It must be used
+// by one goroutine only.
 type forwarder struct {
 	view
 	face   *Face
 	header encap.Header
 	resets *rate.Limiter
-	// agent is the one in whose place decide wants the caller told.
-	agent netip.AddrPort
+	// resetAgent is the data address of the agent on whose behalf the caller is to
+	// be sent a reset; decide sets it when it returns the resets counter.
+	resetAgent netip.AddrPort
 }
 
 func newForwarder(self, public netip.AddrPort, resets *rate.Limiter) *forwarder {
 	return &forwarder{resets: resets, header: encap.Header{Kind: encap.KindForward, Face: public, Balancer: self}}
 }
 
-// serveFace carries the datagrams of one face until its socket is closed.
+// serveFace forwards the datagrams received at one face until its socket is
+// closed.
 func (p *Path) serveFace(s *Socket) {
 	defer s.replies.close()
 	f := newForwarder(p.self, s.face, p.resets)
@@ -63,7 +66,7 @@
 	}
 }
 
-// use makes the snapshot the one that decide acts on.
+// use makes decide act on the snapshot.
 func (f *forwarder) use(s *Snapshot) {
 	if !f.view.use(s) {
 		return
@@ -72,10 +75,11 @@
 	f.header.Revision = s.Revision
 }
 
-// decide runs the datagram behind the buffer's headroom through classify and
-// route and writes its header. It returns the agent and what to count; the
-// agent is invalid for a datagram to be dropped, or answered in the place of
-// f.agent.
+// decide classifies and routes the datagram that follows the headroom at the
+// start of the buffer, and writes the encapsulation header into the headroom. It
+// returns the agent to send to and the counter to increment. The agent is invalid
+// if the datagram is to be dropped, or answered with a reset on behalf of
+// f.resetAgent.
 func (f *forwarder) decide(buffer []byte, end int, caller netip.AddrPort, c *forwardCounters) (netip.AddrPort, *metrics.Counter) {
 	if f.face == nil {
 		return netip.AddrPort{}, c.drops[NoFace]
@@ -87,8 +91,8 @@
 	if v.drop != None {
 		return netip.AddrPort{}, c.drops[v.drop]
 	}
-	if len(f.snapshot.Gone) != 0 && f.tells(buffer[encap.HeaderSize:end], &v) {
-		f.agent = v.agent
+	if len(f.snapshot.Gone) != 0 && f.shouldReset(buffer[encap.HeaderSize:end], &v) {
+		f.resetAgent = v.agent
 		return netip.AddrPort{}, c.resets
 	}
 	agent, reason := route(f.face, caller, &v)
@@ -105,7 +109,8 @@
 	return agent, c.initials
 }
 
-// tells reports whether the caller is to be told that the flow's agent is gone.
-func (f *forwarder) tells(datagram []byte, v *verdict) bool {
-	return f.snapshot.Gone[v.agent].resets(datagram, v.incarnation) && f.resets.Allow()
+// shouldReset reports whether to answer the datagram with a stateless reset
+// because the flow's agent is gone and the rate limit allows another reset.
+func (f *forwarder) shouldReset(datagram []byte, v *verdict) bool {
+	return f.snapshot.Gone[v.agent].needsReset(datagram, v.incarnation) && f.resets.Allow()
 }
--- a/internal/datapath/gone.go
+++ b/internal/datapath/gone.go
@@ -16,108 +16,112 @@
 )
 
 const (
-	// askEvery is the time between probes of an agent that is gone.
-	askEvery = time.Second
-	// silentAfter probes without a sign of life, an agent counts as silent: the
-	// first of them is three times askEvery old by then.
-	silentAfter = 4
-	// asksAtOnce bounds the probes of one round. With more agents gone, it takes
-	// longer until they count as silent.
-	asksAtOnce = 256
+	// probeInterval is the time between probes of an agent that is gone.
+	probeInterval = time.Second
+	// unresponsiveAfter is the number of probes without a response after which an
+	// agent counts as unresponsive. The first of them was then sent three times
+	// probeInterval ago.
+	unresponsiveAfter = 4
+	// maxProbesPerRound limits the probes of one round. If more agents are gone, it
+	// takes longer until they count as unresponsive.
+	maxProbesPerRound = 256
 )
 
-// Resets a second, of each balancer. A caller whose reset is not sent learns by
-// its next packet.
+// Limits of the stateless resets that each balancer sends: resets per second and
+// burst. A caller whose reset was suppressed can get one in answer to its next
+// packet.
 const (
 	resetRate  = 300
 	resetBurst = 300
 )
 
-// Gone is a data address of which the fleet says that its agents are gone. The
-// fleet may be wrong about one that is cut off, so the address is probed, and
-// any datagram from it is a sign of life.
-type Gone struct {
-	// Service is that of the last agent at the address.
+// GoneAddress is a data address whose agents the fleet considers gone: they left
+// or failed. An agent that is only cut off from the fleet may still serve its
+// flows, so the balancer probes the address, and any authenticated datagram from
+// the address counts as a response.
+type GoneAddress struct {
+	// Service is the service of the last agent at the address.
 	Service config.Tag
-	// Incarnations are the tags of the agents that are gone.
+	// Incarnations are the incarnation tags of the agents that are gone.
 	Incarnations []uint16
-	// unanswered counts the probes since the last sign of life.
+	// unanswered counts the probes since the last response.
 	unanswered atomic.Int32
 }
 
-// heard notes a sign of life.
-func (g *Gone) heard() { g.unanswered.Store(0) }
+// recordResponse resets the count of unanswered probes.
+func (g *GoneAddress) recordResponse() { g.unanswered.Store(0) }
 
-// asked notes a probe.
-func (g *Gone) asked() { g.unanswered.Add(1) }
+// recordProbe counts a probe as unanswered until the next response.
+func (g *GoneAddress) recordProbe() { g.unanswered.Add(1) }
 
-// resets reports whether the open flow of a datagram is to be reset: its agent
-// is gone, and silent.
-func (g *Gone) resets(datagram []byte, incarnation uint16) bool {
+// needsReset reports whether to answer a datagram of an open flow with a
+// stateless reset: its agent is gone and unresponsive, and the datagram is long
+// enough to be answered by a reset.
+func (g *GoneAddress) needsReset(datagram []byte, incarnation uint16) bool {
 	return g != nil &&
 		!quicid.IsLong(datagram) &&
 		len(datagram) >= reset.MinTrigger &&
 		slices.Contains(g.Incarnations, incarnation) &&
-		g.unanswered.Load() >= silentAfter
+		g.unanswered.Load() >= unresponsiveAfter
 }
 
-func newResetLimit() *rate.Limiter {
+func newResetLimiter() *rate.Limiter {
 	return rate.NewLimiter(resetRate, resetBurst)
 }
 
-// resetFlow answers the datagram behind the buffer's headroom in the place of
-// its agent, and returns the buffer to use next.
+// resetFlow answers the datagram that follows the buffer's headroom with
+// stateless resets on behalf of its agent, and returns the buffer to use next.
 func (p *Path) resetFlow(s *Socket, f *forwarder, buffer []byte, end int, caller netip.AddrPort) []byte {
 	datagram := buffer[encap.HeaderSize:end]
-	id, _ := quicid.Destination(datagram, token.Size) // decide has read it
-	for _, packet := range f.keys.Resets.Packets(f.agent, id, len(datagram)) {
+	id, _ := quicid.Destination(datagram, token.Size) // decide has checked the length
+	for _, packet := range f.keys.Resets.Packets(f.resetAgent, id, len(datagram)) {
 		n := copy(buffer, packet)
 		buffer = s.replies.add(buffer, 0, n, caller)
 	}
 	return buffer
 }
 
-// askGone probes the agents that are gone, until the path is closed.
-func (p *Path) askGone() {
-	ticker := time.NewTicker(askEvery)
+// probeGone probes the agents that are gone, until the path is closed.
+func (p *Path) probeGone() {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
-	a := &asker{path: p, buffer: make([]byte, bufferSize)}
+	pr := &prober{path: p, buffer: make([]byte, bufferSize)}
 	for {
 		select {
 		case <-p.closed:
 			return
 		case <-ticker.C:
-			a.round(p.snapshot.Load())
+			pr.probeRound(p.snapshot.Load())
 		}
 	}
 }
 
-// asker sends probes; it belongs to one goroutine.
-type asker struct {
+// prober sends probes. It must be used by one goroutine only.
+type prober struct {
 	view
 	path   *Path
 	buffer []byte
 }
 
-// round probes each agent that is gone, asksAtOnce at most.
-func (a *asker) round(s *Snapshot) {
-	a.use(s)
-	left := asksAtOnce
+// probeRound probes each agent that is gone, at most maxProbesPerRound of them.
+func (pr *prober) probeRound(s *Snapshot) {
+	pr.use(s)
+	left := maxProbesPerRound
 	for addr, g := range s.Gone {
 		if left == 0 {
 			return
 		}
 		left--
-		a.ask(addr, g)
+		pr.probe(addr, g)
 	}
 }
 
-func (a *asker) ask(addr netip.AddrPort, g *Gone) {
-	h := encap.Header{Kind: encap.KindProbe, Service: g.Service, Balancer: a.path.self}
-	if a.keys.Headers.Encode(a.buffer, &h) != nil {
+func (pr *prober) probe(addr netip.AddrPort, g *GoneAddress) {
+	h := encap.Header{Kind: encap.KindProbe, Service: g.Service, Balancer: pr.path.self}
+	if pr.keys.Headers.Encode(pr.buffer, &h) != nil {
 		return
 	}
-	g.asked()
-	a.path.forward.asks.Inc()
-	a.buffer = a.path.toAgents.add(a.buffer, 0, encap.HeaderSize, addr)
+	g.recordProbe()
+	pr.path.forward.probes.Inc()
+	pr.buffer = pr.path.toAgents.add(pr.buffer, 0, encap.HeaderSize, addr)
 }
--- a/internal/datapath/path.go
+++ b/internal/datapath/path.go
@@ -10,39 +10,40 @@
 	"golang.org/x/time/rate"
 )
 
-// Path is a balancer's data path. Each socket has one goroutine that receives,
-// classifies and routes, and one that sends.
+// Path is the data path of a balancer. Each socket has one goroutine that
+// receives, classifies and routes datagrams, and one that sends them.
 type Path struct {
 	data     *net.UDPConn
 	self     netip.AddrPort
 	snapshot atomic.Pointer[Snapshot]
 	forward  *forwardCounters
 	reply    *replyCounters
-	// toAgents goes out through data.
+	// toAgents sends through data.
 	toAgents *queue
-	// resets limits the resets of all faces.
-	resets *rate.Limiter
-	closed chan struct{}
-	once   sync.Once
+	// resets is the rate limit that all faces share for stateless resets.
+	resets    *rate.Limiter
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// Start returns a running path that exchanges encapsulated datagrams with
-// agents through data. self is the address of data as agents reach it; first
-// is the first snapshot.
+// Start returns a running path that exchanges encapsulated datagrams with agents
+// through the socket data. self is the address at which agents reach that socket;
+// first is the first snapshot.
 func Start(data *net.UDPConn, self netip.AddrPort, first *Snapshot) *Path {
 	p := &Path{
 		data: data, self: self, forward: newForwardCounters(), reply: newReplyCounters(),
-		resets: newResetLimit(), closed: make(chan struct{}),
+		resets: newResetLimiter(), closed: make(chan struct{}),
 	}
-	p.toAgents = newQueue(ipv4.NewPacketConn(data), dataBatch, p.forward.refused)
+	p.toAgents = newQueue(ipv4.NewPacketConn(data), dataBatch, p.forward.countSendError)
 	p.Publish(first)
 	go p.toAgents.run()
 	go p.serveReplies()
-	go p.askGone()
+	go p.probeGone()
 	return p
 }
 
-// Publish puts a snapshot in force and starts its sockets that do not run yet.
+// Publish makes the path use the snapshot and starts those of its sockets that
+// are not running yet.
 func (p *Path) Publish(s *Snapshot) {
 	for _, f := range s.Faces {
 		f.Socket.start.Do(func() { p.startFace(f.Socket) })
@@ -51,14 +52,14 @@
 }
 
 func (p *Path) startFace(s *Socket) {
-	s.replies = newQueue(ipv4.NewPacketConn(s.conn), faceBatch, p.reply.refused)
+	s.replies = newQueue(ipv4.NewPacketConn(s.conn), faceBatch, p.reply.countSendError)
 	go s.replies.run()
 	go p.serveFace(s)
 }
 
-// Close closes the data socket and all face sockets of the snapshot in force.
+// Close closes the data socket and all face sockets of the current snapshot.
 func (p *Path) Close() {
-	p.once.Do(func() { close(p.closed) })
+	p.closeOnce.Do(func() { close(p.closed) })
 	_ = p.data.Close()
 	p.toAgents.close()
 	for _, f := range p.snapshot.Load().Faces {
--- a/internal/datapath/queue.go
+++ b/internal/datapath/queue.go
@@ -11,42 +11,44 @@
 	"github.com/saltbend/saltbend/internal/encap"
 )
 
-// bufferSize holds the largest datagram and a byte more, by which a larger one
-// shows.
+// bufferSize is one byte more than the largest datagram: a read that fills the
+// buffer reveals an oversized datagram.
 const bufferSize = encap.MaxDatagram + 1
 
-// Numbers of datagrams that one system call sends at most. A queue holds twice
-// as many buffers.
+// Maximum numbers of datagrams per send system call, for the data socket and for
+// a face's socket. A queue allocates twice as many buffers.
 const (
 	dataBatch = 64
 	faceBatch = 16
 )
 
-// queue sends datagrams through one socket. Those that come while a system
-// call is under way leave together in the next one. A full queue makes add
-// wait; what comes in meanwhile waits in the kernel's receive buffer.
+// queue sends datagrams in batches through one socket. Datagrams added while a
+// system call is in progress are sent together by the next one. While the queue
+// is full, add blocks, and incoming datagrams wait in the kernel's receive buffer.
 type queue struct {
-	conn    *ipv4.PacketConn
-	refused func()
+	conn        *ipv4.PacketConn
+	onSendError func()
 
 	mu      sync.Mutex
 	space   sync.Cond // signalled when filling has room
 	filling *batch
 	closed  bool
-	// wake holds a value while filling may be non-empty and not yet taken.
+	// wake holds a value while filling may contain datagrams that run has not
+	// taken yet.
 	wake chan struct{}
 }
 
-// newQueue returns a queue with batches of size datagrams. refused is called
-// for each datagram that the kernel does not take. The caller starts run.
-func newQueue(conn *ipv4.PacketConn, size int, refused func()) *queue {
-	q := &queue{conn: conn, refused: refused, filling: newBatch(size), wake: make(chan struct{}, 1)}
+// newQueue returns a queue that sends up to size datagrams at once. onSendError is
+// called for each datagram that the kernel fails to send. The caller must start
+// run.
+func newQueue(conn *ipv4.PacketConn, size int, onSendError func()) *queue {
+	q := &queue{conn: conn, onSendError: onSendError, filling: newBatch(size), wake: make(chan struct{}, 1)}
 	q.space.L = &q.mu
 	return q
 }
 
-// add queues the bytes from to end of buffer for an IPv4 address. It takes the
-// buffer over and returns another of the same size in its place.
+// add queues buffer[from:end] for sending to an IPv4 address. It takes ownership
+// of buffer and returns another one of the same size.
 func (q *queue) add(buffer []byte, from, end int, to netip.AddrPort) []byte {
 	q.mu.Lock()
 	for q.filling.full() && !q.closed {
@@ -84,14 +86,14 @@
 		q.filling, sending = sending, q.filling
 		q.space.Broadcast()
 		q.mu.Unlock()
-		if err := sending.send(q.conn, q.refused); err != nil {
+		if err := sending.send(q.conn, q.onSendError); err != nil {
 			q.close()
 			return
 		}
 	}
 }
 
-// close ends run and makes add drop what it gets.
+// close stops run and makes add discard further datagrams.
 func (q *queue) close() {
 	q.mu.Lock()
 	q.closed = true
@@ -100,29 +102,30 @@
 	q.signal()
 }
 
-// batch holds datagrams that leave in one system call.
+// batch holds datagrams to be sent by one system call.
 type batch struct {
-	messages []ipv4.Message
-	buffers  [][]byte
-	targets  []target
-	n        int
+	messages     []ipv4.Message
+	buffers      [][]byte
+	destinations []destination
+	n            int
 }
 
-// target is the memory of a destination's address.
-type target struct {
+// destination is preallocated memory for the address of one datagram, so that
+// sending does not allocate.
+type destination struct {
 	addr net.UDPAddr
 	ip   [net.IPv4len]byte
 }
 
 func newBatch(size int) *batch {
 	b := &batch{
-		messages: make([]ipv4.Message, size),
-		buffers:  make([][]byte, size),
-		targets:  make([]target, size),
+		messages:     make([]ipv4.Message, size),
+		buffers:      make([][]byte, size),
+		destinations: make([]destination, size),
 	}
 	memory := make([]byte, size*bufferSize)
 	for i := range b.messages {
-		t := &b.targets[i]
+		t := &b.destinations[i]
 		t.addr.IP = t.ip[:]
 		b.messages[i].Addr = &t.addr
 		b.messages[i].Buffers = make([][]byte, 1)
@@ -134,9 +137,10 @@
 func (b *batch) size() int  { return len(b.messages) }
 func (b *batch) full() bool { return b.n == len(b.messages) }
 
-// add puts a datagram behind the others; the batch must not be full.
+// add appends a datagram and returns a spare buffer in exchange; the batch must
+// not be full.
 func (b *batch) add(buffer []byte, from, end int, to netip.AddrPort) []byte {
-	t := &b.targets[b.n]
+	t := &b.destinations[b.n]
 	t.ip = to.Addr().As4()
 	t.addr.Port = int(to.Port())
 	b.messages[b.n].Buffers[0] = buffer[from:end]
@@ -146,8 +150,9 @@
 	return spare
 }
 
-// send empties the batch. It returns an error only when the socket is closed.
-func (b *batch) send(conn *ipv4.PacketConn, refused func()) error {
+// send sends all datagrams and empties the batch. It returns an error only if the
+// socket is closed.
+func (b *batch) send(conn *ipv4.PacketConn, onSendError func()) error {
 	pending := b.messages[:b.n]
 	b.n = 0
 	for len(pending) > 0 {
@@ -156,7 +161,7 @@
 			return err
 		}
 		if err != nil {
-			refused() // the first one; the others may pass
+			onSendError() // only the first datagram failed; try the others
 			sent = 1
 		}
 		pending = pending[sent:]
--- a/internal/datapath/reason.go
+++ b/internal/datapath/reason.go
@@ -9,39 +9,46 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// Reason tells why a datagram was dropped; None means that it was not.
+// Reason is the reason for which a datagram was dropped; None means that it was
+// not dropped.
 type Reason uint8
 
 // Reasons for which datagrams are dropped.
 const (
 	None Reason = iota
-	// Oversized: it does not fit into one encapsulated datagram.
+	// Oversized means that the datagram does not fit into one encapsulated
+	// datagram.
 	Oversized
-	// Truncated: it ends before its connection ID or header does.
+	// Truncated means that the datagram ends within its connection ID or header.
 	Truncated
-	// OtherService: its token belongs to another service than the face.
+	// OtherService means that the service in the token or header is neither the
+	// face's service nor a former one.
 	OtherService
-	// UnknownKey: it is signed with a secret that the process does not hold.
+	// UnknownKey means that the datagram is signed with a secret that the process
+	// does not have.
 	UnknownKey
-	// Forged: its MAC does not match.
+	// Forged means that the MAC does not match.
 	Forged
-	// NotInitial: it has no valid token and can't open a flow.
+	// NotInitial means that the datagram has no valid token and can't open a flow.
 	NotInitial
-	// SmallInitial: an Initial below QUIC's least size.
+	// SmallInitial means that an Initial is below the minimum size of QUIC.
 	SmallInitial
-	// NoFace: the face is not in the configuration in force.
+	// NoFace means that the balancer has no such face open.
 	NoFace
-	// FaceDraining: a new flow at a face that the configuration has dropped.
+	// FaceDraining means that the datagram opens a flow at a face that was removed
+	// from the configuration.
 	FaceDraining
-	// NoAgent: a new flow while the service has no agent for it.
+	// NoAgent means that the datagram opens a flow, but the service has no agent
+	// that accepts new flows.
 	NoAgent
-	// BadHeader: an encapsulation header of another version or kind.
+	// BadHeader means that the encapsulation header has an unknown version or kind,
+	// or an address that is missing or can't be encoded.
 	BadHeader
-	// WrongKind: a kind of datagram that balancers do not take.
+	// WrongKind means that balancers do not accept datagrams of this kind.
 	WrongKind
-	// BadSource: it came from no IPv4 address.
+	// BadSource means that the sender's address is not IPv4.
 	BadSource
-	// SendFailed: the kernel refused to send it.
+	// SendFailed means that the kernel refused to send the datagram.
 	SendFailed
 
 	reasonCount
@@ -73,7 +80,7 @@
 	return reasonNames[r]
 }
 
-// counters count what becomes of the datagrams of one direction.
+// counters counts the dropped datagrams of one direction by reason.
 type counters struct {
 	drops [reasonCount]*metrics.Counter
 }
@@ -87,12 +94,12 @@
 	return c
 }
 
-// refused counts a datagram that the kernel did not take.
-func (c *counters) refused() {
+// countSendError counts a datagram that the kernel refused to send.
+func (c *counters) countSendError() {
 	c.drops[SendFailed].Inc()
 }
 
-// tokenReason translates an error of token.Codec.Open.
+// tokenReason returns the drop reason for an error of token.Codec.Open.
 func tokenReason(err error) Reason {
 	switch err {
 	case token.ErrService:
@@ -105,7 +112,7 @@
 	return NotInitial
 }
 
-// headerReason translates an error of encap.Codec.Decode.
+// headerReason returns the drop reason for an error of encap.Codec.Decode.
 func headerReason(err error) Reason {
 	switch err {
 	case encap.ErrShort:
--- a/internal/datapath/reply.go
+++ b/internal/datapath/reply.go
@@ -11,27 +11,30 @@
 type replyCounters struct {
 	*counters
 	replies, probes *metrics.Counter
-	// heard counts datagrams of agents that are thought to be gone.
-	heard *metrics.Counter
+	// goneResponses counts datagrams from addresses whose agents the fleet considers
+	// gone.
+	goneResponses *metrics.Counter
 }
 
 func newReplyCounters() *replyCounters {
 	return &replyCounters{
-		counters: newCounters("reply"),
-		replies:  metrics.GetOrCreateCounter(`saltbend_balancer_forwarded_total{kind="reply"}`),
-		probes:   metrics.GetOrCreateCounter(`saltbend_balancer_probes_total`),
-		heard:    metrics.GetOrCreateCounter(`saltbend_balancer_gone_heard_total`),
+		counters:      newCounters("reply"),
+		replies:       metrics.GetOrCreateCounter(`saltbend_balancer_forwarded_total{kind="reply"}`),
+		probes:        metrics.GetOrCreateCounter(`saltbend_balancer_probes_total`),
+		goneResponses: metrics.GetOrCreateCounter(`saltbend_balancer_gone_heard_total`),
 	}
 }
 
-// replier decides on the datagrams of agents; it belongs to one goroutine.
+// replier handles the datagrams that agents send. It must be used by one
+// goroutine only.
 type replier struct {
 	view
 	toAgents *queue
 	counters *replyCounters
 }
 
-// serveReplies carries what agents send until the data socket is closed.
+// serveReplies handles the datagrams that agents send until the data socket is
+// closed.
 func (p *Path) serveReplies() {
 	r := &replier{toAgents: p.toAgents, counters: p.reply}
 	buffer := make([]byte, bufferSize)
@@ -45,8 +48,9 @@
 	}
 }
 
-// handle queues the first end bytes of the buffer where they belong, or counts
-// why not. It returns the buffer to use next.
+// handle processes the datagram in the first end bytes of the buffer: it queues a
+// reply for its caller, answers a probe, or counts the reason for a drop. It
+// returns the buffer to use next.
 func (r *replier) handle(buffer []byte, end int, from netip.AddrPort) []byte {
 	if end > encap.MaxDatagram {
 		return r.dropped(buffer, Oversized)
@@ -55,29 +59,29 @@
 	if err != nil {
 		return r.dropped(buffer, headerReason(err))
 	}
-	known := len(r.snapshot.Gone) != 0 && r.heard(from)
+	fromGone := len(r.snapshot.Gone) != 0 && r.recordResponse(from)
 	switch h.Kind {
 	case encap.KindReply:
 		return r.reply(buffer, end, &h)
 	case encap.KindProbe:
-		return r.probe(buffer, &h, from)
+		return r.answerProbe(buffer, &h, from)
 	case encap.KindProbeReply:
-		if known {
+		if fromGone {
 			return buffer
 		}
 	}
 	return r.dropped(buffer, WrongKind)
 }
 
-// heard notes a sign of life of an agent that is thought to be gone, and reports
-// whether the sender is one.
-func (r *replier) heard(from netip.AddrPort) bool {
+// recordResponse records a response if the sender's address is one whose agents
+// the fleet considers gone, and reports whether it is.
+func (r *replier) recordResponse(from netip.AddrPort) bool {
 	g := r.snapshot.Gone[from]
 	if g == nil {
 		return false
 	}
-	g.heard()
-	r.counters.heard.Inc()
+	g.recordResponse()
+	r.counters.goneResponses.Inc()
 	return true
 }
 
@@ -86,13 +90,14 @@
 	return buffer
 }
 
-// reply queues the payload at the socket of the caller's face.
+// reply queues the payload for sending through the socket of the face that the
+// caller uses.
 func (r *replier) reply(buffer []byte, end int, h *encap.Header) []byte {
 	face := r.snapshot.Faces[h.Face]
 	if face == nil {
 		return r.dropped(buffer, NoFace)
 	}
-	if !face.carries(h.Service) {
+	if !face.accepts(h.Service) {
 		return r.dropped(buffer, OtherService)
 	}
 	if !h.Caller.IsValid() {
@@ -102,8 +107,8 @@
 	return face.Socket.replies.add(buffer, encap.HeaderSize, end, h.Caller)
 }
 
-// probe turns a probe into its answer.
-func (r *replier) probe(buffer []byte, h *encap.Header, from netip.AddrPort) []byte {
+// answerProbe turns a probe into its answer and queues it for the sender.
+func (r *replier) answerProbe(buffer []byte, h *encap.Header, from netip.AddrPort) []byte {
 	if !from.Addr().Is4() {
 		return r.dropped(buffer, BadSource)
 	}
--- a/internal/datapath/route.go
+++ b/internal/datapath/route.go
@@ -9,7 +9,8 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// route decides where a classified datagram of a face goes.
+// route returns the agent for a classified datagram: the one in its token if the
+// flow is open, else one chosen for the new flow.
 func route(f *Face, caller netip.AddrPort, v *verdict) (netip.AddrPort, Reason) {
 	if v.agent.IsValid() {
 		return v.agent, None
@@ -24,8 +25,8 @@
 	return agent, None
 }
 
-// flowKey identifies a new flow: a retransmitted Initial gets the same key at
-// every balancer.
+// flowKey returns the hash of a new flow's caller address and connection ID. A
+// retransmitted Initial thus has the same key at every balancer.
 func flowKey(caller netip.AddrPort, id []byte) uint64 {
 	var b [6 + token.Size]byte
 	ip := caller.Addr().As4()
--- a/internal/datapath/snapshot.go
+++ b/internal/datapath/snapshot.go
@@ -12,39 +12,40 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// Snapshot is what the filters act on at one moment. It is immutable once it
-// was published.
+// Snapshot holds the configuration, keys and agents that the filters use. It must
+// not be changed after it was published.
 type Snapshot struct {
-	// Revision is the configuration's revision, told to the agents.
+	// Revision is the revision of the configuration; headers to agents carry it.
 	Revision uint64
 	Keys     *Keys
 	// Faces holds the open faces by their public address.
 	Faces map[netip.AddrPort]*Face
-	// Gone holds the agents that are gone, by data address.
-	Gone map[netip.AddrPort]*Gone
+	// Gone holds the data addresses whose agents are gone.
+	Gone map[netip.AddrPort]*GoneAddress
 }
 
-// Face is one public address of a service as a balancer serves it.
+// Face is one public address of a service, with the socket and the agents that
+// this balancer uses for it.
 type Face struct {
 	Socket  *Socket
 	Service config.Tag
-	// Former are services that had the face before: their open flows go on,
-	// new flows are Service's.
+	// Former are the services that had the face previously: their open flows are
+	// still forwarded, but new flows go to Service.
 	Former []config.Tag
-	// Agents may get the face's new flows.
+	// Agents are the candidates for the face's new flows.
 	Agents *placement.Set
-	// Draining is set once the configuration has dropped the face: open flows
-	// go on, new ones are refused.
+	// Draining is set after the face was removed from the configuration: datagrams
+	// of open flows are still forwarded, new flows are dropped.
 	Draining bool
 }
 
-// carries reports whether flows of the service may use the face.
-func (f *Face) carries(service config.Tag) bool {
+// accepts reports whether flows of the service may use the face.
+func (f *Face) accepts(service config.Tag) bool {
 	return f.Service == service || slices.Contains(f.Former, service)
 }
 
-// Keys are the codecs of the current secrets. Each goroutine clones them once
-// for each new value.
+// Keys holds the codecs derived from the current secrets. A codec is not safe for
+// concurrent use, so each goroutine clones each new value once.
 type Keys struct {
 	Tokens  *token.Codec
 	Headers *encap.Codec
@@ -56,19 +57,18 @@
 	return &Keys{Tokens: token.NewCodec(ring), Headers: encap.NewCodec(ring), Resets: reset.NewKeys(ring)}
 }
 
-// clone returns codecs for one goroutine.
+// clone returns codecs for use by one goroutine.
 func (k *Keys) clone() Keys {
 	return Keys{Tokens: k.Tokens.Clone(), Headers: k.Headers.Clone(), Resets: k.Resets}
 }
 
-// view is the snapshot that one goroutine acts on, with its own copy of the
-// keys.
+// view is the snapshot that one goroutine uses, with its own clone of the codecs.
 type view struct {
 	snapshot *Snapshot
 	keys     Keys
 }
 
-// use makes s the snapshot of the view. It reports whether it is another one.
+// use makes s the snapshot of the view and reports whether the view changed.
 func (v *view) use(s *Snapshot) bool {
 	if v.snapshot == s {
 		return false
--- a/internal/datapath/socket.go
+++ b/internal/datapath/socket.go
@@ -10,21 +10,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// SocketBuffer is the size in bytes that is asked of the kernel for the
-// receive and the send buffer; it may grant less.
+// SocketBuffer is the size in bytes requested from the kernel for the receive
+// buffer and for the send buffer; the kernel may grant less.
 const SocketBuffer = 4 << 20
 
-// Socket is the UDP socket of one public face. Datagrams to callers leave
-// through it, so that they come from the address that the caller sent to.
+// Socket is the UDP socket of one public face. Datagrams to callers are sent
+// through it, so that their source is the address that the caller sent to.
 type Socket struct {
 	face  netip.AddrPort
 	conn  *net.UDPConn
 	start sync.Once
-	// replies go out to callers; set by start.
+	// replies is the queue of datagrams to callers; set when the path starts the
+	// socket.
 	replies *queue
 }
 
-// Open binds the socket of a face at the local address bind.
+// Open binds the socket of a face to the local address bind.
 func Open(face, bind netip.AddrPort) (*Socket, error) {
 	conn, err := Bind(bind)
 	if err != nil {
@@ -33,20 +34,21 @@
 	return &Socket{face: face, conn: conn}, nil
 }
 
-// Bind opens a UDP socket at addr with buffers for bursts.
+// Bind opens an IPv4 UDP socket at addr and requests buffers of SocketBuffer bytes
+// to absorb bursts.
 func Bind(addr netip.AddrPort) (*net.UDPConn, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	// Smaller buffers only cost throughput.
+	// Errors are ignored: smaller buffers only reduce throughput.
 	_ = conn.SetReadBuffer(SocketBuffer)
 	_ = conn.SetWriteBuffer(SocketBuffer)
 	return conn, nil
 }
 
 // ReceiveBuffer returns the size in bytes of the receive buffer that the kernel
-// granted, without its own overhead.
+// granted, without the kernel's overhead.
 func ReceiveBuffer(conn *net.UDPConn) (int, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -60,15 +62,15 @@
 	if err == nil {
 		err = optErr
 	}
-	return size / 2, errors.WithStack(err) // the kernel doubles what it is asked for
+	return size / 2, errors.WithStack(err) // the kernel doubles the requested size
 }
 
-// Addr returns the local address.
+// Addr returns the socket's local address.
 func (s *Socket) Addr() netip.AddrPort {
 	return localAddr(s.conn)
 }
 
-// Close closes the socket; its goroutines end.
+// Close closes the socket, which ends its goroutines.
 func (s *Socket) Close() error {
 	return s.conn.Close()
 }
@@ -81,13 +83,13 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// receiveRetry is the pause after an error of a socket that is not closed.
-const receiveRetry = 10 * time.Millisecond
+// receiveRetryDelay is the delay before the next read after a receive error.
+const receiveRetryDelay = 10 * time.Millisecond
 
-// receive reads one datagram behind the first headroom bytes of the buffer and
-// returns where it ends, and the IPv4 sender. It fails only once the socket is
-// closed. Reads are not batched: the socket library allocates each sender's
-// address in a batched read, which costs what the saved system call brings.
+// receive reads one datagram into the buffer, after the first headroom bytes, and
+// returns the offset of its end and its sender. It fails only if the socket is
+// closed. Reads are not batched: in a batched read the socket library allocates
+// each sender's address, which costs as much as the saved system calls gain.
 func receive(conn *net.UDPConn, buffer []byte, headroom int) (end int, from netip.AddrPort, err error) {
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer[headroom:])
@@ -97,6 +99,6 @@
 		if errors.Is(err, net.ErrClosed) {
 			return 0, from, err
 		}
-		time.Sleep(receiveRetry)
+		time.Sleep(receiveRetryDelay)
 	}
 }
