--- a/internal/datapath/bench_test.go
+++ b/internal/datapath/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/saltbend/saltbend/internal/encap"
 )
 
-// BenchmarkDecision measures classify, route and the header of one datagram,
-// without sockets.
+// BenchmarkDecision measures classification, routing and header encoding of one
+// datagram, without sockets.
 func BenchmarkDecision(b *testing.B) {
 	k := testKeys(b, testSecrets)
 	var agents []netip.AddrPort
@@ -27,14 +27,14 @@
 	for _, tc := range []struct {
 		name   string
 		packet []byte
-		vary   int // the byte to change each time, if any
+		vary   int // offset of the byte that changes with each datagram
 	}{
-		{"flow", short(k, results, agent1, 400), 300},
-		{"initial", long(fixedBit, version1, []byte("12345678"), 1252), longIDAt},
-		{"forged", short(testKeys(b, otherSecrets), results, agent1, 400), 300},
+		{"flow", shortPacket(k, results, agent1, 400), 300},
+		{"initial", longPacket(fixedBit, version1, []byte("12345678"), 1252), longIDAt},
+		{"forged", shortPacket(testKeys(b, otherSecrets), results, agent1, 400), 300},
 	} {
 		b.Run(tc.name, func(b *testing.B) {
-			f := newForwarder(agent1, publicFace, newResetLimit())
+			f := newForwarder(agent1, publicFace, newResetLimiter())
 			f.use(&Snapshot{Keys: k, Faces: map[netip.AddrPort]*Face{publicFace: face}})
 			c := newForwardCounters()
 			buffer := make([]byte, bufferSize)
@@ -48,8 +48,8 @@
 	}
 }
 
-// bareRelay reads batches at one socket and sends them on from another, and
-// does nothing else.
+// bareRelay reads batches from one socket and sends them through another without
+// processing them. It is the baseline for the data path's benchmarks.
 func bareRelay(in, out *net.UDPConn, to netip.AddrPort) {
 	inIO, outIO := ipv4.NewPacketConn(in), ipv4.NewPacketConn(out)
 	received, sending := newBatch(dataBatch), newBatch(dataBatch)
@@ -70,11 +70,10 @@
 	}
 }
 
-// payloadSize is the size in bytes of the callers' datagrams in relay
-// benchmarks.
+// payloadSize is the size in bytes of callers' datagrams in the relay benchmarks.
 const payloadSize = 400
 
-// hop is a relay between a sender and a sink.
+// hop is a relay under test with the sockets of its sender and its sink.
 type hop struct {
 	sender, sink *net.UDPConn
 	in           netip.AddrPort
@@ -87,14 +86,14 @@
 	return hop{sender: listen(b), sink: sink, in: localAddr(in), packet: make([]byte, payloadSize)}
 }
 
-// forwardHop carries a caller's datagrams to an agent.
+// forwardHop returns a data path that forwards a caller's datagrams to an agent.
 func forwardHop(b *testing.B) hop {
 	r := newRig(b)
-	packet := short(r.keys, results, localAddr(r.agent), payloadSize)
+	packet := shortPacket(r.keys, results, localAddr(r.agent), payloadSize)
 	return hop{sender: r.caller, sink: r.agent, in: r.face.Socket.Addr(), packet: packet}
 }
 
-// replyHop carries an agent's datagrams to a caller.
+// replyHop returns a data path that forwards an agent's datagrams to a caller.
 func replyHop(b *testing.B) hop {
 	r := newRig(b)
 	h := encap.Header{Kind: encap.KindReply, Caller: localAddr(r.caller), Face: publicFace, Service: results}
@@ -122,7 +121,8 @@
 	done <- struct{}{}
 }
 
-// processorTime is what the process has used, sender and sink included.
+// processorTime returns the CPU time used by the process so far, which includes
+// the sender and the sink.
 func processorTime(b *testing.B) time.Duration {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
@@ -131,9 +131,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRelayRate floods a bare batched relay and both directions of the
-// path, on the same kinds of sockets, with more than they can carry, and reports how many
-// packets a second pass each.
+// BenchmarkRelayRate floods a bare batched relay and both directions of the data
+// path, on the same kinds of sockets, with more packets than they can forward. It
+// reports the packets per second that pass each of them.
 func BenchmarkRelayRate(b *testing.B) {
 	for _, kind := range hops {
 		b.Run(kind.name, func(b *testing.B) {
@@ -157,8 +157,7 @@
 	}
 }
 
-// BenchmarkRelayDelay sends one packet at a time and measures the time to the
-// sink.
+// BenchmarkRelayDelay measures the time from sender to sink of single packets.
 func BenchmarkRelayDelay(b *testing.B) {
 	for _, kind := range hops {
 		b.Run(kind.name, func(b *testing.B) {
@@ -175,8 +174,7 @@
 	}
 }
 
-// BenchmarkCapacityFaces measures what an open face costs a balancer in heap
-// and stack.
+// BenchmarkCapacityFaces measures the heap and stack memory that open faces use.
 func BenchmarkCapacityFaces(b *testing.B) {
 	for _, n := range []int{50, 100, 200} {
 		b.Run(fmt.Sprintf("faces=%d", n), func(b *testing.B) {
--- a/internal/datapath/classify_test.go
+++ b/internal/datapath/classify_test.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	testSecrets  = "2:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff,1:000102030405060708090a0b0c0d0e0f"
-	otherSecrets = "2:0f0e0d0c0b0a09080706050403020100"
-	oldSecrets   = "1:000102030405060708090a0b0c0d0e0f"
-	goneSecrets  = "9:000102030405060708090a0b0c0d0e0f"
+	testSecrets    = "2:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff,1:000102030405060708090a0b0c0d0e0f"
+	otherSecrets   = "2:0f0e0d0c0b0a09080706050403020100"
+	oldSecrets     = "1:000102030405060708090a0b0c0d0e0f"
+	expiredSecrets = "9:000102030405060708090a0b0c0d0e0f"
 )
 
 // Offsets of the destination connection ID and its length, in bytes.
 const (
-	shortIDAt    = 1
-	longIDLength = 5
-	longIDAt     = 6
+	shortIDAt      = 1
+	longIDLengthAt = 5
+	longIDAt       = 6
 )
 
 var (
@@ -43,20 +43,22 @@
 	return NewKeys(ring)
 }
 
-// short returns a short-header packet of n bytes with a token of the service.
-func short(k *Keys, service config.Tag, agent netip.AddrPort, n int) []byte {
+// short returns a short-header packet of n bytes whose connection ID is a token
+// of the service.
+func shortPacket(k *Keys, service config.Tag, agent netip.AddrPort, n int) []byte {
 	b := make([]byte, n)
 	b[0] = fixedBit
 	k.Tokens.Seal(b[1:1+token.Size], token.Token{Agent: agent, Service: service})
 	return b
 }
 
-// long returns a long-header packet of n bytes.
-func long(first byte, version uint32, id []byte, n int) []byte {
+// long returns a long-header packet of n bytes with the destination connection
+// ID.
+func longPacket(first byte, version uint32, id []byte, n int) []byte {
 	b := make([]byte, n)
 	b[0] = quicid.LongHeader | first
 	binary.BigEndian.PutUint32(b[1:], version)
-	b[longIDLength] = byte(len(id))
+	b[longIDLengthAt] = byte(len(id))
 	copy(b[longIDAt:], id)
 	return b
 }
@@ -64,9 +66,9 @@
 func TestClassify(t *testing.T) {
 	k := testKeys(t, testSecrets)
 	face := &Face{Service: results, Former: []config.Tag{config.TagOf("standings"), config.TagOf("archive")}}
-	old, gone, other := testKeys(t, oldSecrets), testKeys(t, goneSecrets), testKeys(t, otherSecrets)
-	sealed := short(k, results, agent1, 60)[1 : 1+token.Size]
-	foreign := short(k, intake, agent1, 60)[1 : 1+token.Size]
+	old, expired, other := testKeys(t, oldSecrets), testKeys(t, expiredSecrets), testKeys(t, otherSecrets)
+	sealed := shortPacket(k, results, agent1, 60)[1 : 1+token.Size]
+	foreign := shortPacket(k, intake, agent1, 60)[1 : 1+token.Size]
 	id := []byte("12345678")
 	for _, tc := range []struct {
 		name string
@@ -74,32 +76,32 @@
 		drop Reason
 		flow bool
 	}{
-		{"token", short(k, results, agent1, 60), None, true},
-		{"token of the previous secret", short(old, results, agent1, 60), None, true},
-		{"token of a former service", short(k, config.TagOf("archive"), agent1, 60), None, true},
-		{"token alone", short(k, results, agent1, 1+token.Size), None, true},
-		{"token in a long header", long(fixedBit|0x20, version1, sealed, 60), None, true},
-		{"token of another service", short(k, intake, agent1, 60), OtherService, false},
-		{"token of a secret long gone", short(gone, results, agent1, 60), UnknownKey, false},
-		{"token of another fleet", short(other, results, agent1, 60), Forged, false},
+		{"token", shortPacket(k, results, agent1, 60), None, true},
+		{"token of the previous secret", shortPacket(old, results, agent1, 60), None, true},
+		{"token of a former service", shortPacket(k, config.TagOf("archive"), agent1, 60), None, true},
+		{"token alone", shortPacket(k, results, agent1, 1+token.Size), None, true},
+		{"token in a long header", longPacket(fixedBit|0x20, version1, sealed, 60), None, true},
+		{"token of another service", shortPacket(k, intake, agent1, 60), OtherService, false},
+		{"token of an expired secret", shortPacket(expired, results, agent1, 60), UnknownKey, false},
+		{"token of another fleet", shortPacket(other, results, agent1, 60), Forged, false},
 		{"empty", nil, Truncated, false},
 		{"one byte", []byte{fixedBit}, Truncated, false},
-		{"token cut", short(k, results, agent1, 60)[:token.Size], Truncated, false},
-		{"long header cut", long(fixedBit, version1, id, 1200)[:longIDAt-1], Truncated, false},
-		{"long ID cut", long(fixedBit, version1, id, 1200)[:longIDAt+2], Truncated, false},
-		{"oversized", short(k, results, agent1, encap.MaxPayload+1), Oversized, false},
-		{"largest", short(k, results, agent1, encap.MaxPayload), None, true},
-		{"Initial of version 1", long(fixedBit, version1, id, 1200), None, false},
-		{"Initial of version 2", long(fixedBit|initialVersion2, version2, id, 1200), None, false},
-		{"unknown version", long(0, 0x1a2a3a4a, id, 1200), None, false},
-		{"Initial with another service's token", long(fixedBit, version1, foreign, 1200), None, false},
-		{"small Initial", long(fixedBit, version1, id, 1199), SmallInitial, false},
-		{"Initial with a short ID", long(fixedBit, version1, id[:7], 1200), NotInitial, false},
-		{"Initial with a long ID", long(fixedBit, version1, make([]byte, 21), 1200), NotInitial, false},
-		{"Initial without the fixed bit", long(0, version1, id, 1200), NotInitial, false},
-		{"0-RTT", long(fixedBit|0x10, version1, id, 1200), NotInitial, false},
-		{"Handshake", long(fixedBit|0x20, version1, id, 1200), NotInitial, false},
-		{"version negotiation", long(0, negotiateVersion, id, 1200), NotInitial, false},
+		{"truncated token", shortPacket(k, results, agent1, 60)[:token.Size], Truncated, false},
+		{"truncated long header", longPacket(fixedBit, version1, id, 1200)[:longIDAt-1], Truncated, false},
+		{"truncated long-header ID", longPacket(fixedBit, version1, id, 1200)[:longIDAt+2], Truncated, false},
+		{"oversized", shortPacket(k, results, agent1, encap.MaxPayload+1), Oversized, false},
+		{"largest", shortPacket(k, results, agent1, encap.MaxPayload), None, true},
+		{"Initial of version 1", longPacket(fixedBit, version1, id, 1200), None, false},
+		{"Initial of version 2", longPacket(fixedBit|initialVersion2, version2, id, 1200), None, false},
+		{"unknown version", longPacket(0, 0x1a2a3a4a, id, 1200), None, false},
+		{"Initial with another service's token", longPacket(fixedBit, version1, foreign, 1200), None, false},
+		{"small Initial", longPacket(fixedBit, version1, id, 1199), SmallInitial, false},
+		{"Initial with a short ID", longPacket(fixedBit, version1, id[:7], 1200), NotInitial, false},
+		{"Initial with a long ID", longPacket(fixedBit, version1, make([]byte, 21), 1200), NotInitial, false},
+		{"Initial without the fixed bit", longPacket(0, version1, id, 1200), NotInitial, false},
+		{"0-RTT", longPacket(fixedBit|0x10, version1, id, 1200), NotInitial, false},
+		{"Handshake", longPacket(fixedBit|0x20, version1, id, 1200), NotInitial, false},
+		{"version negotiation", longPacket(0, versionNegotiation, id, 1200), NotInitial, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -110,13 +112,13 @@
 				g.Expect(v.agent).To(Equal(agent1))
 			}
 			if tc.drop == None {
-				g.Expect(face.carries(v.service)).To(BeTrue())
+				g.Expect(face.accepts(v.service)).To(BeTrue())
 			}
 		})
 	}
 }
 
-func TestEveryReasonHasALabel(t *testing.T) {
+func TestEachReasonHasAUniqueLabel(t *testing.T) {
 	seen := make(map[string]bool)
 	for r := range reasonCount {
 		NewWithT(t).Expect(seen[r.String()] || r.String() == "").To(BeFalse(), "%d", r)
@@ -127,24 +129,24 @@
 func FuzzClassify(f *testing.F) {
 	k := testKeys(f, testSecrets)
 	face := &Face{Service: results, Former: []config.Tag{intake}}
-	f.Add(short(k, results, agent1, 60))
-	f.Add(short(k, intake, agent1, 21))
-	f.Add(long(fixedBit, version1, []byte("12345678"), 1200))
-	f.Add(long(fixedBit|initialVersion2, version2, make([]byte, 20), 1200))
-	f.Add(long(0, 0x1a2a3a4a, make([]byte, 255), 300))
+	f.Add(shortPacket(k, results, agent1, 60))
+	f.Add(shortPacket(k, intake, agent1, 21))
+	f.Add(longPacket(fixedBit, version1, []byte("12345678"), 1200))
+	f.Add(longPacket(fixedBit|initialVersion2, version2, make([]byte, 20), 1200))
+	f.Add(longPacket(0, 0x1a2a3a4a, make([]byte, 255), 300))
 	f.Add([]byte{quicid.LongHeader, 0, 0, 0, 1, 255})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		v := classify(b, face, k.Tokens)
 		switch {
 		case v.drop >= reasonCount:
-			t.Fatalf("reason %d", v.drop)
+			t.Fatalf("unknown drop reason %d", v.drop)
 		case v.drop != None:
 			return
 		case v.agent.IsValid() && len(b) < 1+token.Size:
-			t.Fatal("a token from too few bytes")
+			t.Fatal("datagram shorter than a token was classified as an open flow")
 		case !v.agent.IsValid() && (len(b) < minInitial || len(v.id) < minInitialID || len(v.id) > token.Size):
-			t.Fatalf("a new flow from %d bytes with an ID of %d", len(b), len(v.id))
+			t.Fatalf("datagram of %d bytes with an ID of %d bytes was classified as a new flow", len(b), len(v.id))
 		}
 		flowKey(agent1, v.id)
 	})
--- a/internal/datapath/gone_test.go
+++ b/internal/datapath/gone_test.go
@@ -12,49 +12,50 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// goneAt returns a map of one agent that is gone and left so many probes
-// unanswered.
-func goneAt(addr netip.AddrPort, unanswered int, incarnations ...uint16) map[netip.AddrPort]*Gone {
-	g := &Gone{Service: results, Incarnations: incarnations}
+// goneAddresses returns a map with one gone address that left the given number of
+// probes unanswered.
+func goneAddresses(addr netip.AddrPort, unanswered int, incarnations ...uint16) map[netip.AddrPort]*GoneAddress {
+	g := &GoneAddress{Service: results, Incarnations: incarnations}
 	for range unanswered {
-		g.asked()
+		g.recordProbe()
 	}
-	return map[netip.AddrPort]*Gone{addr: g}
+	return map[netip.AddrPort]*GoneAddress{addr: g}
 }
 
-// of returns a short-header packet of n bytes of an incarnation's flow.
-func of(k *Keys, incarnation uint16, n int) []byte {
+// incarnationPacket returns a short-header packet of n bytes with a token of
+// agent1's incarnation.
+func incarnationPacket(k *Keys, incarnation uint16, n int) []byte {
 	b := make([]byte, n)
 	b[0] = fixedBit
 	k.Tokens.Seal(b[1:], token.Token{Agent: agent1, Service: results, Incarnation: incarnation})
 	return b
 }
 
-func TestOnlyFlowsOfSilentAgentsThatAreGoneAreReset(t *testing.T) {
+func TestFlowIsResetOnlyIfItsAgentIsGoneAndUnresponsive(t *testing.T) {
 	k := testKeys(t, testSecrets)
 	elsewhere := netip.MustParseAddrPort("127.0.0.1:7002")
-	handshake := long(0x20, version1, of(k, 5, 60)[1:1+token.Size], 1252)
-	heard := goneAt(agent1, silentAfter, 5)
-	heard[agent1].heard()
+	handshake := longPacket(0x20, version1, incarnationPacket(k, 5, 60)[1:1+token.Size], 1252)
+	responsive := goneAddresses(agent1, unresponsiveAfter, 5)
+	responsive[agent1].recordResponse()
 	c := newForwardCounters()
-	open := rate.NewLimiter(rate.Inf, 1)
+	unlimited := rate.NewLimiter(rate.Inf, 1)
 	for name, tc := range map[string]struct {
-		gone   map[netip.AddrPort]*Gone
+		gone   map[netip.AddrPort]*GoneAddress
 		packet []byte
 		limit  *rate.Limiter
 		reset  bool
 	}{
-		"gone and silent":             {goneAt(agent1, silentAfter, 5), of(k, 5, 60), open, true},
-		"gone with others":            {goneAt(agent1, silentAfter, 9, 5), of(k, 5, 60), open, true},
-		"shortest cause":              {goneAt(agent1, silentAfter, 5), of(k, 5, reset.MinTrigger), open, true},
-		"nothing is gone":             {nil, of(k, 5, 60), open, false},
-		"another agent is gone":       {goneAt(elsewhere, silentAfter, 5), of(k, 5, 60), open, false},
-		"another incarnation is gone": {goneAt(agent1, silentAfter, 9), of(k, 5, 60), open, false},
-		"not yet known to be silent":  {goneAt(agent1, silentAfter-1, 5), of(k, 5, 60), open, false},
-		"heard again":                 {heard, of(k, 5, 60), open, false},
-		"too short for a packet":      {goneAt(agent1, silentAfter, 5), of(k, 5, reset.MinTrigger-1), open, false},
-		"long header":                 {goneAt(agent1, silentAfter, 5), handshake, open, false},
-		"too many a second":           {goneAt(agent1, silentAfter, 5), of(k, 5, 60), rate.NewLimiter(0, 0), false},
+		"gone and unresponsive":                  {goneAddresses(agent1, unresponsiveAfter, 5), incarnationPacket(k, 5, 60), unlimited, true},
+		"several incarnations gone":              {goneAddresses(agent1, unresponsiveAfter, 9, 5), incarnationPacket(k, 5, 60), unlimited, true},
+		"shortest datagram that may be answered": {goneAddresses(agent1, unresponsiveAfter, 5), incarnationPacket(k, 5, reset.MinTrigger), unlimited, true},
+		"no agent is gone":                       {nil, incarnationPacket(k, 5, 60), unlimited, false},
+		"another agent is gone":                  {goneAddresses(elsewhere, unresponsiveAfter, 5), incarnationPacket(k, 5, 60), unlimited, false},
+		"another incarnation is gone":            {goneAddresses(agent1, unresponsiveAfter, 9), incarnationPacket(k, 5, 60), unlimited, false},
+		"too few unanswered probes":              {goneAddresses(agent1, unresponsiveAfter-1, 5), incarnationPacket(k, 5, 60), unlimited, false},
+		"responded after the probes":             {responsive, incarnationPacket(k, 5, 60), unlimited, false},
+		"datagram shorter than a QUIC packet":    {goneAddresses(agent1, unresponsiveAfter, 5), incarnationPacket(k, 5, reset.MinTrigger-1), unlimited, false},
+		"long header":                            {goneAddresses(agent1, unresponsiveAfter, 5), handshake, unlimited, false},
+		"rate limit exceeded":                    {goneAddresses(agent1, unresponsiveAfter, 5), incarnationPacket(k, 5, 60), rate.NewLimiter(0, 0), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -67,7 +68,7 @@
 			if tc.reset {
 				g.Expect(agent.IsValid()).To(BeFalse())
 				g.Expect(counter).To(BeIdenticalTo(c.resets))
-				g.Expect(f.agent).To(Equal(agent1))
+				g.Expect(f.resetAgent).To(Equal(agent1))
 				return
 			}
 			g.Expect(agent).To(Equal(agent1))
@@ -76,11 +77,11 @@
 	}
 }
 
-func TestWhatIsASignOfLife(t *testing.T) {
+func TestOnlyAuthenticatedDatagramsFromTheAddressCountAsResponses(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t)
 	at := localAddr(r.agent)
-	gone := goneAt(at, silentAfter, 5)
+	gone := goneAddresses(at, unresponsiveAfter, 5)
 	s := r.snapshot()
 	s.Gone = gone
 	r.path.Publish(s)
@@ -92,12 +93,12 @@
 	}
 	c := r.path.reply.counters
 	r.expectDrop(c, Forged, r.agent, r.data, message(testKeys(t, otherSecrets), encap.KindProbeReply))
-	g.Expect(gone[at].unanswered.Load()).NotTo(BeZero(), "anybody may send a forged one")
+	g.Expect(gone[at].unanswered.Load()).NotTo(BeZero(), "a forged datagram counted as a response")
 	r.expectDrop(c, WrongKind, r.caller, r.data, message(r.keys, encap.KindProbeReply))
-	g.Expect(gone[at].unanswered.Load()).NotTo(BeZero(), "it came from elsewhere")
+	g.Expect(gone[at].unanswered.Load()).NotTo(BeZero(), "a datagram from another address counted as a response")
 	for _, kind := range []encap.Kind{encap.KindReply, encap.KindProbe, encap.KindProbeReply} {
-		before := r.path.reply.heard.Get()
+		before := r.path.reply.goneResponses.Get()
 		send(t, r.agent, r.data, message(r.keys, kind))
-		g.Eventually(r.path.reply.heard.Get, patience).Should(Equal(before + 1))
+		g.Eventually(r.path.reply.goneResponses.Get, waitTimeout).Should(Equal(before + 1))
 	}
 }
--- a/internal/datapath/path_test.go
+++ b/internal/datapath/path_test.go
@@ -19,7 +19,7 @@
 	publicFace = netip.MustParseAddrPort("192.0.2.10:443")
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 // rig is a running path with one face, one agent and one caller.
 type rig struct {
@@ -78,7 +78,7 @@
 
 func read(t testing.TB, c *net.UDPConn) ([]byte, netip.AddrPort) {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	b := make([]byte, 2*encap.MaxDatagram)
 	n, from, err := c.ReadFromUDPAddrPort(b)
 	if err != nil {
@@ -87,20 +87,21 @@
 	return b[:n], from
 }
 
-// expectDrop sends b and waits until a counter of the direction has risen.
+// expectDrop sends b and waits until the drop counter of the reason has
+// increased.
 func (r *rig) expectDrop(c *counters, reason Reason, from *net.UDPConn, to netip.AddrPort, b []byte) {
 	r.t.Helper()
 	before := c.drops[reason].Get()
 	send(r.t, from, to, b)
-	NewWithT(r.t).Eventually(c.drops[reason].Get, patience).Should(BeNumerically(">", before), reason.String())
+	NewWithT(r.t).Eventually(c.drops[reason].Get, waitTimeout).Should(BeNumerically(">", before), reason.String())
 }
 
 func TestForwardAndReply(t *testing.T) {
 	r := newRig(t)
 	for name, packet := range map[string][]byte{
-		"open flow": short(r.keys, results, localAddr(r.agent), 100),
-		"new flow":  long(fixedBit, version1, []byte("12345678"), 1252),
-		"largest":   short(r.keys, results, localAddr(r.agent), encap.MaxPayload),
+		"open flow": shortPacket(r.keys, results, localAddr(r.agent), 100),
+		"new flow":  longPacket(fixedBit, version1, []byte("12345678"), 1252),
+		"largest":   shortPacket(r.keys, results, localAddr(r.agent), encap.MaxPayload),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -118,7 +119,7 @@
 			send(t, r.agent, h.Balancer, b)
 			answer, from := read(t, r.caller)
 			g.Expect(answer).To(Equal(packet))
-			g.Expect(from).To(Equal(r.face.Socket.Addr()), "the answer comes from the face")
+			g.Expect(from).To(Equal(r.face.Socket.Addr()), "the reply was not sent from the face's socket")
 		})
 	}
 }
@@ -139,14 +140,14 @@
 	g.Expect(from).To(Equal(r.data))
 }
 
-func TestDropsAtTheFace(t *testing.T) {
+func TestFaceCountsDropsByReason(t *testing.T) {
 	r := newRig(t)
-	initial := long(fixedBit, version1, []byte("12345678"), 1252)
-	open := short(r.keys, results, localAddr(r.agent), 100)
+	initial := longPacket(fixedBit, version1, []byte("12345678"), 1252)
+	open := shortPacket(r.keys, results, localAddr(r.agent), 100)
 	at := r.face.Socket.Addr()
 	c := r.path.forward.counters
-	r.expectDrop(c, Oversized, r.caller, at, short(r.keys, results, localAddr(r.agent), encap.MaxPayload+1))
-	r.expectDrop(c, OtherService, r.caller, at, short(r.keys, intake, localAddr(r.agent), 100))
+	r.expectDrop(c, Oversized, r.caller, at, shortPacket(r.keys, results, localAddr(r.agent), encap.MaxPayload+1))
+	r.expectDrop(c, OtherService, r.caller, at, shortPacket(r.keys, intake, localAddr(r.agent), 100))
 
 	r.publish(Face{Socket: r.face.Socket, Service: results, Agents: agentsAt()})
 	r.expectDrop(c, NoAgent, r.caller, at, initial)
@@ -154,7 +155,7 @@
 	r.expectDrop(c, FaceDraining, r.caller, at, initial)
 	send(t, r.caller, at, open)
 	b, _ := read(t, r.agent)
-	NewWithT(t).Expect(b[encap.HeaderSize:]).To(Equal(open), "open flows outlive the face")
+	NewWithT(t).Expect(b[encap.HeaderSize:]).To(Equal(open), "a draining face must still forward open flows")
 
 	r.path.Publish(&Snapshot{Keys: r.keys})
 	r.expectDrop(c, NoFace, r.caller, at, open)
@@ -165,7 +166,7 @@
 	r.path.Publish(&Snapshot{Revision: 8, Keys: r.keys, Faces: map[netip.AddrPort]*Face{publicFace: &f}})
 }
 
-func TestDropsAtTheDataSocket(t *testing.T) {
+func TestDataSocketCountsDropsByReason(t *testing.T) {
 	r := newRig(t)
 	c := r.path.reply.counters
 	encoded := func(k *Keys, kind encap.Kind, service config.Tag, face netip.AddrPort) []byte {
@@ -185,7 +186,7 @@
 		{good[:encap.HeaderSize-1], Truncated},
 		{version, BadHeader},
 		{encoded(testKeys(t, otherSecrets), encap.KindReply, results, publicFace), Forged},
-		{encoded(testKeys(t, goneSecrets), encap.KindReply, results, publicFace), UnknownKey},
+		{encoded(testKeys(t, expiredSecrets), encap.KindReply, results, publicFace), UnknownKey},
 		{encoded(r.keys, encap.KindForward, results, publicFace), WrongKind},
 		{encoded(r.keys, encap.KindReply, intake, publicFace), OtherService},
 		{encoded(r.keys, encap.KindReply, results, netip.MustParseAddrPort("192.0.2.99:443")), NoFace},
@@ -195,16 +196,16 @@
 	}
 }
 
-func TestRotationOfKeysWhileRunning(t *testing.T) {
+func TestKeyRotationAppliesToARunningPath(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t)
-	before := short(testKeys(t, oldSecrets), results, localAddr(r.agent), 100)
+	before := shortPacket(testKeys(t, oldSecrets), results, localAddr(r.agent), 100)
 	send(t, r.caller, r.face.Socket.Addr(), before)
 	read(t, r.agent)
 	r.keys = testKeys(t, "3:aaaabbbbccccddddeeeeffff00001111,2:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff")
 	r.path.Publish(r.snapshot())
 	r.expectDrop(r.path.forward.counters, UnknownKey, r.caller, r.face.Socket.Addr(), before)
-	send(t, r.caller, r.face.Socket.Addr(), short(testKeys(t, testSecrets), results, localAddr(r.agent), 100))
+	send(t, r.caller, r.face.Socket.Addr(), shortPacket(testKeys(t, testSecrets), results, localAddr(r.agent), 100))
 	b, _ := read(t, r.agent)
 	_, _, err := r.keys.Headers.Clone().Decode(b)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/datapath/queue_test.go
+++ b/internal/datapath/queue_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestQueueOfAClosedSocketDoesNotBlock(t *testing.T) {
+func TestQueueDoesNotBlockAfterItsSocketCloses(t *testing.T) {
 	from := listen(t)
 	q := newQueue(ipv4.NewPacketConn(from), 2, func() {})
 	ended := make(chan struct{})
@@ -37,10 +37,10 @@
 	for range 10 {
 		buffer = q.add(buffer, 0, 1, agent1)
 	}
-	NewWithT(t).Eventually(ended, patience).Should(BeClosed())
+	NewWithT(t).Eventually(ended, waitTimeout).Should(BeClosed())
 }
 
-func TestQueueCountsWhatTheKernelRefuses(t *testing.T) {
+func TestQueueReportsDatagramsThatTheKernelRefuses(t *testing.T) {
 	g := NewWithT(t)
 	from, to := listen(t), listen(t)
 	var refused atomic.Int64
@@ -52,6 +52,6 @@
 	buffer[0] = 7
 	q.add(buffer, 0, 1, localAddr(to))
 	b, _ := read(t, to)
-	g.Expect(b).To(Equal([]byte{7}), "the others pass")
+	g.Expect(b).To(Equal([]byte{7}), "the datagram after the refused one was not sent")
 	g.Expect(refused.Load()).To(Equal(int64(1)))
 }
--- a/internal/datapath/reset_test.go
+++ b/internal/datapath/reset_test.go
@@ -19,14 +19,15 @@
 
 const incarnation = 77
 
-// startResetting starts an agent with one ring, gives it another, and returns
-// its socket. Once that is closed, the agent is dead without a word.
-func startResetting(t *testing.T, serverTLS *tls.Config, started, now string) *flow.Conn {
+// startAgentWithRotation starts an agent with the initial secrets, replaces them
+// by the rotated secrets, and returns its socket. Closing the socket simulates a
+// crash: the agent sends nothing to its callers.
+func startAgentWithRotation(t *testing.T, serverTLS *tls.Config, initialSecrets, rotatedSecrets string) *flow.Conn {
 	t.Helper()
 	g := NewWithT(t)
-	ring, err := keyring.Parse(started)
+	ring, err := keyring.Parse(initialSecrets)
 	g.Expect(err).NotTo(HaveOccurred())
-	rotated, err := keyring.Parse(now)
+	rotated, err := keyring.Parse(rotatedSecrets)
 	g.Expect(err).NotTo(HaveOccurred())
 	conn, err := flow.Listen(flow.Options{Data: anyPort, Service: results, Ring: ring})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -50,26 +51,26 @@
 	return conn
 }
 
-// ask sends a request and waits for the answer.
-func ask(c *quic.Conn) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// sendRequest sends a request and waits for the answer.
+func sendRequest(c *quic.Conn) error {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	stream, err := c.OpenStreamSync(ctx)
 	if err != nil {
 		return err
 	}
-	_ = stream.SetDeadline(time.Now().Add(patience))
+	_ = stream.SetDeadline(time.Now().Add(waitTimeout))
 	_, _ = io.WriteString(stream, "hello")
 	_ = stream.Close()
-	said, err := io.ReadAll(stream)
-	if err == nil && string(said) != "agent hello" {
-		err = errors.Errorf("the answer is %q", said)
+	response, err := io.ReadAll(stream)
+	if err == nil && string(response) != "agent hello" {
+		err = errors.Errorf("unexpected answer %q", response)
 	}
 	return err
 }
 
-func TestACallerOfADeadAgentIsToldAndOneOfALiveAgentIsNot(t *testing.T) {
-	for name, started := range map[string]string{
+func TestCallerIsResetOnlyAfterItsAgentDies(t *testing.T) {
+	for name, initialSecrets := range map[string]string{
 		"with the current secret":  testSecrets,
 		"with the previous secret": oldSecrets,
 	} {
@@ -77,40 +78,40 @@
 			g := NewWithT(t)
 			r := newRig(t)
 			serverTLS, clientTLS := testTLS(t)
-			agent := startResetting(t, serverTLS, started, testSecrets)
+			agent := startAgentWithRotation(t, serverTLS, initialSecrets, testSecrets)
 			at := agent.Addr()
 			r.face.Agents = agentsAt(at)
 			r.path.Publish(r.snapshot())
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 			defer cancel()
 			caller, err := quic.DialAddr(ctx, r.face.Socket.Addr().String(), clientTLS,
 				&quic.Config{MaxIdleTimeout: time.Hour, KeepAlivePeriod: 100 * time.Millisecond})
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(ask(caller)).To(Succeed())
+			g.Expect(sendRequest(caller)).To(Succeed())
 
-			// The fleet is wrong: the agent lives, and says so when it is probed.
+			// The fleet considers the agent gone, but it is alive and answers probes.
 			s := r.snapshot()
-			s.Gone = goneAt(at, 0, token.IncarnationTag(incarnation))
+			s.Gone = goneAddresses(at, 0, token.IncarnationTag(incarnation))
 			gone := s.Gone[at]
 			r.path.Publish(s)
-			a := &asker{path: r.path, buffer: make([]byte, bufferSize)}
+			pr := &prober{path: r.path, buffer: make([]byte, bufferSize)}
 			resets := r.path.forward.resets.Get()
-			for range 2 * silentAfter {
-				a.round(s)
-				g.Eventually(gone.unanswered.Load, patience).Should(BeZero())
-				g.Expect(ask(caller)).To(Succeed())
+			for range 2 * unresponsiveAfter {
+				pr.probeRound(s)
+				g.Eventually(gone.unanswered.Load, waitTimeout).Should(BeZero())
+				g.Expect(sendRequest(caller)).To(Succeed())
 			}
 			g.Expect(r.path.forward.resets.Get()).To(Equal(resets))
 
-			// Now it is right.
+			// The agent dies: its callers must be reset.
 			g.Expect(agent.Close()).To(Succeed())
-			for range silentAfter {
-				a.round(s)
+			for range unresponsiveAfter {
+				pr.probeRound(s)
 			}
-			g.Eventually(caller.Context().Done(), patience).Should(BeClosed())
+			g.Eventually(caller.Context().Done(), waitTimeout).Should(BeClosed())
 			err = context.Cause(caller.Context())
-			var told *quic.StatelessResetError
-			g.Expect(errors.As(err, &told)).To(BeTrue(), "%v", err)
+			var resetErr *quic.StatelessResetError
+			g.Expect(errors.As(err, &resetErr)).To(BeTrue(), "%v", err)
 		})
 	}
 }
--- a/internal/datapath/spray_test.go
+++ b/internal/datapath/spray_test.go
@@ -28,30 +28,30 @@
 
 const protocol = "echo"
 
-// checked is an agent's data socket that counts the packets of open flows that
-// came in, and those among them that belong to another agent.
-type checked struct {
+// countingConn is an agent's data socket that counts the received packets of open
+// flows, and those among them whose token names another agent.
+type countingConn struct {
 	net.PacketConn
-	self         netip.AddrPort
-	tokens       *token.Codec
-	came, astray *atomic.Int64
+	self                netip.AddrPort
+	tokens              *token.Codec
+	received, misrouted *atomic.Int64
 }
 
-func (c *checked) ReadFrom(b []byte) (int, net.Addr, error) {
+func (c *countingConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, from, err := c.PacketConn.ReadFrom(b)
 	if err != nil || n <= token.Size || quicid.IsLong(b) {
 		return n, from, err
 	}
-	c.came.Add(1)
+	c.received.Add(1)
 	if t, err := c.tokens.Open(b[shortIDAt:shortIDAt+token.Size], results); err != nil || t.Agent != c.self {
-		c.astray.Add(1)
+		c.misrouted.Add(1)
 	}
 	return n, from, nil
 }
 
-// startAgent ends QUIC at a data socket of its own. It answers each stream with
-// its name and what came.
-func startAgent(t *testing.T, name string, serverTLS *tls.Config, came, astray *atomic.Int64) netip.AddrPort {
+// startAgent starts an agent that accepts QUIC connections at its own data socket.
+// It answers each stream with its name and the request.
+func startAgent(t *testing.T, name string, serverTLS *tls.Config, received, misrouted *atomic.Int64) netip.AddrPort {
 	t.Helper()
 	g := NewWithT(t)
 	ring, err := keyring.Parse(testSecrets)
@@ -60,7 +60,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	ids, err := flow.NewIDs(ring, conn.Addr(), results, 1)
 	g.Expect(err).NotTo(HaveOccurred())
-	socket := &checked{PacketConn: conn, self: conn.Addr(), tokens: token.NewCodec(ring), came: came, astray: astray}
+	socket := &countingConn{PacketConn: conn, self: conn.Addr(), tokens: token.NewCodec(ring), received: received, misrouted: misrouted}
 	transport := &quic.Transport{Conn: socket, ConnectionIDGenerator: ids}
 	listener, err := transport.Listen(serverTLS, &quic.Config{InitialPacketSize: flow.PacketSize, DisablePathMTUDiscovery: true})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -83,25 +83,26 @@
 		if err != nil {
 			return
 		}
-		said, _ := io.ReadAll(stream)
-		_, _ = io.WriteString(stream, name+" "+string(said))
+		request, _ := io.ReadAll(stream)
+		_, _ = io.WriteString(stream, name+" "+string(request))
 		_ = stream.Close()
 	}
 }
 
-// sprayed is a caller's socket behind a fabric: each datagram goes to a balancer
-// in turn, a flow's first ones to all, and every answer comes from the face.
-type sprayed struct {
+// sprayConn is a caller's socket that simulates a fabric which sprays packets:
+// it sends Initials to all balancers and other datagrams to the balancers in turn.
+// Every received datagram appears to come from the face.
+type sprayConn struct {
 	net.PacketConn
-	conn      *net.UDPConn
-	balancers []netip.AddrPort
-	next      int
-	doubled   *atomic.Int64
+	conn       *net.UDPConn
+	balancers  []netip.AddrPort
+	next       int
+	duplicated *atomic.Int64
 }
 
-func (s *sprayed) WriteTo(b []byte, _ net.Addr) (int, error) {
+func (s *sprayConn) WriteTo(b []byte, _ net.Addr) (int, error) {
 	if b[0]&(quicid.LongHeader|longType) == quicid.LongHeader { // an Initial
-		s.doubled.Add(1)
+		s.duplicated.Add(1)
 		for _, to := range s.balancers {
 			_, _ = s.conn.WriteToUDPAddrPort(b, to)
 		}
@@ -111,21 +112,21 @@
 	return s.conn.WriteToUDPAddrPort(b, s.balancers[s.next%len(s.balancers)])
 }
 
-func (s *sprayed) ReadFrom(b []byte) (int, net.Addr, error) {
+func (s *sprayConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	n, _, err := s.conn.ReadFromUDPAddrPort(b)
 	return n, net.UDPAddrFromAddrPort(publicFace), err
 }
 
-// Two balancers that place every new flow differently share each flow's
-// packets, and each first packet reaches both agents. Every flow stays whole
-// and at one agent all the same.
-func TestFlowsAreWholeThoughBalancersDisagree(t *testing.T) {
+// Two balancers place every new flow at different agents and share the packets of
+// each flow, so that each Initial reaches both agents. Still, all packets of an
+// open flow must reach one agent, and no request may fail.
+func TestFlowStaysAtOneAgentWhenBalancersDisagree(t *testing.T) {
 	g := NewWithT(t)
 	serverTLS, clientTLS := testTLS(t)
 	var faces []netip.AddrPort
-	var doubled, came, astray atomic.Int64
+	var duplicated, received, misrouted atomic.Int64
 	for _, name := range []string{"one", "two"} {
-		agent := startAgent(t, name, serverTLS, &came, &astray)
+		agent := startAgent(t, name, serverTLS, &received, &misrouted)
 		socket, err := Open(publicFace, anyPort)
 		g.Expect(err).NotTo(HaveOccurred())
 		data, err := Bind(anyPort)
@@ -142,18 +143,19 @@
 	for range 30 {
 		conn := listen(t)
 		callers.Go(func() error {
-			return talk(&sprayed{PacketConn: conn, conn: conn, balancers: faces, doubled: &doubled}, clientTLS)
+			return exchangeRequests(&sprayConn{PacketConn: conn, conn: conn, balancers: faces, duplicated: &duplicated}, clientTLS)
 		})
 	}
 	g.Expect(callers.Wait()).To(Succeed())
-	g.Expect(doubled.Load()).To(BeNumerically(">=", 30))
-	g.Expect(came.Load()).To(BeNumerically(">=", 30*20))
-	g.Expect(astray.Load()).To(BeZero())
+	g.Expect(duplicated.Load()).To(BeNumerically(">=", 30))
+	g.Expect(received.Load()).To(BeNumerically(">=", 30*20))
+	g.Expect(misrouted.Load()).To(BeZero())
 }
 
-// talk opens a flow and sends 20 requests; all answers must come from one agent.
-func talk(socket net.PacketConn, clientTLS *tls.Config) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// exchangeRequests opens a flow and sends 20 requests; all answers must come from
+// one agent.
+func exchangeRequests(socket net.PacketConn, clientTLS *tls.Config) error {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	transport := &quic.Transport{Conn: socket}
 	defer transport.Close()
@@ -173,10 +175,10 @@
 		if err != nil {
 			return err
 		}
-		name, said, _ := strings.Cut(string(answer), " ")
+		name, payload, _ := strings.Cut(string(answer), " ")
 		names[name] = true
-		if len(said) != 3000 || len(names) != 1 {
-			return errors.Errorf("%d bytes from %v", len(said), names)
+		if len(payload) != 3000 || len(names) != 1 {
+			return errors.Errorf("answer of %d bytes; agents that answered: %v", len(payload), names)
 		}
 	}
 	return c.CloseWithError(0, "")
