--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -6,39 +6,41 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Locality tells where a balancer stands among the others. It is immutable.
+// Locality holds a balancer's data centre and the distribution of all balancers
+// over the data centres. It is immutable.
 //
-// The fabric hands every balancer the same part of all new flows, so a
-// data centre's balancers bring it as many flows as there are balancers. As
-// long as the capacity there matches, all stay. Where it falls short, only the
-// excess leaves, to the data centres with capacity to spare, in proportion to
-// it. If every balancer does so, each agent gets its weight's part of all
-// flows, and no more flows than needed cross between data centres.
+// The fabric gives every balancer an equal share of all new flows, so the flows
+// that arrive in a data centre are proportional to the number of its balancers.
+// If the agents of that data centre have enough capacity, all these flows stay
+// there. Otherwise only the excess goes to the data centres with spare capacity,
+// in proportion to it. If every balancer follows this rule, each agent gets a
+// share of all flows in proportion to its weight, and the fewest possible flows
+// cross between data centres.
 type Locality struct {
 	own string
-	// arrivals is each data centre's part of all new flows.
+	// arrivals is the share of all new flows that arrives in each data centre.
 	arrivals map[string]float64
 }
 
-// NewLocality returns the place of a balancer in the data centre own.
+// NewLocality returns the locality of a balancer in the data centre own.
 func NewLocality(own string, balancers []member.Member) Locality {
 	return Locality{own: own, arrivals: arrivalsByDataCentre(own, balancers)}
 }
 
-// Equal reports whether both give the same shares for the same agents.
+// Equal reports whether l and o give the same shares for the same agents.
 func (l Locality) Equal(o Locality) bool {
 	return l.own == o.own && maps.Equal(l.arrivals, o.arrivals)
 }
 
-// shares returns the part of this balancer's new flows that goes to each data
+// shares returns the share of this balancer's new flows that goes to each data
 // centre.
 func (l Locality) shares(w weights) map[string]float64 {
 	own, arrivals := l.own, l.arrivals
 	capacity := w.byDataCentre()
-	keep := min(1, capacity[own]/arrivals[own])
+	localShare := min(1, capacity[own]/arrivals[own])
 	out := make(map[string]float64, len(capacity))
-	if keep > 0 {
-		out[own] = keep
+	if localShare > 0 {
+		out[own] = localShare
 	}
 	spare := 0.0
 	for d := range capacity {
@@ -49,14 +51,16 @@
 	}
 	for d := range capacity {
 		if part := max(0, capacity[d]-arrivals[d]); part > 0 && d != own {
-			out[d] = (1 - keep) * part / spare
+			out[d] = (1 - localShare) * part / spare
 		}
 	}
 	return out
 }
 
-// arrivalsByDataCentre returns each data centre's part of the balancers. A
-// balancer that the list lacks counts as one in its own data centre.
+// arrivalsByDataCentre returns the fraction of the balancers that is in each data
+// centre. Draining and gone balancers do not count. If no balancer of the data
+// centre own is in the list, it counts as having one: the calling balancer, which
+// may be missing from its own list.
 func arrivalsByDataCentre(own string, balancers []member.Member) map[string]float64 {
 	counts := make(map[string]float64)
 	total := 0.0
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
 // Package placement chooses the agent of a new flow by weighted rendezvous
-// hashing. It is pure: the same members and the same key give the same agent,
-// at every balancer of a data centre.
+// hashing. The choice depends only on the members and the key, so every balancer
+// of a data centre chooses the same agent for the same flow.
 package placement
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Set holds the agents of one service that may get new flows, with the share
-// of each. It is immutable and safe for concurrent use.
+// Set holds the agents of one service that may get new flows, each with its share
+// of them. It is immutable and safe for concurrent use.
 type Set struct {
 	groups []group
 	panics bool
 }
 
-// group holds the agents of one share.
+// group holds the agents that have the same share of new flows.
 type group struct {
 	entries []entry
-	// inverse is one over the share of new flows that each agent has.
+	// inverse is 1 divided by the share of each agent of the group.
 	inverse float64
 }
 
@@ -33,35 +33,40 @@
 	seed uint64
 }
 
-// NewSet returns the set for a balancer at the given place. Ready agents share
-// by Weight; their data centre matters as Locality tells. Draining and gone
-// agents get nothing, nor do agents without an IPv4 data address.
+// NewSet returns the set for a balancer with the given locality. The new flows are
+// distributed over the ready agents by Weight and data centre, as described at
+// Locality. Draining and gone agents get no new flows, nor do agents without an
+// IPv4 data address.
 //
-// An agent gives itself weight 0 while its upstream looks unhealthy. If less
-// than threshold (0 to 1) of the ready agents have a weight, health is ignored,
-// as it is more likely to mislead than so many upstreams are to fail at once.
-// If no agent is ready, the starting ones share: the fleet's view may be late,
-// and an agent can still answer that a request was not run. Panics reports
-// either case.
-func NewSet(at Locality, agents []member.Member, threshold float64) *Set {
+// An agent reports weight 0 while its upstream seems unhealthy. If the fraction of
+// ready agents with a weight above 0 is below threshold (0 to 1), health is
+// ignored and all ready agents get flows: faulty health reports are then more
+// likely than the failure of so many upstreams at once. If no agent is ready, the
+// starting agents get the flows: their reported state may be out of date, and an
+// agent that can't serve a request can still answer that the request was not run.
+// Panics reports either case.
+func NewSet(locality Locality, agents []member.Member, threshold float64) *Set {
 	w, panics := candidates(agents, threshold)
-	return &Set{groups: groups(agents, w, at.shares(w)), panics: panics}
+	return &Set{groups: groups(agents, w, locality.shares(w)), panics: panics}
 }
 
-// weights holds the weight of agents by their place in the list.
+// weights holds the weights of some agents of a list.
 type weights []weighted
 
+// weighted is the weight and the data centre of one agent; index is its position
+// in the list of agents.
 type weighted struct {
-	place      int
+	index      int
 	dataCentre string
 	weight     float64
 }
 
-// fullWeight is that of an agent with a warm upstream.
+// fullWeight is the weight of an agent whose upstream is warmed up.
 const fullWeight = 1000
 
-// candidates returns the agents that share, and whether that is for want of
-// better ones.
+// candidates returns the agents that may get new flows. panics reports that they
+// include unhealthy or starting agents because too few are healthy or none is
+// ready.
 func candidates(agents []member.Member, threshold float64) (w weights, panics bool) {
 	ready := inState(agents, member.StateReady)
 	healthy := slices.DeleteFunc(slices.Clone(ready), func(x weighted) bool { return x.weight == 0 })
@@ -69,10 +74,10 @@
 		return healthy, false
 	}
 	if len(ready) > 0 {
-		return ready.orFull(), true
+		return ready.replaceZeroWeights(), true
 	}
 	starting := inState(agents, member.StateStarting)
-	return starting.orFull(), len(starting) > 0
+	return starting.replaceZeroWeights(), len(starting) > 0
 }
 
 func inState(agents []member.Member, state member.State) weights {
@@ -80,14 +85,14 @@
 	for i := range agents {
 		a := &agents[i]
 		if a.State == state && a.Data.Addr().Is4() {
-			w = append(w, weighted{place: i, dataCentre: a.DataCentre, weight: float64(max(a.Weight, 0))})
+			w = append(w, weighted{index: i, dataCentre: a.DataCentre, weight: float64(max(a.Weight, 0))})
 		}
 	}
 	return w
 }
 
-// orFull gives the full weight to agents that have none.
-func (w weights) orFull() weights {
+// replaceZeroWeights sets weights of 0 to fullWeight.
+func (w weights) replaceZeroWeights() weights {
 	for i := range w {
 		if w[i].weight == 0 {
 			w[i].weight = fullWeight
@@ -109,7 +114,7 @@
 	return sums
 }
 
-// groups puts the agents of one share together.
+// groups returns the agents with a share above 0, grouped by share.
 func groups(agents []member.Member, w weights, share map[string]float64) []group {
 	sums := make(map[string]float64)
 	for _, x := range w {
@@ -121,20 +126,20 @@
 		if s <= 0 {
 			continue
 		}
-		a := &agents[x.place]
+		a := &agents[x.index]
 		i := slices.IndexFunc(out, func(g group) bool { return g.inverse == 1/s })
 		if i < 0 {
 			i = len(out)
 			out = append(out, group{inverse: 1 / s})
 		}
-		out[i].entries = append(out[i].entries, entry{addr: a.Data, seed: seed(a.Control)})
+		out[i].entries = append(out[i].entries, entry{addr: a.Data, seed: agentSeed(a.Control)})
 	}
 	return out
 }
 
-// seed identifies an agent by its control address, so that a restart moves no
-// flows.
-func seed(a netip.AddrPort) uint64 {
+// agentSeed returns the hash of an agent's control address. It does not change if
+// the agent restarts, so a restart does not change the placement of new flows.
+func agentSeed(a netip.AddrPort) uint64 {
 	var b [18]byte
 	ip := a.Addr().As16()
 	copy(b[:], ip[:])
@@ -151,30 +156,30 @@
 	return n
 }
 
-// Panics reports that the set holds agents that do not look well, for want of
-// better ones.
+// Panics reports whether the set includes unhealthy or starting agents because too
+// few agents are healthy or none is ready.
 func (s *Set) Panics() bool {
 	return s.panics
 }
 
-// Choose returns the data address of the agent for a flow's key; ok is false
-// if there is none. It allocates nothing and costs one hash per agent and one
-// logarithm per group of agents with one share, if there is more than one.
+// Choose returns the data address of the agent for a flow's key; ok is false if
+// the set is empty. Choose does not allocate. It computes one hash per agent and,
+// if the agents have different shares, one logarithm per group of equal shares.
 func (s *Set) Choose(key uint64) (agent netip.AddrPort, ok bool) {
 	if len(s.groups) == 1 {
 		best, _ := s.groups[0].best(key) // all shares are equal
 		return best.addr, true
 	}
-	first := math.Inf(1)
+	earliest := math.Inf(1)
 	var best *entry
 	for i := range s.groups {
 		g := &s.groups[i]
 		e, hash := g.best(key)
-		// The first arrival among exponential clocks, whose rates are the
-		// shares, falls on each agent with just its share. Within a group, the
-		// largest hash arrives first.
-		if arrival := -math.Log(uniform(hash)) * g.inverse; arrival < first {
-			first, best = arrival, e
+		// The hash gives each agent an exponentially distributed arrival time with
+		// its share as the rate. An agent then arrives first with a probability equal
+		// to its share. Within a group, the agent with the largest hash arrives first.
+		if arrival := -math.Log(uniform(hash)) * g.inverse; arrival < earliest {
+			earliest, best = arrival, e
 		}
 	}
 	if best == nil {
@@ -194,7 +199,7 @@
 	return &g.entries[at], largest
 }
 
-// uniform turns 64 random bits into a number above 0 and at most 1.
+// uniform maps a 64-bit hash to a number above 0 and at most 1.
 func uniform(h uint64) float64 {
 	const scale = 1.0 / (1 << 53)
 	return (float64(h>>11) + 0.5) * scale
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-// spread counts the choices of n keys by agent.
-func spread(s *placement.Set, n int) map[netip.AddrPort]int {
+// countChoices counts how many of n keys are placed at each agent.
+func countChoices(s *placement.Set, n int) map[netip.AddrPort]int {
 	counts := make(map[netip.AddrPort]int)
 	for k := range n {
 		if a, ok := s.Choose(uint64(k) * 0xD1342543DE82EF95); ok {
@@ -45,17 +45,17 @@
 	return counts
 }
 
-// expectPart checks a count against a binomial's mean within five standard
-// deviations: keys are fixed, so the verdict is too.
-func expectPart(g Gomega, count, n int, p float64, what string) {
+// expectShare checks that a count is within five standard deviations of the mean
+// of a binomial distribution. The keys are fixed, so the result is deterministic.
+func expectShare(g Gomega, count, n int, p float64, what string) {
 	mean := float64(n) * p
 	slack := 5*math.Sqrt(mean*(1-p)) + 1
 	g.ExpectWithOffset(1, float64(count)).To(BeNumerically("~", mean, slack), what)
 }
 
-func TestWhoGetsNewFlows(t *testing.T) {
+func TestSharesOfNewFlows(t *testing.T) {
 	const n = 20000
-	type want map[int]float64 // agent number to its part
+	type want map[int]float64 // share by agent number
 	for _, tc := range []struct {
 		name      string
 		balancers []member.Member
@@ -68,63 +68,62 @@
 		{"weights", balancers("a"), []member.Member{
 			agent(1, "a", member.StateReady, 1000), agent(2, "a", member.StateReady, 250),
 		}, 0, want{1: 0.8, 2: 0.2}, false},
-		{"draining and gone never", balancers("a"), []member.Member{
+		{"draining, gone and starting agents get none", balancers("a"), []member.Member{
 			agent(1, "a", member.StateReady, 1000), agent(2, "a", member.StateDraining, 1000),
 			agent(3, "a", member.StateGone, 1000), agent(4, "a", member.StateStarting, 1000),
 		}, 0, want{1: 1}, false},
-		{"own data centre suffices", balancers("a", "b"), []member.Member{
+		{"own data centre has enough capacity", balancers("a", "b"), []member.Member{
 			agent(1, "a", member.StateReady, 1000), agent(2, "b", member.StateReady, 1000),
 		}, 0, want{1: 1}, false},
-		{"own data centre has none ready", balancers("a", "b"), []member.Member{
+		{"own data centre has no ready agent", balancers("a", "b"), []member.Member{
 			agent(1, "a", member.StateDraining, 1000), agent(2, "b", member.StateReady, 1000),
 			agent(3, "c", member.StateReady, 1000),
 		}, 0, want{3: 1}, false},
-		{"own data centre has too little", balancers("a", "b"), []member.Member{
+		{"own data centre has too little capacity", balancers("a", "b"), []member.Member{
 			agent(1, "a", member.StateReady, 1000), agent(2, "b", member.StateReady, 1000),
 			agent(3, "b", member.StateReady, 1000), agent(4, "b", member.StateReady, 1000),
 		}, 0, want{1: 0.5, 2: 0.5 / 3, 3: 0.5 / 3, 4: 0.5 / 3}, false},
-		{"balancer not in its own list", nil, []member.Member{
+		{"balancer missing from its own list", nil, []member.Member{
 			agent(1, "a", member.StateReady, 1000), agent(2, "b", member.StateReady, 1000),
 		}, 0, want{1: 0.5, 2: 0.5}, false},
-		{"only weights of 0", balancers("a"), []member.Member{
+		{"all ready agents have weight 0", balancers("a"), []member.Member{
 			agent(1, "a", member.StateStarting, 1000), agent(2, "a", member.StateReady, 0),
 			agent(3, "a", member.StateReady, 0),
 		}, 0, want{2: 0.5, 3: 0.5}, true},
-		{"too few look healthy", balancers("a"), []member.Member{
+		{"healthy agents below the threshold", balancers("a"), []member.Member{
 			agent(1, "a", member.StateReady, 1000), agent(2, "a", member.StateReady, 0),
 			agent(3, "a", member.StateReady, 0), agent(4, "a", member.StateStarting, 1000),
 		}, 0.5, want{1: 1. / 3, 2: 1. / 3, 3: 1. / 3}, true},
-		{"just enough look healthy", balancers("a"), []member.Member{
+		{"healthy agents at the threshold", balancers("a"), []member.Member{
 			agent(1, "a", member.StateReady, 1000), agent(2, "a", member.StateReady, 0),
 			agent(3, "a", member.StateStarting, 1000),
 		}, 0.5, want{1: 1}, false},
-		{"none ready", balancers("a"), []member.Member{
+		{"no agent is ready", balancers("a"), []member.Member{
 			agent(1, "a", member.StateStarting, 0), agent(2, "a", member.StateStarting, 1000),
 			agent(3, "a", member.StateDraining, 1000),
 		}, 0.5, want{1: 0.5, 2: 0.5}, true},
-		{"only draining", balancers("a"), []member.Member{agent(1, "a", member.StateDraining, 1000)}, 0.5, want{}, false},
+		{"all agents are draining", balancers("a"), []member.Member{agent(1, "a", member.StateDraining, 1000)}, 0.5, want{}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := placement.NewSet(placement.NewLocality("a", tc.balancers), tc.agents, tc.threshold)
 			g.Expect(s.Panics()).To(Equal(tc.panics))
 			g.Expect(s.Len()).To(Equal(len(tc.want)))
-			counts := spread(s, n)
+			counts := countChoices(s, n)
 			for i := range tc.agents {
-				expectPart(g, counts[tc.agents[i].Data], n, tc.want[i+1], fmt.Sprintf("agent %d", i+1))
+				expectShare(g, counts[tc.agents[i].Data], n, tc.want[i+1], fmt.Sprintf("agent %d", i+1))
 			}
 		})
 	}
 }
 
-// Whatever the layout of balancers and agents, each agent gets its weight's
-// part of all flows, and a data centre sends flows away only for want of
-// capacity.
-func TestAllBalancersTogetherRespectWeights(t *testing.T) {
+// For any distribution of balancers and agents over data centres, each agent must
+// get a share of all flows in proportion to its weight.
+func TestCombinedSharesOfAllBalancersMatchWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		names := []string{"a", "b", "c"}
-		homes := rapid.SliceOfN(rapid.SampledFrom(names), 1, 6).Draw(t, "balancers")
+		dataCentres := rapid.SliceOfN(rapid.SampledFrom(names), 1, 6).Draw(t, "balancers")
 		var agents []member.Member
 		total := 0
 		for i, d := range rapid.SliceOfN(rapid.SampledFrom(names), 1, 8).Draw(t, "agents") {
@@ -132,26 +131,27 @@
 			agents = append(agents, agent(i+1, d, member.StateReady, w))
 			total += w
 		}
-		const each = 4000
-		fleet := balancers(homes...)
+		const keysPerBalancer = 4000
+		fleet := balancers(dataCentres...)
 		sum := make(map[netip.AddrPort]int)
-		for _, home := range homes {
-			for a, c := range spread(placement.NewSet(placement.NewLocality(home, fleet), agents, 0), each) {
+		for _, home := range dataCentres {
+			for a, c := range countChoices(placement.NewSet(placement.NewLocality(home, fleet), agents, 0), keysPerBalancer) {
 				sum[a] += c
 			}
 		}
-		// The same keys at each balancer: the samples of balancers depend on
-		// each other, so allow the deviation of one balancer's sample.
+		// All balancers place the same keys, so their samples are not independent:
+		// the tolerance is that of one balancer's sample.
 		for _, a := range agents {
 			p := float64(a.Weight) / float64(total)
-			got := float64(sum[a.Data]) / float64(each*len(homes))
-			g.Expect(got).To(BeNumerically("~", p, 6*math.Sqrt(p*(1-p)/each)+0.005))
+			got := float64(sum[a.Data]) / float64(keysPerBalancer*len(dataCentres))
+			g.Expect(got).To(BeNumerically("~", p, 6*math.Sqrt(p*(1-p)/keysPerBalancer)+0.005))
 		}
 	})
 }
 
-// Within one data centre a change of one agent moves only flows from or to it.
-func TestMinimalDisruption(t *testing.T) {
+// Within one data centre, draining one agent must move only the flows of that
+// agent.
+func TestDrainingAnAgentMovesOnlyItsFlows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(2, 9).Draw(t, "agents")
