--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,6 @@
-// Package process holds what a process of either role has: its listener for
-// control traffic, its time line, its ops endpoints and its control node.
+// Package process sets up what processes of both roles, balancer and agent, have
+// in common: the listener for control traffic, the event timeline, the ops
+// endpoints and the control node.
 package process
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/saltbend/saltbend/internal/timeline"
 )
 
-// Process is the common part of a running role.
+// Process holds the listeners that both roles have in common.
 type Process struct {
 	Peer *peer.Peer
 	Ops  *ops.Server
@@ -26,8 +27,8 @@
 	env    settings.Env
 }
 
-// Listen binds the listeners for control traffic and ops, and serves the time
-// line. It fails if an address can't be bound.
+// Listen binds the listeners for control traffic and ops, and registers the event
+// timeline with the control listener. It fails if an address can't be bound.
 func Listen(common *settings.Common, env settings.Env) (*Process, error) {
 	listener, err := peer.Listen(common.Control.AddrPort(), env.Keys.Ring(),
 		peer.WithLogger(logging.Part(env.Logger, peer.Part)), peer.WithAdvertised(common.Advertise.AddrPort()))
@@ -56,7 +57,8 @@
 	return nil
 }
 
-// Join makes the process a member of the fleet. The node ends with ctx.
+// Join starts the control node, which makes the process a member of the fleet. The
+// node stops when ctx ends.
 func (p *Process) Join(ctx context.Context, self member.Member) (*control.Node, error) {
 	platform, err := p.store()
 	if err != nil {
@@ -72,8 +74,8 @@
 	})
 }
 
-// store returns the platform's key-value service, or nil if the settings name
-// none.
+// store returns a client of the platform's key-value service, or nil if the
+// settings name no such service.
 func (p *Process) store() (store.Store, error) {
 	if len(p.common.Store) == 0 {
 		return nil, nil
@@ -81,8 +83,8 @@
 	return httpstore.New(p.common.Store, httpstore.Options{})
 }
 
-// Addresses returns the addresses of the process's own listeners, given that
-// of its data socket.
+// Addresses returns the addresses of the process's listeners and of its data
+// socket, which the role opens itself.
 func (p *Process) Addresses(data netip.AddrPort) settings.Addresses {
 	return settings.Addresses{
 		Control: p.Peer.Addr(), ControlBound: p.Peer.Bound(),
@@ -90,7 +92,8 @@
 	}
 }
 
-// Close closes the listeners; until ctx ends it lets requests of operators end.
+// Close closes the listeners. Requests to the ops endpoints may complete until ctx
+// ends.
 func (p *Process) Close(ctx context.Context) {
 	_ = p.Peer.Close()
 	if p.Ops != nil {
