--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,6 +1,8 @@
-// Package balancer assembles the balancer role of the daemon: the control node
-// that learns of the fleet, the data path that carries datagrams, and the one
-// goroutine that turns what control knows into what the data path acts on.
+// Package balancer assembles the balancer role of the daemon. A balancer receives
+// callers' datagrams at the services' public addresses, called faces, and forwards
+// them to agents. It consists of the control node, which tracks the members of the
+// fleet and the configuration, the data path, which forwards datagrams, and the
+// publisher, one goroutine that turns control snapshots into data path snapshots.
 package balancer
 
 import (
@@ -26,14 +28,15 @@
 	"github.com/saltbend/saltbend/internal/settings"
 )
 
-// part names the balancer in logs and events.
+// part identifies the balancer in logs and events.
 const part = "balancer"
 
-// eventLeaving tells that the process ends, with the grace period.
+// eventLeaving is recorded when the process begins to shut down; its detail is the
+// grace period.
 const eventLeaving event.Kind = "leaving"
 
-// closeTimeout bounds the time in which the fleet is told that the process ends
-// and the listeners close.
+// closeTimeout limits the time for announcing the shutdown to the fleet, and the
+// time for closing the listeners.
 const closeTimeout = 2 * time.Second
 
 // role is a running balancer.
@@ -49,16 +52,17 @@
 	leaving   atomic.Bool
 }
 
-// Run serves until ctx ends. It then announces that it leaves, forwards on for
-// the grace period, and returns.
+// Run serves until ctx ends. It then announces the shutdown, continues to forward
+// for the grace period, and returns.
 func Run(ctx context.Context, s Settings, env settings.Env) error {
-	boundGarbage()
+	limitHeapGrowth()
 	r := &role{settings: s, env: env, log: logging.Part(env.Logger, part)}
 	defer r.close()
 	if err := r.listen(); err != nil {
 		return err
 	}
-	// What runs in the background outlives ctx by the grace period.
+	// The background goroutines must keep running for the grace period after ctx
+	// ended.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	if err := r.start(background); err != nil {
@@ -69,17 +73,18 @@
 	return nil
 }
 
-// boundGarbage lets the heap grow by half of what lives, rather than by all of
-// it, before it is collected. Memory is scarcer here than processor time:
-// datagrams allocate nothing, so only control makes garbage. GOGC goes first.
-func boundGarbage() {
-	const garbagePercent = 50
+// limitHeapGrowth makes the garbage collector run when the heap has grown by 50 %
+// of the live heap, instead of Go's default of 100 %. On a balancer, memory is
+// scarcer than CPU time: forwarding does not allocate, so only the control side
+// produces garbage. If GOGC is set, it takes precedence.
+func limitHeapGrowth() {
+	const gcPercent = 50
 	if _, set := os.LookupEnv("GOGC"); !set {
-		debug.SetGCPercent(garbagePercent)
+		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// listen opens the process's own listeners.
+// listen opens the listeners that do not depend on the configuration.
 func (r *role) listen() (err error) {
 	r.process, err = process.Listen(&r.settings.Common, r.env)
 	if err != nil {
@@ -89,25 +94,27 @@
 	if err != nil {
 		return errors.Wrap(err, "data socket")
 	}
-	r.checkBuffer()
+	r.checkReceiveBuffer()
 	return nil
 }
 
-// checkBuffer tells operators of a receive buffer that is smaller than asked
-// for: what does not fit into it in a burst is lost before it can be counted.
-func (r *role) checkBuffer() {
+// checkReceiveBuffer logs a warning if the kernel granted a smaller receive buffer
+// than requested: the kernel then drops more datagrams in a burst, and the
+// balancer can't count these.
+func (r *role) checkReceiveBuffer() {
 	granted, err := datapath.ReceiveBuffer(r.data)
 	if err != nil {
 		return
 	}
 	metrics.GetOrCreateGauge("saltbend_balancer_receive_buffer_bytes", nil).Set(float64(granted))
 	if granted < datapath.SocketBuffer {
-		r.log.Warn("Receive buffers are small; raise net.core.rmem_max.",
+		r.log.Warn("The kernel granted a smaller receive buffer than requested; raise net.core.rmem_max.",
 			slog.Int("granted", granted), slog.Int("wanted", datapath.SocketBuffer))
 	}
 }
 
-// start joins the fleet and begins to publish what it learns.
+// start joins the fleet, starts the data path, and starts publishing snapshots to
+// it.
 func (r *role) start(ctx context.Context) (err error) {
 	r.node, err = r.process.Join(ctx, r.self())
 	if err != nil {
@@ -117,13 +124,13 @@
 	r.path = datapath.Start(r.data, r.addresses().Data, &datapath.Snapshot{Keys: keys})
 	host, _ := r.settings.faceHost()
 	r.publisher = &publisher{
-		source:   r.node,
-		path:     r.path,
-		faces:    newFaces(host, r.settings.FaceDrain, r.faceChanged),
-		services: newServices(r.serviceChanged),
-		keys:     make(chan *datapath.Keys, 1),
-		inUse:    keys,
-		ready:    r.ready,
+		source:      r.node,
+		path:        r.path,
+		faces:       newFaces(host, r.settings.FaceDrain, r.faceChanged),
+		services:    newServices(r.serviceChanged),
+		keys:        make(chan *datapath.Keys, 1),
+		currentKeys: keys,
+		ready:       r.ready,
 	}
 	r.env.Keys.OnChange(r.setRing)
 	r.process.Ops.AddCheck(r.publisher.check)
@@ -144,13 +151,13 @@
 	}
 }
 
-// addresses returns the addresses of the process's own listeners.
+// addresses returns the addresses of the process's listeners.
 func (r *role) addresses() settings.Addresses {
 	data := r.data.LocalAddr().(*net.UDPAddr).AddrPort()
 	return r.process.Addresses(netip.AddrPortFrom(data.Addr().Unmap(), data.Port()))
 }
 
-// ready announces that the process serves.
+// ready announces to the fleet and to the environment that the balancer is ready.
 func (r *role) ready() {
 	r.node.SetState(member.StateReady)
 	a := r.addresses()
@@ -158,38 +165,39 @@
 	r.env.Ready(a)
 }
 
-// setRing puts changed secrets in force.
+// setRing applies changed secrets to control traffic and to the data path.
 func (r *role) setRing(ring *keyring.Ring) {
 	if err := r.process.Peer.SetRing(ring); err != nil {
-		r.log.Error("Secrets not in force for control traffic.", slog.String("error", err.Error()))
+		r.log.Error("Changed secrets could not be applied to control traffic.", slog.String("error", err.Error()))
 	}
 	r.publisher.setRing(ring)
 }
 
-// faceChanged tells operators of a face that opened, closed or failed.
+// faceChanged logs and records that a face was opened, drains, was closed, or could
+// not be bound.
 func (r *role) faceChanged(change faceChange, public netip.AddrPort, err error) {
 	detail := public.String()
 	if err != nil {
 		detail += ": " + err.Error()
-		r.log.Error("Face not bound.", slog.String("face", public.String()), slog.String("error", err.Error()))
+		r.log.Error("Face could not be bound.", slog.String("face", public.String()), slog.String("error", err.Error()))
 	} else {
-		r.log.Info("Face changed.", slog.String("face", public.String()), slog.String("change", string(change)))
+		r.log.Info("Face changed state.", slog.String("face", public.String()), slog.String("change", string(change)))
 	}
 	r.env.Events.Add(part, change, detail)
 }
 
-// serviceChanged tells operators of a service that is served again, or no more.
+// serviceChanged logs and records a change of the state of a service.
 func (r *role) serviceChanged(service string, state serviceState) {
 	level := slog.LevelWarn
 	if state == serviceServed {
 		level = slog.LevelInfo
 	}
-	r.log.Log(context.Background(), level, "Service changed.", slog.String("service", service), slog.String("change", string(state)))
+	r.log.Log(context.Background(), level, "Service changed state.", slog.String("service", service), slog.String("change", string(state)))
 	r.env.Events.Add(part, state, service)
 }
 
-// leave announces the end and forwards on, until the fabric and the agents
-// have had time to turn to other balancers.
+// leave announces the shutdown and continues to forward for the grace period, so
+// that the fabric and the agents have time to switch to other balancers.
 func (r *role) leave() {
 	r.log.Info("Leaving.", slog.Duration("grace", r.settings.Grace))
 	r.env.Events.Add(part, eventLeaving, r.settings.Grace.String())
@@ -201,15 +209,16 @@
 	r.node.Leave(ctx)
 }
 
-// checkLeaving makes a balancer that ends not ready, for fabrics that ask.
+// checkLeaving makes the readiness check fail during shutdown, so that fabrics
+// that poll it stop sending datagrams to this balancer.
 func (r *role) checkLeaving() []string {
 	if r.leaving.Load() {
-		return []string{"the balancer is leaving"}
+		return []string{"the balancer is shutting down"}
 	}
 	return nil
 }
 
-// close closes what was opened.
+// close closes the data path and the listeners, as far as they were opened.
 func (r *role) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
--- a/internal/balancer/faces.go
+++ b/internal/balancer/faces.go
@@ -10,15 +10,15 @@
 	"github.com/saltbend/saltbend/internal/event"
 )
 
-// faces holds the open face sockets. It belongs to the goroutine that turns
-// control snapshots into data path snapshots.
+// faces holds the open face sockets. Only the publisher's goroutine may use it.
 type faces struct {
-	// host binds all faces; if it is invalid, each is bound at itself.
+	// host is the address that all faces are bound to, on ports that the kernel
+	// chooses. If it is invalid, each face is bound to its public address.
 	host  netip.Addr
 	drain time.Duration
 	open  map[netip.AddrPort]*face
-	// failed holds the faces that could not be bound. It is replaced, never
-	// changed, by update.
+	// failed holds the errors of the faces that could not be bound. update replaces
+	// the map and never changes it, because other goroutines may read it.
 	failed map[netip.AddrPort]error
 	notify func(change faceChange, public netip.AddrPort, err error)
 }
@@ -27,18 +27,19 @@
 type face struct {
 	socket  *datapath.Socket
 	service string
-	// former are the services that had the face before, with the end of each
-	// one's drain.
+	// former maps each service that had the face previously to the time at which its
+	// drain ends.
 	former map[string]time.Time
-	// drainEnds is when the socket closes; zero while the configuration holds
-	// the face.
+	// drainEnds is the time at which the socket is closed; zero while the face is in
+	// the configuration.
 	drainEnds time.Time
 }
 
-// faceChange is what happened to a face.
+// faceChange is the kind of event that reports a change of a face.
 type faceChange = event.Kind
 
-// Changes of a face.
+// Changes of a face: faceDraining means that it was removed from the configuration,
+// faceFailed that it could not be bound.
 const (
 	faceOpened   event.Kind = "face-opened"
 	faceDraining event.Kind = "face-draining"
@@ -56,16 +57,16 @@
 	}
 }
 
-// update opens the faces that the configuration has and that are not open, and
-// lets those drain that it has not. It returns the sockets whose drain has
-// ended: they are no longer in open, and are to be closed once no snapshot
-// holds them.
+// update opens the faces that were added to the configuration, and drains those
+// that were removed from it. It returns the sockets whose drain has ended: they
+// are no longer in open, and the caller must close them after publishing a
+// snapshot without them.
 func (f *faces) update(c *config.Config, now time.Time) (ended []*datapath.Socket) {
 	wanted := facesOf(c)
 	before := f.failed
 	f.failed = make(map[netip.AddrPort]error)
 	for public, service := range wanted {
-		if err := f.want(public, service, now); err != nil {
+		if err := f.ensureOpen(public, service, now); err != nil {
 			f.failed[public] = err
 			if before[public] == nil {
 				f.notify(faceFailed, public, err)
@@ -73,7 +74,7 @@
 		}
 	}
 	for public, open := range f.open {
-		open.forget(now)
+		open.expireFormer(now)
 		if _, ok := wanted[public]; ok {
 			continue
 		}
@@ -90,10 +91,10 @@
 	return ended
 }
 
-func (f *faces) want(public netip.AddrPort, service string, now time.Time) error {
+func (f *faces) ensureOpen(public netip.AddrPort, service string, now time.Time) error {
 	if open := f.open[public]; open != nil {
 		open.drainEnds = time.Time{}
-		open.serve(service, now.Add(f.drain))
+		open.setService(service, now.Add(f.drain))
 		return nil
 	}
 	socket, err := datapath.Open(public, f.bindAddr(public))
@@ -105,9 +106,9 @@
 	return nil
 }
 
-// serve gives the face to a service. The open flows of the one that had it go
-// on until the drain ends.
-func (f *face) serve(service string, drainEnds time.Time) {
+// setService assigns the face to a service. The open flows of the service that had
+// it are still forwarded until drainEnds.
+func (f *face) setService(service string, drainEnds time.Time) {
 	if service == f.service {
 		return
 	}
@@ -116,8 +117,8 @@
 	delete(f.former, service)
 }
 
-// forget drops the former services whose drain has ended.
-func (f *face) forget(now time.Time) {
+// expireFormer removes the former services whose drain has ended.
+func (f *face) expireFormer(now time.Time) {
 	maps.DeleteFunc(f.former, func(_ string, ends time.Time) bool { return !now.Before(ends) })
 }
 
@@ -137,9 +138,10 @@
 	return public
 }
 
-// waiting reports whether time alone may change something: a drain that ends,
-// or a face that can be bound after all.
-func (f *faces) waiting() bool {
+// needsRecheck reports whether update may have something to do although nothing
+// was changed: a drain may have ended, or a face that could not be bound may now
+// be free.
+func (f *faces) needsRecheck() bool {
 	for _, open := range f.open {
 		if !open.drainEnds.IsZero() || len(open.former) > 0 {
 			return true
@@ -148,7 +150,7 @@
 	return len(f.failed) > 0
 }
 
-// local returns the local address of each open face by its public one.
+// local returns the local address of each open face, by public address.
 func (f *faces) local() map[netip.AddrPort]netip.AddrPort {
 	out := make(map[netip.AddrPort]netip.AddrPort, len(f.open))
 	for public, open := range f.open {
@@ -157,7 +159,7 @@
 	return out
 }
 
-// facesOf returns the configuration's faces with the names of their services.
+// facesOf returns the name of the service of each face in the configuration.
 func facesOf(c *config.Config) map[netip.AddrPort]string {
 	out := make(map[netip.AddrPort]string)
 	for i := range c.Services {
--- a/internal/balancer/gone.go
+++ b/internal/balancer/gone.go
@@ -10,18 +10,19 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// gone holds the data addresses whose agents are gone. A published one is not
-// changed.
-type gone map[netip.AddrPort]*datapath.GoneAddress
+// goneAddresses holds the data addresses whose agents are gone. A map must not be
+// changed after it was published.
+type goneAddresses map[netip.AddrPort]*datapath.GoneAddress
 
-// update returns what the snapshot says. An address of which it says the same
-// as before keeps what is known of its silence. One at which an agent lives is
-// left out: that agent tells the callers of the former ones itself.
-func (g gone) update(s *control.Snapshot) gone {
+// update returns the gone addresses of the snapshot. An address whose gone agents
+// have not changed keeps its entry, and with it the count of unanswered probes. An
+// address at which another agent is live is left out: that agent itself resets
+// the flows of the agents that were there before.
+func (g goneAddresses) update(s *control.Snapshot) goneAddresses {
 	if len(s.Gone) == 0 {
 		return nil
 	}
-	next := make(gone)
+	next := make(goneAddresses)
 	for i := range s.Gone {
 		m := &s.Gone[i]
 		at := next[m.Data]
--- a/internal/balancer/groups.go
+++ b/internal/balancer/groups.go
@@ -9,22 +9,22 @@
 	"github.com/saltbend/saltbend/internal/placement"
 )
 
-// group holds the agents of one service from one snapshot to the next, so that
-// a change costs no more than the services that it touches.
+// group keeps the agents of one service from one snapshot to the next, so that a
+// change of the fleet requires rebuilding only the sets of the affected services.
 type group struct {
 	set *placement.Set
-	// threshold is the service's panic threshold that set was made with.
+	// threshold is the service's panic threshold that set was built with.
 	threshold float64
-	// members are those that set was made from; next are those of the snapshot
-	// that is being taken over.
+	// members are the agents that set was built from; next collects the agents of
+	// the snapshot that is being processed.
 	members, next []member.Member
 }
 
-// place takes the agents from the snapshot.
-func (s *services) place(c *control.Snapshot) {
-	at := placement.NewLocality(c.Self.DataCentre, c.Balancers)
-	moved := !at.Equal(s.at)
-	s.at = at
+// updateGroups rebuilds the agent sets of the services that the snapshot affects.
+func (s *services) updateGroups(c *control.Snapshot) {
+	locality := placement.NewLocality(c.Self.DataCentre, c.Balancers)
+	localityChanged := !locality.Equal(s.locality)
+	s.locality = locality
 	for i := range c.Agents {
 		s.group(c.Agents[i].Service).add(&c.Agents[i])
 	}
@@ -34,7 +34,7 @@
 			delete(s.groups, name)
 			continue
 		}
-		g.settle(at, moved, thresholds[name])
+		g.apply(locality, localityChanged, thresholds[name])
 	}
 }
 
@@ -51,16 +51,17 @@
 	g.next = append(g.next, *m)
 }
 
-// settle makes the next members the current ones.
-func (g *group) settle(at placement.Locality, moved bool, threshold float64) {
-	if moved || threshold != g.threshold || !slices.EqualFunc(g.members, g.next, samePlacement) {
-		g.set = placement.NewSet(at, g.next, threshold)
+// apply makes the collected members the current ones. It rebuilds the set only if
+// an input of placement differs.
+func (g *group) apply(locality placement.Locality, localityChanged bool, threshold float64) {
+	if localityChanged || threshold != g.threshold || !slices.EqualFunc(g.members, g.next, samePlacement) {
+		g.set = placement.NewSet(locality, g.next, threshold)
 		g.threshold = threshold
 	}
 	g.members, g.next = g.next, g.members[:0]
 }
 
-// panicThresholds returns the services' thresholds by name.
+// panicThresholds returns the panic threshold of each service, by service name.
 func panicThresholds(c *config.Config) map[string]float64 {
 	out := make(map[string]float64, len(c.Services))
 	for i := range c.Services {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// samePlacement reports whether nothing that placement looks at differs.
+// samePlacement reports whether all fields that placement uses are equal.
 func samePlacement(a, b member.Member) bool {
 	return a.Control == b.Control && a.Data == b.Data && a.State == b.State &&
 		a.Weight == b.Weight && a.DataCentre == b.DataCentre
--- a/internal/balancer/publisher.go
+++ b/internal/balancer/publisher.go
@@ -14,51 +14,52 @@
 	"github.com/saltbend/saltbend/internal/keyring"
 )
 
-// Times of the publisher.
 const (
-	// settle is the least time between two data path snapshots: changes of the
-	// fleet that come close together cost one snapshot.
-	settle = 100 * time.Millisecond
-	// recheck is the time between looks at drains that end and at faces that
-	// could not be bound.
-	recheck = time.Second
+	// minPublishInterval is the minimum time between two data path snapshots, so
+	// that several changes of the fleet in quick succession need only one snapshot.
+	minPublishInterval = 100 * time.Millisecond
+	// recheckInterval is the time between checks for drains that have ended, and
+	// between attempts to bind faces that could not be bound.
+	recheckInterval = time.Second
 )
 
-// publisher turns control snapshots into data path snapshots. All but view
-// belongs to the goroutine of run.
+// publisher turns control snapshots into data path snapshots. Except for keys and
+// served, only the goroutine of run may use its fields.
 type publisher struct {
-	source   control.Source
-	path     *datapath.Path
-	faces    *faces
-	services *services
-	gone     gone
-	keys     chan *datapath.Keys
-	inUse    *datapath.Keys
-	// ready is called once, with the first configuration in force.
+	source      control.Source
+	path        *datapath.Path
+	faces       *faces
+	services    *services
+	gone        goneAddresses
+	keys        chan *datapath.Keys
+	currentKeys *datapath.Keys
+	// ready is called once, after the first configuration was published.
 	ready func()
-	// view is what other goroutines may read.
-	view atomic.Pointer[view]
+	// served is the state that other goroutines may read; nil before the first
+	// configuration was published.
+	served atomic.Pointer[servedFaces]
 }
 
-// view tells what the balancer serves. It is immutable.
-type view struct {
+// servedFaces holds the local addresses of the open faces and the errors of the
+// faces that could not be bound, both by public address. It is immutable.
+type servedFaces struct {
 	local  map[netip.AddrPort]netip.AddrPort
 	failed map[netip.AddrPort]error
 }
 
-// setRing passes changed secrets on; it never blocks.
+// setRing hands the keys of changed secrets to run; it never blocks.
 func (p *publisher) setRing(r *keyring.Ring) {
 	keys := datapath.NewKeys(r)
 	select {
-	case <-p.keys: // an older value that was not yet taken
+	case <-p.keys: // discard an older value that run has not received yet
 	default:
 	}
 	p.keys <- keys
 }
 
-// run publishes until ctx ends.
+// run publishes a data path snapshot after each change, until ctx ends.
 func (p *publisher) run(ctx context.Context) {
-	tick := time.NewTicker(recheck)
+	tick := time.NewTicker(recheckInterval)
 	defer tick.Stop()
 	for {
 		changed := p.source.Changed()
@@ -69,12 +70,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(settle):
+		case <-time.After(minPublishInterval):
 		}
 	}
 }
 
-// wait returns when there may be something to publish, or false when ctx ends.
+// wait returns true when there may be something to publish, or false when ctx
+// ends.
 func (p *publisher) wait(ctx context.Context, changed <-chan struct{}, tick <-chan time.Time) bool {
 	for {
 		select {
@@ -82,18 +84,19 @@
 			return false
 		case <-changed:
 			return true
-		case p.inUse = <-p.keys:
+		case p.currentKeys = <-p.keys:
 			return true
 		case <-tick:
-			if p.faces.waiting() {
+			if p.faces.needsRecheck() {
 				return true
 			}
 		}
 	}
 }
 
-// publish puts a control snapshot in force. Without a configuration that the
-// process can vouch for, what it serves stays as it is.
+// publish applies a control snapshot to the data path. If the snapshot has no
+// configuration, because the control node has none that it can confirm, the data
+// path keeps its current state.
 func (p *publisher) publish(s *control.Snapshot, now time.Time) {
 	if s.Config == nil {
 		return
@@ -105,8 +108,8 @@
 	for _, socket := range ended {
 		_ = socket.Close()
 	}
-	first := p.view.Load() == nil
-	p.view.Store(&view{local: p.faces.local(), failed: p.faces.failed})
+	first := p.served.Load() == nil
+	p.served.Store(&servedFaces{local: p.faces.local(), failed: p.faces.failed})
 	if first {
 		p.ready()
 	}
@@ -115,7 +118,7 @@
 func (p *publisher) snapshot(s *control.Snapshot) *datapath.Snapshot {
 	out := &datapath.Snapshot{
 		Revision: s.Config.Revision,
-		Keys:     p.inUse,
+		Keys:     p.currentKeys,
 		Faces:    make(map[netip.AddrPort]*datapath.Face, len(p.faces.open)),
 		Gone:     p.gone,
 	}
@@ -131,24 +134,24 @@
 	return out
 }
 
-// local returns the local address of each open face by its public one.
+// local returns the local address of each open face, by public address.
 func (p *publisher) local() map[netip.AddrPort]netip.AddrPort {
-	v := p.view.Load()
+	v := p.served.Load()
 	if v == nil {
 		return map[netip.AddrPort]netip.AddrPort{}
 	}
 	return v.local
 }
 
-// check returns the reasons why the balancer is not ready.
+// check returns the reasons why the balancer is not ready, if any.
 func (p *publisher) check() []string {
-	v := p.view.Load()
+	v := p.served.Load()
 	if v == nil {
 		return []string{"no configuration in force"}
 	}
 	var findings []string
 	for public, err := range v.failed {
-		findings = append(findings, fmt.Sprintf("face %s is not bound: %v", public, err))
+		findings = append(findings, fmt.Sprintf("face %s could not be bound: %v", public, err))
 	}
 	slices.Sort(findings)
 	return findings
--- a/internal/balancer/services.go
+++ b/internal/balancer/services.go
@@ -10,29 +10,31 @@
 	"github.com/saltbend/saltbend/internal/placement"
 )
 
-// serviceState tells where a service's new flows go.
+// serviceState is the kind of event that reports which agents get the new flows
+// of a service.
 type serviceState = event.Kind
 
 // States of a service.
 const (
-	// serviceServed: to ready agents.
+	// serviceServed means that ready agents get the new flows.
 	serviceServed event.Kind = "service-served"
-	// servicePanics: also to agents that do not look well, for want of others.
+	// servicePanics means that unhealthy or starting agents also get new flows,
+	// because too few agents are healthy or none is ready.
 	servicePanics event.Kind = "service-panics"
-	// serviceUnserved: nowhere, there is no agent.
+	// serviceUnserved means that no agent can get new flows.
 	serviceUnserved event.Kind = "service-unserved"
 )
 
 var serviceStates = []serviceState{serviceServed, servicePanics, serviceUnserved}
 
-// services holds the agents of each service. It belongs to the goroutine that
-// turns control snapshots into data path snapshots.
+// services holds the agents and the state of each service. Only the publisher's
+// goroutine may use it.
 type services struct {
-	groups map[string]*group
-	at     placement.Locality
-	states map[string]serviceState
-	notify func(service string, state serviceState)
-	counts map[serviceState]*metrics.Gauge
+	groups   map[string]*group
+	locality placement.Locality
+	states   map[string]serviceState
+	notify   func(service string, state serviceState)
+	counts   map[serviceState]*metrics.Gauge
 }
 
 func newServices(notify func(string, serviceState)) *services {
@@ -49,10 +51,11 @@
 	return s
 }
 
-// update takes the agents from the snapshot, and tells of services whose state
-// has changed. A service that appears is told of only if it is not served.
+// update takes the agents from the snapshot and calls notify for each service
+// whose state has changed. A new service is reported only if its state is not
+// serviceServed.
 func (s *services) update(c *control.Snapshot) {
-	s.place(c)
+	s.updateGroups(c)
 	states := make(map[string]serviceState, len(c.Config.Services))
 	counts := make(map[serviceState]int)
 	for i := range c.Config.Services {
@@ -70,7 +73,7 @@
 	}
 }
 
-// set returns the agents for new flows of a service, which may be none.
+// set returns the agents for new flows of a service; the set may be empty.
 func (s *services) set(name string) *placement.Set {
 	if g := s.groups[name]; g != nil {
 		return g.set
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -7,15 +7,15 @@
 	"github.com/saltbend/saltbend/internal/settings"
 )
 
-// Settings are the settings of the balancer role.
+// Settings holds the settings of the balancer role.
 type Settings struct {
 	settings.Common
-	FaceHost  string        `long:"face-host" env:"SALTBEND_FACE_HOST" value-name:"IP" description:"bind every face at this address with a port that the kernel chooses, for hosts behind a fabric that translates addresses; GET /faces on the ops address tells the ports (default: bind the faces themselves)"`
-	FaceDrain time.Duration `long:"face-drain" env:"SALTBEND_FACE_DRAIN" default:"4h" value-name:"DURATION" description:"time for which a face that the configuration has dropped carries its open flows on"`
-	Grace     time.Duration `long:"grace" env:"SALTBEND_GRACE" default:"5s" value-name:"DURATION" description:"time for which a balancer that was told to stop forwards on, while the fabric and the agents learn of it"`
+	FaceHost  string        `long:"face-host" env:"SALTBEND_FACE_HOST" value-name:"IP" description:"bind every face at this address with a port that the kernel chooses, for hosts behind a fabric that translates addresses; GET /faces on the ops address lists the ports (default: bind each face at its public address)"`
+	FaceDrain time.Duration `long:"face-drain" env:"SALTBEND_FACE_DRAIN" default:"4h" value-name:"DURATION" description:"time for which the open flows of a face are still forwarded after the face was removed from the configuration"`
+	Grace     time.Duration `long:"grace" env:"SALTBEND_GRACE" default:"5s" value-name:"DURATION" description:"time for which a balancer that shuts down continues to forward, so that the fabric and the agents can switch to other balancers"`
 }
 
-// Check returns all findings about the settings.
+// Check returns all invalid settings, not just the first.
 func (s *Settings) Check() settings.Findings {
 	f := s.Common.Check()
 	if data, err := s.Data.Parse(); err == nil && (!data.Addr().Is4() || data.Addr().IsUnspecified()) {
@@ -33,8 +33,8 @@
 	return f
 }
 
-// faceHost returns the address at which all faces are bound; it is invalid if
-// each is bound at itself. ok is false if the setting is wrong.
+// faceHost returns the address that all faces are bound to; it is invalid if each
+// face is bound to its public address. ok is false if the setting is invalid.
 func (s *Settings) faceHost() (host netip.Addr, ok bool) {
 	if s.FaceHost == "" {
 		return netip.Addr{}, true
