--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -10,11 +10,11 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// agentsPerService is the size of a service in the benchmark.
+// agentsPerService is the number of agents of each service in the benchmark.
 const agentsPerService = 7
 
-// BenchmarkCapacityServices measures what one change of the fleet costs: the
-// placement of every service from all members.
+// BenchmarkCapacityServices measures the cost of updating all services from a
+// snapshot in which one agent has changed.
 func BenchmarkCapacityServices(b *testing.B) {
 	for _, n := range []int{700, 2100, 6300} {
 		b.Run(fmt.Sprintf("agents=%d", n), func(b *testing.B) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// fleet returns a snapshot of n agents in services, and of 780 balancers.
+// fleet returns a snapshot with n agents, divided into services, and 780 balancers.
 func fleet(n int) *control.Snapshot {
 	const balancers = 780
 	dataCentres := []string{"a", "b", "c", "d"}
@@ -53,7 +53,7 @@
 	return s
 }
 
-// changed returns the snapshot with another weight of one agent.
+// changed returns the snapshot with a different weight of agent i.
 func changed(s *control.Snapshot, i int) *control.Snapshot {
 	next := *s
 	next.Agents = append([]member.Member(nil), s.Agents...)
--- a/internal/balancer/gone_test.go
+++ b/internal/balancer/gone_test.go
@@ -12,7 +12,7 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-func TestWhoIsGone(t *testing.T) {
+func TestGoneAddressesFollowTheSnapshot(t *testing.T) {
 	g := NewWithT(t)
 	at := func(port uint16, incarnation uint64) member.Member {
 		return member.Member{
@@ -20,14 +20,15 @@
 			Service: "results", Incarnation: incarnation,
 		}
 	}
-	g.Expect(gone(nil).update(&control.Snapshot{})).To(BeEmpty())
-	first := gone(nil).update(&control.Snapshot{Gone: []member.Member{at(1, 12), at(1, 11), at(1, 12), at(2, 13)}})
+	g.Expect(goneAddresses(nil).update(&control.Snapshot{})).To(BeEmpty())
+	first := goneAddresses(nil).update(&control.Snapshot{Gone: []member.Member{at(1, 12), at(1, 11), at(1, 12), at(2, 13)}})
 	g.Expect(first).To(HaveLen(2))
 	entry := first[netip.AddrPortFrom(loopback, 1)]
 	g.Expect(entry.Service).To(Equal(config.TagOf("results")))
 	g.Expect(entry.Incarnations).To(Equal([]uint16{token.IncarnationTag(12), token.IncarnationTag(11)}))
 
-	// What is known of an address's silence stays as long as nobody else was there.
+	// An address keeps its entry only if its gone agents have not changed, and is
+	// removed if an agent is live there.
 	next := first.update(&control.Snapshot{
 		Gone: []member.Member{at(2, 14), at(1, 12), at(1, 11), at(2, 13), at(3, 15)}, Agents: []member.Member{at(3, 16)},
 	})
@@ -35,5 +36,5 @@
 	g.Expect(next).To(HaveKeyWithValue(netip.AddrPortFrom(loopback, 1), BeIdenticalTo(entry)))
 	second := netip.AddrPortFrom(loopback, 2)
 	g.Expect(next[second]).NotTo(BeIdenticalTo(first[second]))
-	g.Expect(next).NotTo(HaveKey(netip.AddrPortFrom(loopback, 3)), "an agent lives there")
+	g.Expect(next).NotTo(HaveKey(netip.AddrPortFrom(loopback, 3)), "an agent is live at the address")
 }
--- a/internal/balancer/publisher_test.go
+++ b/internal/balancer/publisher_test.go
@@ -40,10 +40,10 @@
 		faces: newFaces(loopback, drain, func(c faceChange, _ netip.AddrPort, _ error) {
 			*changes = append(*changes, c)
 		}),
-		services: newServices(func(string, serviceState) {}),
-		keys:     make(chan *datapath.Keys, 1),
-		inUse:    keys,
-		ready:    func() { *ready++ },
+		services:    newServices(func(string, serviceState) {}),
+		keys:        make(chan *datapath.Keys, 1),
+		currentKeys: keys,
+		ready:       func() { *ready++ },
 	}
 	t.Cleanup(p.path.Close)
 	return p, ready
@@ -69,16 +69,17 @@
 	g.Expect(changes).To(Equal([]faceChange{faceOpened, faceOpened}))
 	local := p.local()[faceB]
 
-	// A dropped face keeps its socket while its open flows may last.
+	// A face that was removed from the configuration keeps its socket while it
+	// drains.
 	p.publish(withFaces("results", faceA), start)
 	g.Expect(p.local()).To(HaveKeyWithValue(faceB, local))
-	g.Expect(p.faces.waiting()).To(BeTrue())
+	g.Expect(p.faces.needsRecheck()).To(BeTrue())
 	s := p.snapshot(withFaces("results", faceA))
 	g.Expect(s.Faces[faceB].Draining).To(BeTrue())
 	g.Expect(s.Faces[faceA].Draining).To(BeFalse())
 	g.Expect(s.Revision).To(Equal(uint64(3)))
 
-	// It may come back before that ends.
+	// A face that is added again before its drain ends keeps its socket.
 	p.publish(withFaces("results", faceA, faceB), start.Add(drain-1))
 	g.Expect(p.local()).To(HaveKeyWithValue(faceB, local))
 	p.publish(withFaces("results", faceA), start.Add(drain))
@@ -86,13 +87,13 @@
 	g.Expect(p.local()).NotTo(HaveKey(faceB))
 	g.Expect(changes[2:]).To(Equal([]faceChange{faceDraining, faceDraining, faceClosed}))
 
-	// A configuration that is no longer vouched for changes nothing.
+	// A snapshot without a confirmed configuration changes nothing.
 	p.publish(&control.Snapshot{}, start.Add(3*drain))
 	g.Expect(p.local()).To(HaveKey(faceA))
 	g.Expect(*ready).To(Equal(1))
 }
 
-func TestAFaceThatMovesToAnotherServiceCarriesBoth(t *testing.T) {
+func TestFaceMovedToAnotherServiceAcceptsFlowsOfBoth(t *testing.T) {
 	g := NewWithT(t)
 	var changes []faceChange
 	p, _ := testPublisher(t, &changes)
@@ -107,10 +108,10 @@
 	g.Expect(p.snapshot(moved).Faces[faceA].Former).To(ConsistOf(config.TagOf("results")))
 	p.publish(moved, start.Add(2+drain))
 	g.Expect(p.snapshot(moved).Faces[faceA].Former).To(BeEmpty())
-	g.Expect(p.faces.waiting()).To(BeFalse())
+	g.Expect(p.faces.needsRecheck()).To(BeFalse())
 }
 
-func TestAFaceThatCannotBeBoundIsReportedAndTriedAgain(t *testing.T) {
+func TestFaceThatCannotBeBoundIsReportedAndRetried(t *testing.T) {
 	g := NewWithT(t)
 	var changes []faceChange
 	p, _ := testPublisher(t, &changes)
@@ -122,14 +123,14 @@
 	p.publish(s, start)
 	p.publish(s, start)
 	g.Expect(p.check()).To(ConsistOf(ContainSubstring(face)))
-	g.Expect(p.faces.waiting()).To(BeTrue())
+	g.Expect(p.faces.needsRecheck()).To(BeTrue())
 	g.Expect(taken.Close()).To(Succeed())
 	p.publish(s, start)
 	g.Expect(p.check()).To(BeEmpty())
 	g.Expect(changes).To(Equal([]faceChange{faceFailed, faceOpened}))
 }
 
-func TestNewFlowsGoToTheAgentsOfTheService(t *testing.T) {
+func TestFaceGetsOnlyTheAgentsOfItsService(t *testing.T) {
 	g := NewWithT(t)
 	var changes []faceChange
 	p, _ := testPublisher(t, &changes)
@@ -147,25 +148,25 @@
 	g.Expect(face.Agents.Len()).To(Equal(2))
 }
 
-func TestAServiceWithoutReadyAgentsIsReported(t *testing.T) {
+func TestServiceStateChangesAreReported(t *testing.T) {
 	g := NewWithT(t)
-	var told []serviceState
-	all := newServices(func(_ string, s serviceState) { told = append(told, s) })
+	var notified []serviceState
+	all := newServices(func(_ string, s serviceState) { notified = append(notified, s) })
 	s := withFaces("results", faceA)
 	s.Agents = []member.Member{{Control: faceA, Data: faceA, Service: "results", State: member.StateReady, Weight: 1}}
-	in := func(state member.State) { s.Agents[0].State = state; all.update(s) }
-	in(member.StateReady)
-	g.Expect(told).To(BeEmpty(), "it was never different")
-	in(member.StateStarting)
-	in(member.StateStarting)
-	in(member.StateGone)
-	in(member.StateReady)
-	g.Expect(told).To(Equal([]serviceState{servicePanics, serviceUnserved, serviceServed}))
+	updateTo := func(state member.State) { s.Agents[0].State = state; all.update(s) }
+	updateTo(member.StateReady)
+	g.Expect(notified).To(BeEmpty(), "a new service that is served must not be reported")
+	updateTo(member.StateStarting)
+	updateTo(member.StateStarting)
+	updateTo(member.StateGone)
+	updateTo(member.StateReady)
+	g.Expect(notified).To(Equal([]serviceState{servicePanics, serviceUnserved, serviceServed}))
 	g.Expect(all.counts[serviceServed].Get()).To(Equal(1.0))
 	g.Expect(all.counts[serviceUnserved].Get()).To(BeZero())
 }
 
-func TestOnlyWhatPlacementLooksAtRebuildsAService(t *testing.T) {
+func TestAgentSetIsRebuiltOnlyIfPlacementInputsChange(t *testing.T) {
 	g := NewWithT(t)
 	all := newServices(func(string, serviceState) {})
 	s := withFaces("results", faceA)
--- a/internal/balancer/role_test.go
+++ b/internal/balancer/role_test.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	patience    = 20 * time.Second
-	arrival     = time.Second
-	testSecrets = "1:000102030405060708090a0b0c0d0e0f"
-	newSecret   = "2:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff"
-	testConfig  = `version: 1
+	waitTimeout    = 20 * time.Second
+	receiveTimeout = time.Second
+	testSecrets    = "1:000102030405060708090a0b0c0d0e0f"
+	newSecret      = "2:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff"
+	testConfig     = `version: 1
 services:
   - name: results
     faces: ["192.0.2.10:443"]
@@ -56,7 +56,7 @@
 	return answer.StatusCode, string(raw)
 }
 
-func TestABalancerServesUntilItsGraceEnds(t *testing.T) {
+func TestBalancerForwardsUntilItsGracePeriodEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := Settings{FaceDrain: time.Hour, Grace: 3 * time.Second}
 	s.Store = []string{rolerun.NewStore(t, testConfig)}
@@ -68,20 +68,20 @@
 	status, _ := get(p, "/readyz")
 	g.Expect(status).To(Equal(http.StatusOK))
 
-	caller, agent := open(t), open(t)
-	g.Expect(passes(t, testSecrets, caller, agent, local)).To(BeTrue())
+	caller, agent := listen(t), listen(t)
+	g.Expect(reachesAgent(t, testSecrets, caller, agent, local)).To(BeTrue())
 	p.Keys.Set(ring(t, newSecret+","+testSecrets))
-	g.Eventually(func() bool { return passes(t, newSecret, caller, agent, local) }, patience).Should(BeTrue())
-	g.Expect(passes(t, testSecrets, caller, agent, local)).To(BeTrue(), "the previous secret counts")
+	g.Eventually(func() bool { return reachesAgent(t, newSecret, caller, agent, local) }, waitTimeout).Should(BeTrue())
+	g.Expect(reachesAgent(t, testSecrets, caller, agent, local)).To(BeTrue(), "the previous secret must still be accepted")
 	p.Stop()
-	g.Eventually(func() int { status, _ := get(p, "/readyz"); return status }, patience).Should(Equal(http.StatusServiceUnavailable))
-	g.Expect(passes(t, testSecrets, caller, agent, local)).To(BeTrue(), "open flows go on during the grace")
-	g.Eventually(p.Ended, patience).Should(BeClosed())
+	g.Eventually(func() int { status, _ := get(p, "/readyz"); return status }, waitTimeout).Should(Equal(http.StatusServiceUnavailable))
+	g.Expect(reachesAgent(t, testSecrets, caller, agent, local)).To(BeTrue(), "open flows must be forwarded during the grace period")
+	g.Eventually(p.Ended, waitTimeout).Should(BeClosed())
 	g.Expect(p.Err).NotTo(HaveOccurred())
-	g.Expect(passes(t, testSecrets, caller, agent, local)).To(BeFalse())
+	g.Expect(reachesAgent(t, testSecrets, caller, agent, local)).To(BeFalse())
 }
 
-func open(t *testing.T) *net.UDPConn {
+func listen(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(loopback, 0)))
 	if err != nil {
@@ -100,9 +100,9 @@
 	return r
 }
 
-// passes reports whether a packet of an open flow, whose token is signed with
-// the current one of the secrets, reaches its agent.
-func passes(t *testing.T, secrets string, caller, agent *net.UDPConn, face netip.AddrPort) bool {
+// reachesAgent reports whether a packet of an open flow reaches its agent. Its
+// token is signed with the current one of the secrets.
+func reachesAgent(t *testing.T, secrets string, caller, agent *net.UDPConn, face netip.AddrPort) bool {
 	t.Helper()
 	packet := make([]byte, 100)
 	packet[0] = 0x40
@@ -112,7 +112,7 @@
 	if _, err := caller.WriteToUDPAddrPort(packet, face); err != nil {
 		return false
 	}
-	_ = agent.SetReadDeadline(time.Now().Add(arrival))
+	_ = agent.SetReadDeadline(time.Now().Add(receiveTimeout))
 	buffer := make([]byte, encap.MaxDatagram)
 	n, _, err := agent.ReadFromUDPAddrPort(buffer)
 	if err != nil {
