--- a/internal/encap/codec.go
+++ b/internal/encap/codec.go
@@ -22,15 +22,15 @@
 	ErrAddress = errors.New("encap: address is not IPv4")
 )
 
-// Codec encodes and decodes headers. It holds scratch space and so belongs to
-// one goroutine; Clone gives each its own.
+// Codec encodes and decodes headers. It contains scratch space and is not safe for
+// concurrent use: each goroutine needs its own Clone.
 type Codec struct {
 	keys  keyring.Blocks
 	chain [aes.BlockSize]byte
 }
 
-// NewCodec returns a codec that signs with the ring's current secret and
-// accepts any of them.
+// NewCodec returns a codec that signs with the ring's current secret and accepts
+// signatures of all its secrets.
 func NewCodec(ring *keyring.Ring) *Codec {
 	return &Codec{keys: ring.Blocks(keyring.PurposeEncap)}
 }
@@ -40,8 +40,8 @@
 	return &Codec{keys: c.keys}
 }
 
-// Encode writes h into the first HeaderSize bytes of dst. It fails with
-// ErrShort, ErrKind or ErrAddress and then leaves dst undefined.
+// Encode writes h into the first HeaderSize bytes of dst. It can fail with
+// ErrShort, ErrKind or ErrAddress; the contents of dst are then undefined.
 func (c *Codec) Encode(dst []byte, h *Header) error {
 	if len(dst) < HeaderSize {
 		return ErrShort
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// Decode checks the header at the start of b and returns it with the payload,
-// which shares b's memory. It fails with ErrShort, ErrVersion, ErrKind, ErrKey
-// or ErrForged.
+// Decode verifies the header at the start of b and returns it with the payload,
+// which aliases b. It can fail with ErrShort, ErrVersion, ErrKind, ErrKey or
+// ErrForged.
 func (c *Codec) Decode(b []byte) (Header, []byte, error) {
 	if len(b) < HeaderSize {
 		return Header{}, nil, ErrShort
@@ -98,8 +98,8 @@
 	return k >= KindForward && k <= KindProbeReply
 }
 
-// mac returns the CBC-MAC of a body of two blocks, in scratch space that the
-// next call overwrites. All bodies have one length, for which CBC-MAC is sound.
+// mac returns the CBC-MAC of a body of two blocks, in scratch space that the next
+// call overwrites. CBC-MAC is secure here because all bodies have the same length.
 func (c *Codec) mac(k *keyring.Block, body []byte) []byte {
 	k.Encrypt(c.chain[:], body[:aes.BlockSize])
 	subtle.XORBytes(c.chain[:], c.chain[:], body[aes.BlockSize:bodySize])
--- a/internal/encap/codec_test.go
+++ b/internal/encap/codec_test.go
@@ -43,7 +43,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), port)
 }
 
-func TestHeaderSurvivesTheWire(t *testing.T) {
+func TestEncodedHeaderDecodesToTheSameValue(t *testing.T) {
 	c := codec(t, newSecret)
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestEveryFlippedHeaderBitIsRefused(t *testing.T) {
+func TestHeaderWithAnyFlippedBitIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	c, h := codec(t, newSecret), sample()
 	wire := make([]byte, encap.HeaderSize)
@@ -90,7 +90,7 @@
 	g.Expect(err).To(MatchError(encap.ErrKey))
 }
 
-func TestReasons(t *testing.T) {
+func TestInvalidHeadersReturnTheirErrors(t *testing.T) {
 	c, h := codec(t, newSecret), sample()
 	wire := func(change func([]byte)) []byte {
 		b := make([]byte, encap.HeaderSize)
@@ -122,7 +122,7 @@
 	g.Expect(c.Encode(make([]byte, encap.HeaderSize), &h)).To(MatchError(encap.ErrKind))
 }
 
-func TestNoAllocations(t *testing.T) {
+func TestEncodeAndDecodeDoNotAllocate(t *testing.T) {
 	c, h := codec(t, newSecret), sample()
 	wire := make([]byte, encap.HeaderSize)
 	allocs := testing.AllocsPerRun(100, func() {
@@ -149,14 +149,14 @@
 			return
 		}
 		if len(payload) != len(b)-encap.HeaderSize {
-			t.Fatalf("payload of %d bytes from %d", len(payload), len(b))
+			t.Fatalf("payload of %d bytes decoded from a datagram of %d bytes", len(payload), len(b))
 		}
 		again := make([]byte, encap.HeaderSize)
 		if err := c.Encode(again, &h); err != nil {
 			t.Fatal(err)
 		}
 		if string(again) != string(b[:encap.HeaderSize]) {
-			t.Fatal("an accepted header does not encode to itself")
+			t.Fatal("encoding an accepted header again gave different bytes")
 		}
 	})
 }
--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -1,5 +1,7 @@
-// Package encap defines the header in front of a caller's QUIC datagram on its
-// way between balancer and agent.
+// Package encap defines the encapsulation between balancers and agents: a header
+// that precedes each QUIC datagram of a caller while it is sent between them. A
+// balancer receives callers' datagrams at a face, a public address of a service;
+// an agent terminates the QUIC connections.
 package encap
 
 import (
@@ -8,10 +10,11 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-// Version is the format's version; a receiver drops others. It has 4 bits.
+// Version is the version of the header format. It has 4 bits. Receivers drop
+// datagrams of other versions.
 const Version = 1
 
-// Kind tells what a datagram between balancer and agent is. It has 4 bits.
+// Kind is the kind of a datagram sent by a balancer or an agent. It has 4 bits.
 type Kind uint8
 
 // Kinds of datagrams.
@@ -20,13 +23,14 @@
 	KindForward Kind = iota + 1
 	// KindReply carries an agent's datagram through a balancer to a caller.
 	KindReply
-	// KindHandOn carries a caller's Initial from an agent to a sibling.
+	// KindHandOn carries a caller's Initial from an agent to a sibling, another
+	// agent of the same service.
 	KindHandOn
-	// KindProbe asks a balancer, or an agent that is thought to be gone, whether
-	// it lives; it answers KindProbeReply.
+	// KindProbe checks whether a balancer is alive, or an agent that the fleet
+	// considers gone. The receiver answers with KindProbeReply.
 	KindProbe
-	// KindProbeReply answers a probe and repeats its other fields: a probe may
-	// carry a nonce in Revision to know its own answer.
+	// KindProbeReply answers a probe and repeats the probe's other fields. A sender
+	// can put a nonce into a probe's Revision to match the answer to the probe.
 	KindProbeReply
 )
 
@@ -38,11 +42,11 @@
 //	8-13   face IPv4 address and port
 //	14-17  service tag
 //	18-25  configuration revision of the sender
-//	26-31  balancer IPv4 address and port that took the caller's datagram
+//	26-31  IPv4 address and port of the balancer that received the caller's datagram
 //	32-39  MAC over bytes 0-31 (8 bytes)
 //
-// The MAC covers exactly two AES blocks. The payload is not covered: QUIC
-// protects it from end to end.
+// The MAC covers exactly two AES blocks. It does not cover the payload, which QUIC
+// protects end to end.
 const HeaderSize = bodySize + macSize
 
 const (
@@ -51,24 +55,25 @@
 )
 
 const (
-	// MaxDatagram is the largest UDP payload between balancer and agent in
-	// bytes: what an unfragmented IPv4 packet holds on a path with an MTU of
+	// MaxDatagram is the size in bytes of the largest UDP payload between balancer
+	// and agent: the maximum in an unfragmented IPv4 packet on a path with an MTU of
 	// 1500 (20 bytes of IP header, 8 of UDP header).
 	MaxDatagram = 1500 - 20 - 8
-	// MaxPayload is the largest caller's datagram that fits, in bytes. QUIC's
-	// path MTU discovery settles below it by itself.
+	// MaxPayload is the size in bytes of the largest datagram of a caller that can be
+	// encapsulated. Larger ones are dropped, so QUIC's path MTU discovery finds a
+	// size that does not exceed it.
 	MaxPayload = MaxDatagram - HeaderSize
 )
 
-// Header precedes each datagram between balancer and agent. Its addresses are
-// IPv4; the zero AddrPort stands for none.
+// Header is the header of a datagram between balancer and agent. Its addresses are
+// IPv4; the zero AddrPort means that an address is absent.
 type Header struct {
 	Kind     Kind
 	Caller   netip.AddrPort
 	Face     netip.AddrPort
 	Service  config.Tag
 	Revision uint64
-	// Balancer is the encapsulation address of the balancer that took the
-	// caller's datagram: replies return there while it lives.
+	// Balancer is the address, for encapsulated datagrams, of the balancer that
+	// received the caller's datagram. Replies are sent there while it is alive.
 	Balancer netip.AddrPort
 }
