--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -1,6 +1,6 @@
-// Package token makes and checks flow tokens: QUIC connection IDs that name
-// the agent which ends the flow, so that any balancer can forward any packet
-// of a flow without knowing the flow.
+// Package token creates and verifies flow tokens. A flow token is a QUIC connection
+// ID that contains the address of the agent that terminates the flow, so that any
+// balancer can forward any packet of a flow without per-flow state.
 //
 // Layout (20 bytes, the longest connection ID QUIC allows):
 //
@@ -13,8 +13,9 @@
 //	14-19  MAC: first 6 bytes of AES(bytes 0-13, high half of the service tag)
 //
 // The MAC covers exactly one cipher block of fixed length, for which the plain
-// block cipher is a sound MAC. A guess passes with probability 2^-48, and then
-// only reaches an agent that does not know the connection ID.
+// block cipher is a secure MAC. A guessed token is accepted with probability
+// 2^-48, and its packet then only reaches an agent that has no connection with
+// that ID.
 package token
 
 import (
@@ -45,7 +46,7 @@
 	ErrForged  = errors.New("token: MAC does not match")
 )
 
-// Token is what a flow token says.
+// Token holds the contents of a flow token.
 type Token struct {
 	Agent       netip.AddrPort // IPv4
 	Service     config.Tag
@@ -53,14 +54,15 @@
 	Nonce       uint32 // 24 bits
 }
 
-// IncarnationTag shortens an incarnation to the 16 bits a token carries.
+// IncarnationTag reduces an agent's incarnation number to the 16 bits that a token
+// contains.
 func IncarnationTag(incarnation uint64) uint16 {
-	const mix = 0x9E3779B97F4A7C15 // 2^64 over the golden ratio, odd: spreads nearby starts
+	const mix = 0x9E3779B97F4A7C15 // 2^64 / golden ratio, odd: spreads incarnations of nearby start times
 	return uint16((incarnation * mix) >> 48)
 }
 
-// Codec seals and opens tokens. It holds scratch space and so belongs to one
-// goroutine; Clone gives each its own.
+// Codec seals (signs) and opens (verifies) tokens. It contains scratch space and is
+// not safe for concurrent use: each goroutine needs its own Clone.
 type Codec struct {
 	keys keyring.Blocks
 	in   [aes.BlockSize]byte
@@ -68,7 +70,7 @@
 }
 
 // NewCodec returns a codec that seals with the ring's current secret and opens
-// with any of them.
+// tokens sealed with any of its secrets.
 func NewCodec(ring *keyring.Ring) *Codec {
 	return &Codec{keys: ring.Blocks(keyring.PurposeToken)}
 }
@@ -78,7 +80,7 @@
 	return &Codec{keys: c.keys}
 }
 
-// Seal writes the token into dst, which must have at least Size bytes.
+// Seal writes the signed token into dst, which must have at least Size bytes.
 func (c *Codec) Seal(dst []byte, t Token) {
 	k := &c.keys[0]
 	ip := t.Agent.Addr().As4()
@@ -91,8 +93,8 @@
 	copy(dst[bodySize:Size], c.mac(k, dst[:bodySize], t.Service))
 }
 
-// Open checks a connection ID that arrived at a face of the service and
-// returns what it says. The caller need not copy id.
+// Open verifies a connection ID received at a face (a public address) of the
+// service and returns the token's contents. It does not retain id.
 func (c *Codec) Open(id []byte, service config.Tag) (Token, error) {
 	if len(id) != Size {
 		return Token{}, ErrLength
@@ -115,7 +117,8 @@
 	}, nil
 }
 
-// mac returns the MAC in scratch space that the next call overwrites.
+// mac returns the MAC of body and service, in scratch space that the next call
+// overwrites.
 func (c *Codec) mac(k *keyring.Block, body []byte, service config.Tag) []byte {
 	copy(c.in[:], body)
 	binary.BigEndian.PutUint16(c.in[bodySize:], uint16(service>>16))
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestTokenSurvivesTheWire(t *testing.T) {
+func TestSealedTokenOpensToTheSameValue(t *testing.T) {
 	c := codec(t, newSecret)
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -53,11 +53,11 @@
 		g.Expect(got).To(Equal(want))
 		other := want.Service ^ config.Tag(rapid.Uint32Range(1, 1<<32-1).Draw(t, "difference"))
 		_, err = c.Open(id, other)
-		g.Expect(err).To(HaveOccurred(), "another service's face takes the token")
+		g.Expect(err).To(HaveOccurred(), "a face of another service accepted the token")
 	})
 }
 
-func TestEveryFlippedBitIsRefused(t *testing.T) {
+func TestTokenWithAnyFlippedBitIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	c, want := codec(t, newSecret), sample()
 	id := make([]byte, token.Size)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestRotation(t *testing.T) {
+func TestRotationAcceptsThePreviousSecret(t *testing.T) {
 	g := NewWithT(t)
 	before, after := codec(t, oldSecret), codec(t, newSecret+","+oldSecret)
 	id := make([]byte, token.Size)
@@ -99,9 +99,10 @@
 		}
 		again := make([]byte, token.Size)
 		c.Seal(again, got)
-		// Only the current secret seals; a token of the previous one opens.
+		// Seal uses the current secret, so a token of the previous secret can't be
+		// reproduced.
 		if again[0] == b[0] && string(again) != string(b) {
-			t.Fatal("an accepted token does not seal to itself")
+			t.Fatal("sealing an accepted token again gave different bytes")
 		}
 	})
 }
