--- a/internal/quicid/quicid_test.go
+++ b/internal/quicid/quicid_test.go
@@ -17,17 +17,17 @@
 		{"empty", "", "", false},
 		{"short header", "\x40abcdef", "abc", true},
 		{"short header that ends with the ID", "\x40abc", "abc", true},
-		{"short header cut", "\x40ab", "", false},
+		{"truncated short header", "\x40ab", "", false},
 		{"long header", "\xc0\x00\x00\x00\x01\x02abcdef", "ab", true},
 		{"long header that ends with the ID", "\xc0\x00\x00\x00\x01\x02ab", "ab", true},
 		{"long header of an unknown version", "\x80\xff\xff\xff\xff\x01abc", "a", true},
 		{"long header without an ID", "\xc0\x00\x00\x00\x01\x00", "", true},
-		{"long header cut before the length", "\xc0\x00\x00\x00\x01", "", false},
-		{"long header cut in the ID", "\xc0\x00\x00\x00\x01\x03ab", "", false},
+		{"long header truncated before the length", "\xc0\x00\x00\x00\x01", "", false},
+		{"long header truncated within the ID", "\xc0\x00\x00\x00\x01\x03ab", "", false},
 	} {
 		id, ok := quicid.Destination([]byte(tc.in), shortSize)
 		if string(id) != tc.id || ok != tc.ok {
-			t.Errorf("%s: %q, %v", tc.name, id, ok)
+			t.Errorf("%s: got ID %q, ok %v", tc.name, id, ok)
 		}
 	}
 }
@@ -41,11 +41,11 @@
 		id, ok := quicid.Destination(packet, shortSize)
 		switch {
 		case !ok && id != nil:
-			t.Fatal("an ID of a packet that is cut")
+			t.Fatal("got an ID although ok is false")
 		case ok && !quicid.IsLong(packet) && len(id) != shortSize:
-			t.Fatalf("an ID of %d bytes in a short header", len(id))
+			t.Fatalf("got an ID of %d bytes from a short header", len(id))
 		case !bytes.Contains(packet, id):
-			t.Fatal("an ID that the packet doesn't hold")
+			t.Fatal("got an ID that the packet does not contain")
 		}
 	})
 }
