--- a/internal/reset/reset_test.go
+++ b/internal/reset/reset_test.go
@@ -23,14 +23,14 @@
 	return NewKeys(ring)
 }
 
-func TestKeysDifferByAgentAndOutliveIt(t *testing.T) {
+func TestKeyDependsOnlyOnSecretAndAddress(t *testing.T) {
 	g := NewWithT(t)
 	const secrets = "1:000102030405060708090a0b0c0d0e0f"
 	g.Expect(keys(t, secrets).Key(agentA)).To(Equal(keys(t, secrets).Key(agentA)))
 	g.Expect(keys(t, secrets).Key(agentA)).NotTo(Equal(keys(t, secrets).Key(agentB)))
 }
 
-func TestPackets(t *testing.T) {
+func TestPacketsCarryOneResetTokenPerSecret(t *testing.T) {
 	g := NewWithT(t)
 	const long = 1200
 	id := []byte("id")
@@ -41,9 +41,9 @@
 	g.Expect(first).To(HaveLen(2))
 	for i, p := range first {
 		g.Expect(p).To(HaveLen(MaxPacket))
-		g.Expect(p[0]&0xc0).To(Equal(byte(0x40)), "a short header with the fixed bit")
+		g.Expect(p[0]&0xc0).To(Equal(byte(0x40)), "want a short header with the fixed bit")
 		g.Expect(tokenOf(p)).To(Equal(tokenOf(again[i])))
-		g.Expect(p).NotTo(Equal(again[i]), "what comes before the token is random")
+		g.Expect(p).NotTo(Equal(again[i]), "the bytes before the token must be random")
 	}
 	for _, trigger := range []int{MinTrigger, MaxPacket, MaxPacket + 1} {
 		for _, p := range both.Packets(agentA, id, trigger) {
