--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -1,6 +1,6 @@
-// Package keyring derives the fleet's working keys from shared secrets: one
-// current secret that signs, and previous ones that are still accepted while
-// a rotation is under way.
+// Package keyring derives the keys of all processes of a fleet from shared secrets.
+// The current secret is used for signing; the previous secret, if there is one, is
+// still accepted while a rotation is in progress.
 package keyring
 
 import (
@@ -16,26 +16,28 @@
 	"github.com/pkg/errors"
 )
 
-// MinSecretBytes is the least length of a shared secret.
+// MinSecretBytes is the minimum length of a shared secret in bytes.
 const MinSecretBytes = 16
 
-// MaxSecrets is the number of secrets a ring may hold: current and previous.
+// MaxSecrets is the maximum number of secrets in a ring: the current one and the
+// previous one.
 const MaxSecrets = 2
 
-// Secret is one shared secret with the number that tags what it signed.
+// Secret is a shared secret with its ID. Values signed with the secret contain the
+// ID, so that a receiver can choose the secret to verify them with.
 type Secret struct {
 	ID    uint8
 	Bytes []byte
 }
 
-// Ring holds the current secret first, then the previous one if there is one.
-// It is immutable.
+// Ring holds the current secret and, if there is one, the previous secret, in this
+// order. It is immutable.
 type Ring struct {
 	secrets []Secret
 }
 
-// Purpose names what a derived key is used for, so that a value signed for one
-// use is worthless for another.
+// Purpose identifies the use of a derived key. Each purpose has its own keys, so a
+// value that was signed for one purpose is not accepted for another.
 type Purpose string
 
 // Purposes of derived keys.
@@ -48,12 +50,12 @@
 	PurposePeer    Purpose = "saltbend peer identity"
 )
 
-// Parse reads "ID:HEX[,ID:HEX]", the current secret first. The error says
-// which entry is wrong and how, never the secret itself.
+// Parse parses "ID:HEX[,ID:HEX]", the current secret first. Its errors name the
+// invalid entry and the reason, but never contain the secret.
 func Parse(s string) (*Ring, error) {
 	parts := strings.Split(strings.TrimSpace(s), ",")
 	if len(parts) > MaxSecrets {
-		return nil, errors.Errorf("%d secrets given, %d allowed (current, previous)", len(parts), MaxSecrets)
+		return nil, errors.Errorf("%d secrets given, at most %d allowed (current, previous)", len(parts), MaxSecrets)
 	}
 	ring := &Ring{}
 	for i, p := range parts {
@@ -62,7 +64,7 @@
 			return nil, errors.Wrapf(err, "secret %d", i+1)
 		}
 		if i > 0 && secret.ID == ring.secrets[0].ID {
-			return nil, errors.Errorf("secret %d: id %d is used twice", i+1, secret.ID)
+			return nil, errors.Errorf("secret %d: id %d is already used by another secret", i+1, secret.ID)
 		}
 		ring.secrets = append(ring.secrets, secret)
 	}
@@ -70,15 +72,15 @@
 }
 
 func parseSecret(s string) (Secret, error) {
-	id, hexed, found := strings.Cut(strings.TrimSpace(s), ":")
+	id, hexText, found := strings.Cut(strings.TrimSpace(s), ":")
 	if !found {
-		return Secret{}, errors.New("want ID:HEX")
+		return Secret{}, errors.New("the format must be ID:HEX")
 	}
 	n, err := strconv.ParseUint(id, 10, 8)
 	if err != nil {
-		return Secret{}, errors.New("the id must be 0 to 255")
+		return Secret{}, errors.New("the id must be a number from 0 to 255")
 	}
-	raw, err := hex.DecodeString(hexed)
+	raw, err := hex.DecodeString(hexText)
 	if err != nil {
 		return Secret{}, errors.New("the secret must be hexadecimal")
 	}
@@ -94,32 +96,33 @@
 	Bytes []byte
 }
 
-// Derive returns a key of n bytes per secret, the current one first.
+// Derive returns one key of n bytes per secret, that of the current secret first.
 func (r *Ring) Derive(purpose Purpose, n int) []Key {
 	keys := make([]Key, 0, len(r.secrets))
 	for _, s := range r.secrets {
 		b, err := hkdf.Key(sha256.New, s.Bytes, nil, string(purpose), n)
 		if err != nil {
-			panic(err) // only for lengths beyond 255 hashes: a programming error
+			panic(err) // HKDF only fails for keys longer than 255 hashes: a programming error
 		}
 		keys = append(keys, Key{ID: s.ID, Bytes: b})
 	}
 	return keys
 }
 
-// blockKeySize selects AES-128, in bytes.
+// blockKeySize is the key size in bytes of AES-128.
 const blockKeySize = 16
 
-// Block is a block cipher (AES-128) under a key derived for one purpose.
+// Block is a block cipher (AES-128) with a key derived for one purpose.
 type Block struct {
 	cipher.Block
 	ID uint8
 }
 
-// Blocks are the block ciphers of one purpose, the current secret's first.
+// Blocks holds one block cipher per secret for one purpose, that of the current
+// secret first.
 type Blocks []Block
 
-// Blocks returns a block cipher per secret, the current one first.
+// Blocks returns one block cipher per secret, that of the current secret first.
 func (r *Ring) Blocks(purpose Purpose) Blocks {
 	blocks := make(Blocks, 0, len(r.secrets))
 	for _, k := range r.Derive(purpose, blockKeySize) {
@@ -132,7 +135,8 @@
 	return blocks
 }
 
-// Find returns the block cipher of the secret with the id, or nil.
+// Find returns the block cipher of the secret with the id, or nil if there is no
+// such secret.
 func (b Blocks) Find(id uint8) *Block {
 	for i := range b {
 		if b[i].ID == id {
@@ -142,12 +146,13 @@
 	return nil
 }
 
-// ErrOrder says that a ring can't follow another without a break: processes
-// that still hold the other one would not accept what this one signs.
+// ErrOrder means that a ring can't replace another one without an interruption:
+// processes that still use the old ring would reject values signed with the new
+// ring.
 var ErrOrder = errors.New("the current secret was not accepted before; rotate in steps: old,new then new,old then new")
 
-// MayFollow returns ErrOrder unless the ring's current secret is one that old
-// accepts.
+// MayFollow checks whether the ring can replace old. It returns ErrOrder unless the
+// ring's current secret is one that old accepts.
 func (r *Ring) MayFollow(old *Ring) error {
 	for _, s := range old.secrets {
 		if s.ID == r.secrets[0].ID && hmac.Equal(s.Bytes, r.secrets[0].Bytes) {
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -16,7 +16,7 @@
 	hexB = strings.Repeat("0b", keyring.MinSecretBytes)
 )
 
-func TestParseRefusesWithoutRepeatingTheSecret(t *testing.T) {
+func TestParseErrorDoesNotContainTheSecret(t *testing.T) {
 	cases := map[string]string{
 		"nothing":      "",
 		"no id":        hexA,
@@ -56,10 +56,10 @@
 	other, err := keyring.Parse("7:" + hexB)
 	g.Expect(err).NotTo(HaveOccurred())
 	same := bytes.Equal(other.Derive(keyring.PurposeToken, 32)[0].Bytes, ring.Derive(keyring.PurposeToken, 32)[1].Bytes)
-	g.Expect(same).To(BeTrue(), "the id must not change the key")
+	g.Expect(same).To(BeTrue(), "the key must not depend on the id")
 }
 
-func TestARotationKeepsAnAcceptedSecretCurrent(t *testing.T) {
+func TestMayFollowRequiresAnAcceptedCurrentSecret(t *testing.T) {
 	const a, b, c = "1:", "2:", "3:"
 	ring := func(ids ...string) *keyring.Ring {
 		var entries []string
