--- a/internal/balancer/faces.go
+++ b/internal/balancer/faces.go
@@ -27,9 +27,9 @@
 type face struct {
 	socket  *datapath.Socket
 	service string
-	// former maps each service that had the face previously to the time at which its
-	// drain ends.
-	former map[string]time.Time
+	// formerServices maps each service that had the face previously to the time at
+	// which its drain ends.
+	formerServices map[string]time.Time
 	// drainEnds is the time at which the socket is closed; zero while the face is in
 	// the configuration.
 	drainEnds time.Time
@@ -57,10 +57,10 @@
 	}
 }
 
-// update opens the faces that were added to the configuration, and drains those
-// that were removed from it. It returns the sockets whose drain has ended: they
-// are no longer in open, and the caller must close them after publishing a
-// snapshot without them.
+// update opens the faces of the configuration that are not open yet, and drains
+// the open faces that are no longer in it. It returns the sockets whose drain has
+// ended: they are no longer in open, and the caller must close them after
+// publishing a snapshot without them.
 func (f *faces) update(c *config.Config, now time.Time) (ended []*datapath.Socket) {
 	wanted := facesOf(c)
 	before := f.failed
@@ -74,7 +74,7 @@
 		}
 	}
 	for public, open := range f.open {
-		open.expireFormer(now)
+		open.expireFormerServices(now)
 		if _, ok := wanted[public]; ok {
 			continue
 		}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	f.open[public] = &face{socket: socket, service: service, former: make(map[string]time.Time)}
+	f.open[public] = &face{socket: socket, service: service, formerServices: make(map[string]time.Time)}
 	f.notify(faceOpened, public, nil)
 	return nil
 }
@@ -112,20 +112,20 @@
 	if service == f.service {
 		return
 	}
-	f.former[f.service] = drainEnds
+	f.formerServices[f.service] = drainEnds
 	f.service = service
-	delete(f.former, service)
+	delete(f.formerServices, service)
 }
 
-// expireFormer removes the former services whose drain has ended.
-func (f *face) expireFormer(now time.Time) {
-	maps.DeleteFunc(f.former, func(_ string, ends time.Time) bool { return !now.Before(ends) })
+// expireFormerServices removes the former services whose drain has ended.
+func (f *face) expireFormerServices(now time.Time) {
+	maps.DeleteFunc(f.formerServices, func(_ string, ends time.Time) bool { return !now.Before(ends) })
 }
 
 // formerTags returns the tags of the former services.
 func (f *face) formerTags() []config.Tag {
 	var tags []config.Tag
-	for name := range f.former {
+	for name := range f.formerServices {
 		tags = append(tags, config.TagOf(name))
 	}
 	return tags
@@ -143,7 +143,7 @@
 // be free.
 func (f *faces) needsRecheck() bool {
 	for _, open := range f.open {
-		if !open.drainEnds.IsZero() || len(open.former) > 0 {
+		if !open.drainEnds.IsZero() || len(open.formerServices) > 0 {
 			return true
 		}
 	}
--- a/internal/balancer/publisher.go
+++ b/internal/balancer/publisher.go
@@ -117,18 +117,18 @@
 
 func (p *publisher) snapshot(s *control.Snapshot) *datapath.Snapshot {
 	out := &datapath.Snapshot{
-		Revision: s.Config.Revision,
-		Keys:     p.currentKeys,
-		Faces:    make(map[netip.AddrPort]*datapath.Face, len(p.faces.open)),
-		Gone:     p.gone,
+		Revision:      s.Config.Revision,
+		Keys:          p.currentKeys,
+		Faces:         make(map[netip.AddrPort]*datapath.Face, len(p.faces.open)),
+		GoneAddresses: p.gone,
 	}
 	for public, open := range p.faces.open {
 		out.Faces[public] = &datapath.Face{
-			Socket:   open.socket,
-			Service:  config.TagOf(open.service),
-			Former:   open.formerTags(),
-			Agents:   p.services.set(open.service),
-			Draining: !open.drainEnds.IsZero(),
+			Socket:         open.socket,
+			Service:        config.TagOf(open.service),
+			FormerServices: open.formerTags(),
+			Agents:         p.services.set(open.service),
+			Draining:       !open.drainEnds.IsZero(),
 		}
 	}
 	return out
--- a/internal/balancer/publisher_test.go
+++ b/internal/balancer/publisher_test.go
@@ -102,12 +102,12 @@
 	p.publish(moved, start)
 	face := p.snapshot(moved).Faces[faceA]
 	g.Expect(face.Service).To(Equal(config.TagOf("standings")))
-	g.Expect(face.Former).To(ConsistOf(config.TagOf("results")))
+	g.Expect(face.FormerServices).To(ConsistOf(config.TagOf("results")))
 	p.publish(withFaces("results", faceA), start.Add(1))
 	p.publish(moved, start.Add(2))
-	g.Expect(p.snapshot(moved).Faces[faceA].Former).To(ConsistOf(config.TagOf("results")))
+	g.Expect(p.snapshot(moved).Faces[faceA].FormerServices).To(ConsistOf(config.TagOf("results")))
 	p.publish(moved, start.Add(2+drain))
-	g.Expect(p.snapshot(moved).Faces[faceA].Former).To(BeEmpty())
+	g.Expect(p.snapshot(moved).Faces[faceA].FormerServices).To(BeEmpty())
 	g.Expect(p.faces.needsRecheck()).To(BeFalse())
 }
 
--- a/internal/datapath/classify.go
+++ b/internal/datapath/classify.go
@@ -83,8 +83,8 @@
 // another service, against the face's former services.
 func openToken(id []byte, f *Face, tokens *token.Codec) (t token.Token, err error) {
 	t, err = tokens.Open(id, f.Service)
-	for i := 0; err == token.ErrService && i < len(f.Former); i++ {
-		t, err = tokens.Open(id, f.Former[i])
+	for i := 0; err == token.ErrService && i < len(f.FormerServices); i++ {
+		t, err = tokens.Open(id, f.FormerServices[i])
 	}
 	return t, err
 }
--- a/internal/datapath/classify_test.go
+++ b/internal/datapath/classify_test.go
@@ -43,8 +43,8 @@
 	return NewKeys(ring)
 }
 
-// short returns a short-header packet of n bytes whose connection ID is a token
-// of the service.
+// shortPacket returns a short-header packet of n bytes whose connection ID is a
+// token of the service.
 func shortPacket(k *Keys, service config.Tag, agent netip.AddrPort, n int) []byte {
 	b := make([]byte, n)
 	b[0] = fixedBit
@@ -52,8 +52,8 @@
 	return b
 }
 
-// long returns a long-header packet of n bytes with the destination connection
-// ID.
+// longPacket returns a long-header packet of n bytes with the destination
+// connection ID.
 func longPacket(first byte, version uint32, id []byte, n int) []byte {
 	b := make([]byte, n)
 	b[0] = quicid.LongHeader | first
@@ -65,7 +65,7 @@
 
 func TestClassify(t *testing.T) {
 	k := testKeys(t, testSecrets)
-	face := &Face{Service: results, Former: []config.Tag{config.TagOf("standings"), config.TagOf("archive")}}
+	face := &Face{Service: results, FormerServices: []config.Tag{config.TagOf("standings"), config.TagOf("archive")}}
 	old, expired, other := testKeys(t, oldSecrets), testKeys(t, expiredSecrets), testKeys(t, otherSecrets)
 	sealed := shortPacket(k, results, agent1, 60)[1 : 1+token.Size]
 	foreign := shortPacket(k, intake, agent1, 60)[1 : 1+token.Size]
@@ -128,7 +128,7 @@
 
 func FuzzClassify(f *testing.F) {
 	k := testKeys(f, testSecrets)
-	face := &Face{Service: results, Former: []config.Tag{intake}}
+	face := &Face{Service: results, FormerServices: []config.Tag{intake}}
 	f.Add(shortPacket(k, results, agent1, 60))
 	f.Add(shortPacket(k, intake, agent1, 21))
 	f.Add(longPacket(fixedBit, version1, []byte("12345678"), 1200))
--- a/internal/datapath/forward.go
+++ b/internal/datapath/forward.go
@@ -91,7 +91,7 @@
 	if v.drop != None {
 		return netip.AddrPort{}, c.drops[v.drop]
 	}
-	if len(f.snapshot.Gone) != 0 && f.shouldReset(buffer[encap.HeaderSize:end], &v) {
+	if len(f.snapshot.GoneAddresses) != 0 && f.shouldReset(buffer[encap.HeaderSize:end], &v) {
 		f.resetAgent = v.agent
 		return netip.AddrPort{}, c.resets
 	}
@@ -112,5 +112,5 @@
 // shouldReset reports whether to answer the datagram with a stateless reset
 // because the flow's agent is gone and the rate limit allows another reset.
 func (f *forwarder) shouldReset(datagram []byte, v *verdict) bool {
-	return f.snapshot.Gone[v.agent].needsReset(datagram, v.incarnation) && f.resets.Allow()
+	return f.snapshot.GoneAddresses[v.agent].needsReset(datagram, v.incarnation) && f.resets.Allow()
 }
--- a/internal/datapath/gone.go
+++ b/internal/datapath/gone.go
@@ -107,7 +107,7 @@
 func (pr *prober) probeRound(s *Snapshot) {
 	pr.use(s)
 	left := maxProbesPerRound
-	for addr, g := range s.Gone {
+	for addr, g := range s.GoneAddresses {
 		if left == 0 {
 			return
 		}
--- a/internal/datapath/gone_test.go
+++ b/internal/datapath/gone_test.go
@@ -61,7 +61,7 @@
 			g := NewWithT(t)
 			f := newForwarder(agent1, publicFace, tc.limit)
 			face := &Face{Service: results, Agents: agentsAt(agent1)}
-			f.use(&Snapshot{Keys: k, Faces: map[netip.AddrPort]*Face{publicFace: face}, Gone: tc.gone})
+			f.use(&Snapshot{Keys: k, Faces: map[netip.AddrPort]*Face{publicFace: face}, GoneAddresses: tc.gone})
 			buffer := make([]byte, bufferSize)
 			end := encap.HeaderSize + copy(buffer[encap.HeaderSize:], tc.packet)
 			agent, counter := f.decide(buffer, end, agent1, c)
@@ -83,7 +83,7 @@
 	at := localAddr(r.agent)
 	gone := goneAddresses(at, unresponsiveAfter, 5)
 	s := r.snapshot()
-	s.Gone = gone
+	s.GoneAddresses = gone
 	r.path.Publish(s)
 	message := func(k *Keys, kind encap.Kind) []byte {
 		b := make([]byte, encap.HeaderSize+50)
--- a/internal/datapath/reply.go
+++ b/internal/datapath/reply.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return r.dropped(buffer, headerReason(err))
 	}
-	fromGone := len(r.snapshot.Gone) != 0 && r.recordResponse(from)
+	fromGone := len(r.snapshot.GoneAddresses) != 0 && r.recordResponse(from)
 	switch h.Kind {
 	case encap.KindReply:
 		return r.reply(buffer, end, &h)
@@ -76,7 +76,7 @@
 // recordResponse records a response if the sender's address is one whose agents
 // the fleet considers gone, and reports whether it is.
 func (r *replier) recordResponse(from netip.AddrPort) bool {
-	g := r.snapshot.Gone[from]
+	g := r.snapshot.GoneAddresses[from]
 	if g == nil {
 		return false
 	}
--- a/internal/datapath/reset_test.go
+++ b/internal/datapath/reset_test.go
@@ -91,8 +91,8 @@
 
 			// The fleet considers the agent gone, but it is alive and answers probes.
 			s := r.snapshot()
-			s.Gone = goneAddresses(at, 0, token.IncarnationTag(incarnation))
-			gone := s.Gone[at]
+			s.GoneAddresses = goneAddresses(at, 0, token.IncarnationTag(incarnation))
+			gone := s.GoneAddresses[at]
 			r.path.Publish(s)
 			pr := &prober{path: r.path, buffer: make([]byte, bufferSize)}
 			resets := r.path.forward.resets.Get()
--- a/internal/datapath/snapshot.go
+++ b/internal/datapath/snapshot.go
@@ -20,8 +20,8 @@
 	Keys     *Keys
 	// Faces holds the open faces by their public address.
 	Faces map[netip.AddrPort]*Face
-	// Gone holds the data addresses whose agents are gone.
-	Gone map[netip.AddrPort]*GoneAddress
+	// GoneAddresses holds the data addresses whose agents are gone.
+	GoneAddresses map[netip.AddrPort]*GoneAddress
 }
 
 // Face is one public address of a service, with the socket and the agents that
@@ -29,9 +29,9 @@
 type Face struct {
 	Socket  *Socket
 	Service config.Tag
-	// Former are the services that had the face previously: their open flows are
-	// still forwarded, but new flows go to Service.
-	Former []config.Tag
+	// FormerServices are the services that had the face previously: their open flows
+	// are still forwarded, but new flows go to Service.
+	FormerServices []config.Tag
 	// Agents are the candidates for the face's new flows.
 	Agents *placement.Set
 	// Draining is set after the face was removed from the configuration: datagrams
@@ -41,7 +41,7 @@
 
 // accepts reports whether flows of the service may use the face.
 func (f *Face) accepts(service config.Tag) bool {
-	return f.Service == service || slices.Contains(f.Former, service)
+	return f.Service == service || slices.Contains(f.FormerServices, service)
 }
 
 // Keys holds the codecs derived from the current secrets. A codec is not safe for
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -17,25 +17,25 @@
 // share of all flows in proportion to its weight, and the fewest possible flows
 // cross between data centres.
 type Locality struct {
-	own string
+	dataCentre string
 	// arrivals is the share of all new flows that arrives in each data centre.
 	arrivals map[string]float64
 }
 
-// NewLocality returns the locality of a balancer in the data centre own.
-func NewLocality(own string, balancers []member.Member) Locality {
-	return Locality{own: own, arrivals: arrivalsByDataCentre(own, balancers)}
+// NewLocality returns the locality of a balancer in the given data centre.
+func NewLocality(dataCentre string, balancers []member.Member) Locality {
+	return Locality{dataCentre: dataCentre, arrivals: arrivalsByDataCentre(dataCentre, balancers)}
 }
 
 // Equal reports whether l and o give the same shares for the same agents.
 func (l Locality) Equal(o Locality) bool {
-	return l.own == o.own && maps.Equal(l.arrivals, o.arrivals)
+	return l.dataCentre == o.dataCentre && maps.Equal(l.arrivals, o.arrivals)
 }
 
 // shares returns the share of this balancer's new flows that goes to each data
 // centre.
 func (l Locality) shares(w weights) map[string]float64 {
-	own, arrivals := l.own, l.arrivals
+	own, arrivals := l.dataCentre, l.arrivals
 	capacity := w.byDataCentre()
 	localShare := min(1, capacity[own]/arrivals[own])
 	out := make(map[string]float64, len(capacity))
@@ -58,10 +58,10 @@
 }
 
 // arrivalsByDataCentre returns the fraction of the balancers that is in each data
-// centre. Draining and gone balancers do not count. If no balancer of the data
-// centre own is in the list, it counts as having one: the calling balancer, which
-// may be missing from its own list.
-func arrivalsByDataCentre(own string, balancers []member.Member) map[string]float64 {
+// centre. Draining and gone balancers do not count. If no balancer of
+// ownDataCentre is left, it counts as having one: the calling balancer, which may be
+// missing from its own list.
+func arrivalsByDataCentre(ownDataCentre string, balancers []member.Member) map[string]float64 {
 	counts := make(map[string]float64)
 	total := 0.0
 	for i := range balancers {
@@ -71,8 +71,8 @@
 		counts[balancers[i].DataCentre]++
 		total++
 	}
-	if counts[own] == 0 {
-		counts[own]++
+	if counts[ownDataCentre] == 0 {
+		counts[ownDataCentre]++
 		total++
 	}
 	for d := range counts {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -24,8 +24,8 @@
 // group holds the agents that have the same share of new flows.
 type group struct {
 	entries []entry
-	// inverse is 1 divided by the share of each agent of the group.
-	inverse float64
+	// inverseShare is 1 divided by the share of each agent of the group.
+	inverseShare float64
 }
 
 type entry struct {
@@ -51,11 +51,11 @@
 }
 
 // weights holds the weights of some agents of a list.
-type weights []weighted
+type weights []agentWeight
 
-// weighted is the weight and the data centre of one agent; index is its position
+// agentWeight is the weight and the data centre of one agent; index is its position
 // in the list of agents.
-type weighted struct {
+type agentWeight struct {
 	index      int
 	dataCentre string
 	weight     float64
@@ -69,7 +69,7 @@
 // ready.
 func candidates(agents []member.Member, threshold float64) (w weights, panics bool) {
 	ready := inState(agents, member.StateReady)
-	healthy := slices.DeleteFunc(slices.Clone(ready), func(x weighted) bool { return x.weight == 0 })
+	healthy := slices.DeleteFunc(slices.Clone(ready), func(x agentWeight) bool { return x.weight == 0 })
 	if len(healthy) > 0 && float64(len(healthy)) >= threshold*float64(len(ready)) {
 		return healthy, false
 	}
@@ -85,7 +85,7 @@
 	for i := range agents {
 		a := &agents[i]
 		if a.State == state && a.Data.Addr().Is4() {
-			w = append(w, weighted{index: i, dataCentre: a.DataCentre, weight: float64(max(a.Weight, 0))})
+			w = append(w, agentWeight{index: i, dataCentre: a.DataCentre, weight: float64(max(a.Weight, 0))})
 		}
 	}
 	return w
@@ -127,10 +127,10 @@
 			continue
 		}
 		a := &agents[x.index]
-		i := slices.IndexFunc(out, func(g group) bool { return g.inverse == 1/s })
+		i := slices.IndexFunc(out, func(g group) bool { return g.inverseShare == 1/s })
 		if i < 0 {
 			i = len(out)
-			out = append(out, group{inverse: 1 / s})
+			out = append(out, group{inverseShare: 1 / s})
 		}
 		out[i].entries = append(out[i].entries, entry{addr: a.Data, seed: agentSeed(a.Control)})
 	}
@@ -178,7 +178,7 @@
 		// The hash gives each agent an exponentially distributed arrival time with
 		// its share as the rate. An agent then arrives first with a probability equal
 		// to its share. Within a group, the agent with the largest hash arrives first.
-		if arrival := -math.Log(uniform(hash)) * g.inverse; arrival < earliest {
+		if arrival := -math.Log(uniform(hash)) * g.inverseShare; arrival < earliest {
 			earliest, best = arrival, e
 		}
 	}
