--- a/internal/agent/path_test.go
+++ b/internal/agent/path_test.go
@@ -30,11 +30,11 @@
 	server *server
 }
 
-func startEndpoint(t testing.TB, data netip.AddrPort, handler http.Handler, hand flow.HandFunc) *endpoint {
+func startEndpoint(t testing.TB, data netip.AddrPort, handler http.Handler, hand flow.RedirectFunc) *endpoint {
 	g := NewWithT(t)
 	ring := testRing(t)
 	tag := config.TagOf(testService)
-	conn, err := flow.Listen(flow.Options{Data: data, Service: tag, Ring: ring, Hand: hand})
+	conn, err := flow.Listen(flow.Options{Data: data, Service: tag, Ring: ring, Redirect: hand})
 	g.Expect(err).NotTo(HaveOccurred())
 	ids, err := flow.NewIDs(ring, conn.Addr(), tag, uint64(time.Now().UnixNano()))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -118,11 +118,11 @@
 
 func (a *agent) listenFlow(ring *keyring.Ring) error {
 	conn, err := flow.Listen(flow.Options{
-		Data:    a.settings.Data.AddrPort(),
-		Service: config.TagOf(a.settings.Service),
-		Ring:    ring,
-		Admit:   a.admit,
-		Hand:    a.hand,
+		Data:     a.settings.Data.AddrPort(),
+		Service:  config.TagOf(a.settings.Service),
+		Ring:     ring,
+		Admit:    a.admit,
+		Redirect: a.hand,
 	})
 	a.flow = conn
 	return err
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -28,27 +28,27 @@
 	// Admit tells whether a new flow may come in; nil admits all.
 	Admit AdmitFunc
 	// Hand may place new flows at siblings; nil keeps all.
-	Hand HandFunc
+	Redirect RedirectFunc
 }
 
 // Conn is the agent's data socket as the net.PacketConn of a QUIC transport.
 // One goroutine may read at a time; any number may write.
 type Conn struct {
-	socket  *net.UDPConn
-	service config.Tag
-	admit   AdmitFunc
-	hand    HandFunc
-	writer  *writer
-	once    sync.Once
+	socket   *net.UDPConn
+	service  config.Tag
+	admit    AdmitFunc
+	redirect RedirectFunc
+	writer   *writer
+	once     sync.Once
 
 	// The reading goroutine owns these.
-	batch    *ipv4.PacketConn
-	messages []ipv4.Message
-	next     int
-	count    int
-	codec    *encap.Codec
-	tokens   *token.Codec
-	placed   *hands
+	batch      *ipv4.PacketConn
+	messages   []ipv4.Message
+	next       int
+	count      int
+	codec      *encap.Codec
+	tokens     *token.Codec
+	placements *placementCache
 
 	// keys are codecs of a rotated ring that the reader has not yet taken up.
 	keys atomic.Pointer[keys]
@@ -74,23 +74,23 @@
 	}
 	codec := encap.NewCodec(o.Ring)
 	c := &Conn{
-		socket:   socket,
-		service:  o.Service,
-		admit:    o.Admit,
-		hand:     o.Hand,
-		batch:    ipv4.NewPacketConn(socket),
-		messages: newMessages(),
-		codec:    codec,
-		tokens:   token.NewCodec(o.Ring),
-		placed:   newHands(),
-		paths:    NewPaths(uint64(time.Now().UnixNano())),
+		socket:     socket,
+		service:    o.Service,
+		admit:      o.Admit,
+		redirect:   o.Redirect,
+		batch:      ipv4.NewPacketConn(socket),
+		messages:   newMessages(),
+		codec:      codec,
+		tokens:     token.NewCodec(o.Ring),
+		placements: newPlacementCache(),
+		paths:      NewPaths(uint64(time.Now().UnixNano())),
 	}
 	for i := range c.messages {
 		c.messages[i].Buffers[0] = make([]byte, encap.MaxDatagram)
 	}
 	c.writer = newWriter(c.batch, codec.Clone())
 	go c.writer.run()
-	go c.probe()
+	go c.runProbes()
 	return c, nil
 }
 
@@ -139,7 +139,7 @@
 	if !ok {
 		return 0, errors.Errorf("flow: %v is not the address of a caller", addr)
 	}
-	d := c.writer.take()
+	d := c.writer.getDatagram()
 	c.mu.Lock()
 	d.to = c.paths.Choose(time.Now(), f)
 	c.mu.Unlock()
@@ -181,7 +181,7 @@
 }
 
 // probe asks balancers in use whether they answer, until Close.
-func (c *Conn) probe() {
+func (c *Conn) runProbes() {
 	ticker := time.NewTicker(TickEvery)
 	defer ticker.Stop()
 	expired := time.Now()
@@ -210,7 +210,7 @@
 	due := c.paths.Tick(now)
 	c.mu.Unlock()
 	for _, p := range due {
-		d := c.writer.take()
+		d := c.writer.getDatagram()
 		d.to = p.Balancer
 		d.header = encap.Header{
 			Kind:     encap.KindProbe,
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -15,7 +15,7 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // Offsets of the destination connection ID in a long header, in bytes.
 const (
@@ -67,7 +67,7 @@
 // receive returns the next datagram that is not a probe.
 func (p *peer) receive(g Gomega) (encap.Header, string) {
 	b := make([]byte, 2048)
-	g.Expect(p.socket.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+	g.Expect(p.socket.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	for {
 		n, err := p.socket.Read(b)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -79,11 +79,11 @@
 	}
 }
 
-func listen(t testing.TB, hand HandFunc) *Conn {
+func listen(t testing.TB, redirect RedirectFunc) *Conn {
 	g := NewWithT(t)
 	c, err := Listen(Options{
 		Data: netip.MustParseAddrPort("127.0.0.1:0"), Service: config.TagOf("results"),
-		Ring: ring(g, oldSecret), Hand: hand,
+		Ring: ring(g, oldSecret), Redirect: redirect,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = c.Close() })
@@ -91,15 +91,15 @@
 }
 
 // next returns the next payload that reaches QUIC.
-func next(g Gomega, c *Conn) (string, *Flow) {
-	g.Expect(c.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+func nextPayload(g Gomega, c *Conn) (string, *Flow) {
+	g.Expect(c.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	b := make([]byte, 2048)
 	n, addr, err := c.ReadFrom(b)
 	g.Expect(err).NotTo(HaveOccurred())
 	return string(b[:n]), addr.(*Flow)
 }
 
-func TestOnlyDatagramsOfTheOwnServiceReachQUIC(t *testing.T) {
+func TestOnlyValidDatagramsForTheServiceReachQUIC(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	b := newPeer(t, ring(g, oldSecret))
@@ -118,7 +118,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	b.send(g, c.Addr(), b.header(), []byte("good"))
 
-	payload, f := next(g, c)
+	payload, f := nextPayload(g, c)
 	g.Expect(payload).To(Equal("good"))
 	g.Expect(f.Key).To(Equal(caller))
 	after := []uint64{droppedService.Get(), droppedForged.Get(), droppedKind.Get(), droppedEmpty.Get(), droppedShort.Get()}
@@ -137,7 +137,7 @@
 	g.Expect(err).To(HaveOccurred())
 }
 
-func TestABalancerThatAsksIsAnswered(t *testing.T) {
+func TestBalancerProbeIsAnsweredUnlessItNamesTheAgent(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	b := newPeer(t, ring(g, oldSecret))
@@ -148,7 +148,7 @@
 	b.send(g, c.Addr(), self, nil)
 	b.send(g, c.Addr(), probe, nil)
 	b.send(g, c.Addr(), b.header(), []byte("good"))
-	next(g, c)
+	nextPayload(g, c)
 	h, _ := b.receive(g)
 	probe.Kind = encap.KindProbeReply
 	g.Expect(h).To(Equal(probe))
@@ -163,7 +163,7 @@
 	return b
 }
 
-func TestHandedOnOnceAndNeverWhatIsHere(t *testing.T) {
+func TestOnlyNewFlowsAreRedirectedAndOnlyOnce(t *testing.T) {
 	g := NewWithT(t)
 	sibling := newPeer(t, ring(g, oldSecret))
 	c := listen(t, func(encap.Header, []byte) (netip.AddrPort, bool) { return sibling.addr(), true })
@@ -184,7 +184,7 @@
 	b.send(g, c.Addr(), b.header(), initial(string(id.Bytes())))
 	b.send(g, c.Addr(), b.header(), []byte("\x40short header"))
 	for range 4 {
-		payload, _ := next(g, c)
+		payload, _ := nextPayload(g, c)
 		g.Expect(payload).NotTo(ContainSubstring("new-flow"))
 	}
 	for range 2 {
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestRefusedNewFlowsAreDroppedAndOpenOnesAreNot(t *testing.T) {
+func TestAdmissionAppliesToNewFlowsOnly(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	c.admit = func(h encap.Header) bool { return h.Revision > 0 }
@@ -211,24 +211,24 @@
 	admitted.Revision = 1
 	b.send(g, c.Addr(), admitted, initial("admitted"))
 	for _, want := range []string{string(id.Bytes()), "admitted"} {
-		payload, _ := next(g, c)
+		payload, _ := nextPayload(g, c)
 		g.Expect(payload[dcidOffset : dcidOffset+len(want)]).To(Equal(want))
 	}
 	g.Expect(droppedFace.Get() - before).To(BeEquivalentTo(1))
 }
 
-func TestRotatedKeysAreTakenUp(t *testing.T) {
+func TestRotatedKeysAreUsed(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	both := ring(g, newSecret+","+oldSecret)
 	old, rotated := newPeer(t, ring(g, oldSecret)), newPeer(t, both)
 	c.SetKeys(both)
 	old.send(g, c.Addr(), old.header(), []byte("old"))
-	next(g, c)
+	nextPayload(g, c)
 	other := rotated.header()
 	other.Caller = addr(9, 5001) // a flow that the old balancer has not carried
 	rotated.send(g, c.Addr(), other, []byte("new"))
-	_, f := next(g, c)
+	_, f := nextPayload(g, c)
 	_, err := c.WriteTo([]byte("answer"), f)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, answer := rotated.receive(g)
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -32,4 +32,4 @@
 // HandFunc may place a new flow elsewhere. It gets the header of the Initial
 // and its destination connection ID, which it must not keep, and returns the
 // data address of a sibling that takes the flow. It must not block.
-type HandFunc func(h encap.Header, dcid []byte) (to netip.AddrPort, ok bool)
+type RedirectFunc func(h encap.Header, dcid []byte) (to netip.AddrPort, ok bool)
--- a/internal/flow/paths.go
+++ b/internal/flow/paths.go
@@ -19,10 +19,10 @@
 	// flowFor is how long a flow without a datagram of its caller is
 	// remembered; it is longer than MaxIdleTimeout, after which QUIC has given
 	// up the connection.
-	flowFor = MaxIdleTimeout + 30*time.Second
+	flowTTL = MaxIdleTimeout + 30*time.Second
 	// balancerFor is how long a balancer that the fleet's membership doesn't
 	// (or not yet) name is used after it last carried a datagram.
-	balancerFor = time.Second
+	balancerTTL = time.Second
 	// maxFlows bounds the remembered flows. Beyond it a random one is forgotten
 	// for each new one: its replies then take all balancers in turn, as those of
 	// a silent flow do, until its caller speaks again.
@@ -39,14 +39,14 @@
 // by, so that a reply finds its way without a look-up.
 type Flow struct {
 	Key
-	text     string
-	balancer netip.AddrPort
-	since    time.Time // when the balancer was chosen
-	heard    time.Time
+	text         string
+	balancer     netip.AddrPort
+	chosenAt     time.Time // when the balancer was chosen
+	lastReceived time.Time
 	// turn counts the ways that a silent flow has taken, turned is when it
 	// took the last one.
-	turn   uint64
-	turned time.Time
+	rotation  uint64
+	rotatedAt time.Time
 }
 
 // Network implements net.Addr.
@@ -62,7 +62,7 @@
 	flows     map[Key]*Flow
 	balancers map[netip.AddrPort]*balancer
 	live      []netip.AddrPort
-	turns     []*balancer // all known balancers, in the order of their addresses
+	ordered   []*balancer // all known balancers, in the order of their addresses
 	probes    probes
 }
 
@@ -81,21 +81,21 @@
 	f := p.flows[key]
 	if f == nil {
 		if len(p.flows) >= maxFlows {
-			p.forgetOne()
+			p.evictOne()
 		}
-		f = &Flow{Key: key, turn: uint64(key.Caller.Port()), text: key.Caller.String() + " at " + key.Face.String()}
+		f = &Flow{Key: key, rotation: uint64(key.Caller.Port()), text: key.Caller.String() + " at " + key.Face.String()}
 		p.flows[key] = f
 	}
-	if now.Sub(f.since) >= rotateEvery {
-		f.balancer, f.since = via, now
+	if now.Sub(f.chosenAt) >= rotateEvery {
+		f.balancer, f.chosenAt = via, now
 	}
-	f.heard = now
-	p.heard(now, via)
+	f.lastReceived = now
+	p.recordCarrier(now, via)
 	return f
 }
 
 // forgetOne makes room. Go's maps start at a random place.
-func (p *Paths) forgetOne() {
+func (p *Paths) evictOne() {
 	for key := range p.flows {
 		delete(p.flows, key)
 		return
@@ -104,14 +104,14 @@
 
 // heard notes that a balancer carried a datagram to here. That says nothing of
 // the way back, so it lifts no suspicion.
-func (p *Paths) heard(now time.Time, via netip.AddrPort) {
+func (p *Paths) recordCarrier(now time.Time, via netip.AddrPort) {
 	b := p.balancers[via]
 	if b == nil {
 		b = &balancer{addr: via}
 		p.balancers[via] = b
 		p.rebuild()
 	}
-	b.heard = now
+	b.lastReceived = now
 }
 
 // SetLive names the balancers that the fleet's membership knows to live.
@@ -135,33 +135,33 @@
 // goes now: the one that last carried the flow while the caller speaks and the
 // balancer is usable, else the usable ones in turn.
 func (p *Paths) Choose(now time.Time, f *Flow) netip.AddrPort {
-	if newer := p.flows[f.Key]; newer != nil {
-		f = newer // QUIC keeps the first address, also of a flow that was forgotten
+	if current := p.flows[f.Key]; current != nil {
+		f = current // QUIC keeps the first address, also of a flow that was forgotten
 	}
 	last := p.balancers[f.balancer]
-	if now.Sub(f.heard) <= silentAfter && last != nil && last.usable(now) {
-		last.used = now
+	if now.Sub(f.lastReceived) <= silentAfter && last != nil && last.usable(now) {
+		last.lastUsed = now
 		return last.addr
 	}
-	if now.Sub(f.turned) >= rotateEvery {
-		f.turn++
-		f.turned = now
+	if now.Sub(f.rotatedAt) >= rotateEvery {
+		f.rotation++
+		f.rotatedAt = now
 	}
-	chosen := p.usableAt(now, f.turn)
+	chosen := p.usableAt(now, f.rotation)
 	if chosen == nil {
 		return f.balancer // nothing better is known
 	}
-	chosen.used = now
+	chosen.lastUsed = now
 	return chosen.addr
 }
 
 // usableAt returns the balancer whose turn it is, or the next usable one. The
 // turns count the unusable ones as well: else each new suspicion would number
 // the others anew, and a good one could be passed over turn after turn.
-func (p *Paths) usableAt(now time.Time, turn uint64) *balancer {
-	n := uint64(len(p.turns))
+func (p *Paths) usableAt(now time.Time, rotation uint64) *balancer {
+	n := uint64(len(p.ordered))
 	for i := range n {
-		if b := p.turns[(turn+i)%n]; b.usable(now) {
+		if b := p.ordered[(rotation+i)%n]; b.usable(now) {
 			return b
 		}
 	}
@@ -172,7 +172,7 @@
 func (p *Paths) Tick(now time.Time) []Probe {
 	before := len(p.balancers)
 	for addr, b := range p.balancers {
-		if !b.member && now.Sub(b.heard) > balancerFor {
+		if !b.member && now.Sub(b.lastReceived) > balancerTTL {
 			delete(p.balancers, addr)
 		}
 	}
@@ -185,14 +185,14 @@
 // Answered records a balancer's answer to a probe: both ways work.
 func (p *Paths) Answered(now time.Time, addr netip.AddrPort, nonce uint64) {
 	if b := p.balancers[addr]; b != nil {
-		b.answered(now, nonce)
+		b.recordAnswer(now, nonce)
 	}
 }
 
 // Expire forgets flows whose callers have long been silent.
 func (p *Paths) Expire(now time.Time) {
 	for key, f := range p.flows {
-		if now.Sub(f.heard) > flowFor {
+		if now.Sub(f.lastReceived) > flowTTL {
 			delete(p.flows, key)
 		}
 	}
@@ -205,7 +205,7 @@
 func (p *Paths) Suspects() int {
 	n := 0
 	for _, b := range p.balancers {
-		if b.suspect {
+		if b.suspected {
 			n++
 		}
 	}
@@ -214,9 +214,9 @@
 
 // rebuild lists the known balancers in the order of their addresses.
 func (p *Paths) rebuild() {
-	p.turns = p.turns[:0]
+	p.ordered = p.ordered[:0]
 	for _, b := range p.balancers {
-		p.turns = append(p.turns, b)
+		p.ordered = append(p.ordered, b)
 	}
-	slices.SortFunc(p.turns, func(a, b *balancer) int { return a.addr.Compare(b.addr) })
+	slices.SortFunc(p.ordered, func(a, b *balancer) int { return a.addr.Compare(b.addr) })
 }
--- a/internal/flow/paths_test.go
+++ b/internal/flow/paths_test.go
@@ -21,17 +21,17 @@
 
 // world drives Paths: balancers that answer probes or do not, in steps of one
 // millisecond.
-type world struct {
+type simulation struct {
 	paths     *Paths
 	now       time.Time
 	balancers []netip.AddrPort
 	// bad balancers neither answer probes nor carry replies.
-	bad    map[netip.AddrPort]bool
+	failed map[netip.AddrPort]bool
 	probes int
 }
 
-func newWorld(balancers int) *world {
-	w := &world{paths: NewPaths(0), now: start, bad: map[netip.AddrPort]bool{}}
+func newSimulation(balancers int) *simulation {
+	w := &simulation{paths: NewPaths(0), now: start, failed: map[netip.AddrPort]bool{}}
 	for i := range balancers {
 		w.balancers = append(w.balancers, addr(byte(i+1), 7000))
 	}
@@ -40,7 +40,7 @@
 }
 
 // run lets d pass and calls each millisecond.
-func (w *world) run(d time.Duration, each func(elapsed time.Duration)) {
+func (w *simulation) run(d time.Duration, each func(elapsed time.Duration)) {
 	for elapsed := time.Duration(0); elapsed < d; elapsed += time.Millisecond {
 		w.now = w.now.Add(time.Millisecond)
 		if elapsed%TickEvery == 0 {
@@ -50,18 +50,18 @@
 	}
 }
 
-func (w *world) tick() {
+func (w *simulation) tick() {
 	for _, p := range w.paths.Tick(w.now) {
 		w.probes++
-		if !w.bad[p.Balancer] {
+		if !w.failed[p.Balancer] {
 			w.paths.Answered(w.now, p.Balancer, p.Nonce)
 		}
 	}
 }
 
-func TestReplyFollowsTheBalancerThatLastCarriedTheFlow(t *testing.T) {
+func TestReplyUsesTheBalancerThatLastCarriedTheFlow(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3)
+	w := newSimulation(3)
 	for _, b := range []int{0, 2, 1, 1, 0} {
 		f := w.paths.Arrived(w.now, caller, w.balancers[b])
 		g.Expect(w.paths.Choose(w.now, f)).To(Equal(w.balancers[b]))
@@ -70,9 +70,9 @@
 	}
 }
 
-func TestBurstOfASpeakingCallerIsAnsweredThroughOneBalancer(t *testing.T) {
+func TestRepliesToAnActiveCallerChangeBalancerAtMostOncePerRotation(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3)
+	w := newSimulation(3)
 	changes := 0
 	var last netip.AddrPort
 	const span = 200 * time.Millisecond
@@ -86,23 +86,23 @@
 	g.Expect(changes).To(BeNumerically("<=", int(span/rotateEvery)+1))
 }
 
-func TestBalancerThatTheFleetDoesNotNameYetIsUsedWhileItCarries(t *testing.T) {
+func TestBalancerOutsideMembershipIsUsedUntilItStopsCarryingDatagrams(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	stranger := addr(77, 7000)
 	f := w.paths.Arrived(w.now, caller, stranger)
 	g.Expect(w.paths.Choose(w.now, f)).To(Equal(stranger))
-	w.run(balancerFor+2*TickEvery, func(time.Duration) {})
+	w.run(balancerTTL+2*TickEvery, func(time.Duration) {})
 	for range 50 {
 		g.Expect(w.paths.Choose(w.now, f)).To(Equal(w.balancers[0]))
 		w.now = w.now.Add(time.Millisecond)
 	}
 }
 
-func TestWithoutAnyUsableBalancerTheLastOneIsTried(t *testing.T) {
+func TestReplyUsesTheLastBalancerWhenNoneIsUsable(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(1)
-	w.bad[w.balancers[0]] = true
+	w := newSimulation(1)
+	w.failed[w.balancers[0]] = true
 	f := w.paths.Arrived(w.now, caller, w.balancers[0])
 	w.run(time.Second, func(time.Duration) {
 		g.Expect(w.paths.Choose(w.now, f)).To(Equal(w.balancers[0]))
@@ -112,11 +112,11 @@
 
 // A balancer that carries callers' datagrams here, but nothing back, looks
 // alive to whoever only listens.
-func TestOneWayCutIsLeftThoughTheBalancerStillCarries(t *testing.T) {
+func TestBalancerThatDropsRepliesIsAvoidedThoughItForwardsDatagrams(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3)
+	w := newSimulation(3)
 	cut := w.balancers[1]
-	w.bad[cut] = true
+	w.failed[cut] = true
 	lost := 0
 	w.run(2*time.Second, func(elapsed time.Duration) {
 		via := w.balancers[int(elapsed/time.Millisecond)%3]
@@ -128,7 +128,7 @@
 	})
 	g.Expect(lost).To(BeNumerically(">", 0))
 	g.Expect(w.paths.Suspects()).To(Equal(1))
-	delete(w.bad, cut)
+	delete(w.failed, cut)
 	w.run(time.Second, func(time.Duration) { w.paths.Arrived(w.now, caller, cut) })
 	g.Expect(w.paths.Suspects()).To(BeZero(), "an answered probe lifts the suspicion")
 }
@@ -136,16 +136,16 @@
 // A feed sends an event now and then to a caller that says nothing, and
 // repeats it at QUIC's growing probe timeouts. Whatever balancers fail, one of
 // the first repetitions must take a good one, and soon all datagrams do.
-func TestSilentFlowLeavesFailedBalancers(t *testing.T) {
+func TestSilentFlowAvoidsFailedBalancers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(2, 5).Draw(t, "balancers")
-		w := newWorld(n)
+		w := newSimulation(n)
 		f := w.paths.Arrived(w.now, caller, w.balancers[0])
 		w.run(time.Duration(rapid.IntRange(300, 3000).Draw(t, "quiet"))*time.Millisecond, func(time.Duration) {})
 		good := rapid.IntRange(0, n-1).Draw(t, "good")
 		for i, b := range w.balancers {
-			w.bad[b] = i != good && rapid.Bool().Draw(t, fmt.Sprintf("bad%d", i))
+			w.failed[b] = i != good && rapid.Bool().Draw(t, fmt.Sprintf("bad%d", i))
 		}
 		var firstGood time.Duration = -1
 		late := 0
@@ -153,7 +153,7 @@
 			if elapsed%(25*time.Millisecond) != 0 {
 				return
 			}
-			bad := w.bad[w.paths.Choose(w.now, f)]
+			bad := w.failed[w.paths.Choose(w.now, f)]
 			if !bad && firstGood < 0 {
 				firstGood = elapsed
 			}
@@ -169,9 +169,9 @@
 
 // Events at a period that is a multiple of the turns' must not meet the same
 // balancer each time.
-func TestRegularEventsOfASilentFlowTakeAllWays(t *testing.T) {
+func TestRegularEventsOfASilentFlowUseAllBalancers(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(5)
+	w := newSimulation(5)
 	f := w.paths.Arrived(w.now, caller, w.balancers[0])
 	w.run(time.Second, func(time.Duration) {})
 	taken := map[netip.AddrPort]bool{}
@@ -183,13 +183,13 @@
 	g.Expect(taken).To(HaveLen(5))
 }
 
-func TestProbesStayInsideTheirBudgetAndStopWithoutUse(t *testing.T) {
+func TestProbesStayWithinTheirBudgetAndStopWithoutTraffic(t *testing.T) {
 	g := NewWithT(t)
 	const span = 10 * time.Second
-	for _, fleet := range []struct{ balancers, perSecond int }{{fewBalancers, probesPerSecond}, {200, manyProbesPerSecond}} {
-		w := newWorld(fleet.balancers)
+	for _, fleet := range []struct{ balancers, perSecond int }{{fewBalancers, probesPerSecond}, {200, reducedProbesPerSecond}} {
+		w := newSimulation(fleet.balancers)
 		for i, b := range w.balancers {
-			w.bad[b] = i%2 == 0
+			w.failed[b] = i%2 == 0
 		}
 		w.run(span, func(elapsed time.Duration) {
 			via := w.balancers[int(elapsed/time.Millisecond)%len(w.balancers)]
@@ -200,15 +200,15 @@
 		g.Expect(w.probes).To(BeNumerically(">=", most/2))
 	}
 
-	quiet := newWorld(3)
+	quiet := newSimulation(3)
 	quiet.run(span, func(time.Duration) {})
 	g.Expect(quiet.probes).To(BeZero())
 }
 
-func TestAnswersOfOtherProbesProveNothing(t *testing.T) {
+func TestAnswersToUnknownProbesAreIgnored(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(2)
-	w.bad[w.balancers[0]], w.bad[w.balancers[1]] = true, true
+	w := newSimulation(2)
+	w.failed[w.balancers[0]], w.failed[w.balancers[1]] = true, true
 	f := w.paths.Arrived(w.now, caller, w.balancers[0])
 	w.run(time.Second, func(time.Duration) { w.paths.Choose(w.now, f) })
 	g.Expect(w.paths.Suspects()).To(Equal(2))
@@ -218,9 +218,9 @@
 	g.Expect(w.paths.Suspects()).To(Equal(2))
 }
 
-func TestFlowsAreBoundedAndExpire(t *testing.T) {
+func TestFlowTableIsBoundedAndExpires(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(2)
+	w := newSimulation(2)
 	open := w.paths.Arrived(w.now, caller, w.balancers[0])
 	for i := range 4 * maxFlows {
 		key := Key{Caller: addr(byte(200+i>>16), uint16(i)), Face: caller.Face}
@@ -236,14 +236,14 @@
 	w.now = w.now.Add(MaxIdleTimeout)
 	w.paths.Expire(w.now)
 	g.Expect(w.paths.Flows()).To(Equal(maxFlows), "flows outlive QUIC's idle timeout")
-	w.now = w.now.Add(flowFor)
+	w.now = w.now.Add(flowTTL)
 	w.paths.Expire(w.now)
 	g.Expect(w.paths.Flows()).To(BeZero())
 }
 
-func TestPlacementIsRememberedForSomeSecondsAndBounded(t *testing.T) {
+func TestPlacementsAreCachedForSecondsAndBounded(t *testing.T) {
 	g := NewWithT(t)
-	h := newHands()
+	h := newPlacementCache()
 	key := makeDCIDKey([]byte("abcdefgh"))
 	to := addr(5, 5)
 	h.put(start, key, to)
@@ -254,8 +254,8 @@
 	}
 	_, ok := h.get(start.Add(time.Minute), makeDCIDKey([]byte("abcdefgh\x00")))
 	g.Expect(ok).To(BeFalse(), "the length is part of the ID")
-	for i := range 3 * maxHands {
+	for i := range 3 * maxPlacements {
 		h.put(start.Add(time.Minute), makeDCIDKey(fmt.Append(nil, i)), to)
 	}
-	g.Expect(len(h.young) + len(h.old)).To(BeNumerically("<=", 2*maxHands))
+	g.Expect(len(h.current) + len(h.previous)).To(BeNumerically("<=", 2*maxPlacements))
 }
--- a/internal/flow/probes.go
+++ b/internal/flow/probes.go
@@ -13,13 +13,13 @@
 const (
 	// TickEvery is how often Paths.Tick has to be called.
 	TickEvery    = 50 * time.Millisecond
-	proofFor     = 200 * time.Millisecond
-	answerWithin = 80 * time.Millisecond
+	answerTTL    = 200 * time.Millisecond
+	probeTimeout = 80 * time.Millisecond
 	suspectAfter = 200 * time.Millisecond
 	// suspectEvery is how often a suspected balancer is asked.
-	suspectEvery = 500 * time.Millisecond
+	suspectProbeInterval = 500 * time.Millisecond
 	// inUseFor is how long a balancer counts as in use after a reply.
-	inUseFor = time.Second
+	inUseTTL = time.Second
 	// probesPerSecond bounds an agent's probes. Beyond it proofs get older, and
 	// turning silent flows over the balancers (Choose) is what recovers them.
 	probesPerSecond = 10
@@ -27,8 +27,8 @@
 	// With more than fewBalancers the bound is manyProbesPerSecond: a balancer
 	// that fails then carries few of the packets, and it answers the probes of
 	// the whole fleet's agents out of its budget for control.
-	fewBalancers        = 16
-	manyProbesPerSecond = 3
+	fewBalancers           = 16
+	reducedProbesPerSecond = 3
 )
 
 // Probe asks one balancer whether it answers.
@@ -39,75 +39,75 @@
 
 // balancer is what an agent knows of one balancer.
 type balancer struct {
-	addr   netip.AddrPort
-	member bool      // named by the fleet's membership
-	heard  time.Time // last datagram carried to here
-	used   time.Time // last reply sent through it
-	proof  time.Time // last answer to a probe
+	addr         netip.AddrPort
+	member       bool      // named by the fleet's membership
+	lastReceived time.Time // last datagram carried to here
+	lastUsed     time.Time // last reply sent through it
+	lastAnswer   time.Time // last answer to a probe
 	// asked is when the oldest unanswered probe was sent, askedLast the
 	// newest; zero when none is open. Their nonces bound what is an answer.
-	asked      time.Time
-	askedLast  time.Time
+	firstProbe time.Time
+	lastProbe  time.Time
 	firstNonce uint64
 	lastNonce  uint64
-	suspect    bool
+	suspected  bool
 }
 
 func (b *balancer) usable(now time.Time) bool {
-	return !b.suspect && (b.member || now.Sub(b.heard) <= balancerFor)
+	return !b.suspected && (b.member || now.Sub(b.lastReceived) <= balancerTTL)
 }
 
 // due tells whether the balancer should be probed now, and how urgently: the
 // time since which an answer is missed.
 func (b *balancer) due(now time.Time) bool {
 	switch {
-	case b.suspect:
-		return now.Sub(b.askedLast) >= suspectEvery
-	case !b.asked.IsZero():
-		return now.Sub(b.askedLast) >= answerWithin
-	case now.Sub(b.used) > inUseFor:
+	case b.suspected:
+		return now.Sub(b.lastProbe) >= suspectProbeInterval
+	case !b.firstProbe.IsZero():
+		return now.Sub(b.lastProbe) >= probeTimeout
+	case now.Sub(b.lastUsed) > inUseTTL:
 		return false
 	}
-	return now.Sub(b.proof) >= proofFor
+	return now.Sub(b.lastAnswer) >= answerTTL
 }
 
-func (b *balancer) judge(now time.Time) {
-	if !b.asked.IsZero() && now.Sub(b.asked) >= suspectAfter {
-		b.suspect = true
+func (b *balancer) updateSuspicion(now time.Time) {
+	if !b.firstProbe.IsZero() && now.Sub(b.firstProbe) >= suspectAfter {
+		b.suspected = true
 	}
 }
 
-func (b *balancer) ask(now time.Time, nonce uint64) {
-	if b.asked.IsZero() {
-		b.asked = now
+func (b *balancer) recordProbe(now time.Time, nonce uint64) {
+	if b.firstProbe.IsZero() {
+		b.firstProbe = now
 		b.firstNonce = nonce
 	}
-	b.askedLast = now
+	b.lastProbe = now
 	b.lastNonce = nonce
 }
 
-func (b *balancer) answered(now time.Time, nonce uint64) bool {
-	if b.asked.IsZero() || nonce < b.firstNonce || nonce > b.lastNonce {
+func (b *balancer) recordAnswer(now time.Time, nonce uint64) bool {
+	if b.firstProbe.IsZero() || nonce < b.firstNonce || nonce > b.lastNonce {
 		return false
 	}
-	b.proof = now
-	b.asked = time.Time{}
-	b.suspect = false
+	b.lastAnswer = now
+	b.firstProbe = time.Time{}
+	b.suspected = false
 	return true
 }
 
 // probes hands out probes within the budget, the longest missed answer first.
 type probes struct {
-	nonce  uint64
-	tokens float64
-	filled time.Time
+	nonce      uint64
+	tokens     float64
+	refilledAt time.Time
 }
 
 func (p *probes) due(now time.Time, balancers map[netip.AddrPort]*balancer) []Probe {
-	p.fill(now, probeRate(len(balancers)))
+	p.refill(now, probeRate(len(balancers)))
 	var due []*balancer
 	for _, b := range balancers {
-		b.judge(now)
+		b.updateSuspicion(now)
 		if b.due(now) {
 			due = append(due, b)
 		}
@@ -120,7 +120,7 @@
 		}
 		p.tokens--
 		p.nonce++
-		b.ask(now, p.nonce)
+		b.recordProbe(now, p.nonce)
 		out = append(out, Probe{Balancer: b.addr, Nonce: p.nonce})
 	}
 	return out
@@ -130,19 +130,19 @@
 // send.
 func probeRate(balancers int) float64 {
 	if balancers > fewBalancers {
-		return manyProbesPerSecond
+		return reducedProbesPerSecond
 	}
 	return probesPerSecond
 }
 
-func (p *probes) fill(now time.Time, perSecond float64) {
-	if p.filled.IsZero() {
+func (p *probes) refill(now time.Time, perSecond float64) {
+	if p.refilledAt.IsZero() {
 		p.tokens = probeBurst
 	} else {
-		p.tokens += now.Sub(p.filled).Seconds() * perSecond
+		p.tokens += now.Sub(p.refilledAt).Seconds() * perSecond
 	}
 	p.tokens = min(p.tokens, probeBurst)
-	p.filled = now
+	p.refilledAt = now
 }
 
 // compareUrgency puts open questions first, then the oldest proof; suspects
@@ -150,16 +150,16 @@
 func compareUrgency(a, b *balancer) int {
 	return cmp.Or(
 		cmp.Compare(urgency(a), urgency(b)),
-		a.proof.Compare(b.proof),
+		a.lastAnswer.Compare(b.lastAnswer),
 		a.addr.Compare(b.addr),
 	)
 }
 
 func urgency(b *balancer) int {
 	switch {
-	case b.suspect:
+	case b.suspected:
 		return 2
-	case !b.asked.IsZero():
+	case !b.firstProbe.IsZero():
 		return 0
 	}
 	return 1
--- a/internal/flow/read.go
+++ b/internal/flow/read.go
@@ -20,7 +20,7 @@
 		m := &c.messages[c.next]
 		c.next++
 		received.Inc()
-		payload, f := c.take(m.Buffers[0][:m.N])
+		payload, f := c.handle(m.Buffers[0][:m.N])
 		if f != nil {
 			return copy(p, payload), f, nil
 		}
@@ -41,7 +41,7 @@
 }
 
 // take handles one datagram; the flow is nil when it is not for QUIC here.
-func (c *Conn) take(b []byte) ([]byte, *Flow) {
+func (c *Conn) handle(b []byte) ([]byte, *Flow) {
 	h, payload, err := c.codec.Decode(b)
 	if err != nil {
 		countDecode(err)
@@ -54,11 +54,11 @@
 	now := time.Now()
 	switch h.Kind {
 	case encap.KindForward, encap.KindHandOn:
-		return c.takePayload(now, h, payload)
+		return c.handlePayload(now, h, payload)
 	case encap.KindProbeReply:
-		c.answered(now, h)
+		c.handleProbeReply(now, h)
 	case encap.KindProbe:
-		c.answer(h)
+		c.answerProbe(h)
 	default:
 		droppedKind.Inc()
 	}
@@ -67,27 +67,27 @@
 
 // answer tells a balancer that asks that the agent lives. A probe that names the
 // agent itself as balancer was meant for one that had the address before.
-func (c *Conn) answer(h encap.Header) {
+func (c *Conn) answerProbe(h encap.Header) {
 	if h.Balancer == c.Addr() || !h.Balancer.Addr().Is4() {
 		droppedKind.Inc()
 		return
 	}
-	d := c.writer.take()
+	d := c.writer.getDatagram()
 	d.to = h.Balancer
 	d.header = h
 	d.header.Kind = encap.KindProbeReply
 	c.writer.send(d, nil)
-	asked.Inc()
+	probesReceived.Inc()
 }
 
-func (c *Conn) answered(now time.Time, h encap.Header) {
+func (c *Conn) handleProbeReply(now time.Time, h encap.Header) {
 	probesAnswered.Inc()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.paths.Answered(now, h.Balancer, h.Revision)
 }
 
-func (c *Conn) takePayload(now time.Time, h encap.Header, payload []byte) ([]byte, *Flow) {
+func (c *Conn) handlePayload(now time.Time, h encap.Header, payload []byte) ([]byte, *Flow) {
 	if len(payload) == 0 {
 		droppedEmpty.Inc()
 		return nil, nil
@@ -98,7 +98,7 @@
 			return nil, nil
 		}
 		if to := c.place(now, h, dcid, len(payload)); to.IsValid() {
-			c.handOn(h, payload, to)
+			c.sendToSibling(h, payload, to)
 			return nil, nil
 		}
 	}
@@ -110,8 +110,8 @@
 }
 
 // handOn passes a datagram on to a sibling as it came.
-func (c *Conn) handOn(h encap.Header, payload []byte, to netip.AddrPort) {
-	d := c.writer.take()
+func (c *Conn) sendToSibling(h encap.Header, payload []byte, to netip.AddrPort) {
+	d := c.writer.getDatagram()
 	d.to = to
 	d.header = h
 	d.header.Kind = encap.KindHandOn
@@ -132,23 +132,23 @@
 // place returns the sibling that takes a new flow, or the zero AddrPort when
 // the datagram is for here. What was handed on to here stays here.
 func (c *Conn) place(now time.Time, h encap.Header, dcid []byte, size int) netip.AddrPort {
-	if c.hand == nil {
+	if c.redirect == nil {
 		return netip.AddrPort{}
 	}
 	key := makeDCIDKey(dcid)
-	if to, ok := c.placed.get(now, key); ok {
+	if to, ok := c.placements.get(now, key); ok {
 		return to
 	}
 	if h.Kind == encap.KindHandOn || size < minInitialSize {
-		c.placed.put(now, key, netip.AddrPort{})
+		c.placements.put(now, key, netip.AddrPort{})
 		return netip.AddrPort{}
 	}
-	to, ok := c.hand(h, dcid)
+	to, ok := c.redirect(h, dcid)
 	if !ok || to == c.Addr() {
 		to = netip.AddrPort{}
 	} else {
-		handedOn.Inc()
+		redirected.Inc()
 	}
-	c.placed.put(now, key, to)
+	c.placements.put(now, key, to)
 	return to
 }
--- a/internal/flow/writer.go
+++ b/internal/flow/writer.go
@@ -55,7 +55,7 @@
 }
 
 // take returns a datagram to fill in for send.
-func (w *writer) take() *datagram {
+func (w *writer) getDatagram() *datagram {
 	return w.pool.Get().(*datagram)
 }
 
