--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -9,10 +9,10 @@
 	"github.com/saltbend/saltbend/internal/encap"
 )
 
-// inFlight is how many datagrams wait in the kernel at once.
+// inFlight is the number of datagrams that wait in the kernel at once.
 const inFlight = 64
 
-// BenchmarkReceive measures what a datagram costs the agent on its way to QUIC.
+// BenchmarkReceive measures the agent's cost of passing a datagram to QUIC.
 func BenchmarkReceive(b *testing.B) {
 	g := NewWithT(b)
 	c := listen(b, nil)
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkReply measures what QUIC's sender waits for; the system call is
-// another goroutine's.
+// BenchmarkReply measures how long WriteTo takes in QUIC's sending goroutine;
+// another goroutine makes the system call.
 func BenchmarkReply(b *testing.B) {
 	c := listen(b, nil)
 	p := newPeer(b, ring(NewWithT(b), oldSecret))
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -16,23 +16,23 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// expireEvery is how often old flows are looked for.
+// expireEvery is the interval between scans for expired flows.
 const expireEvery = 10 * time.Second
 
-// Options of Listen.
+// Options configures Listen.
 type Options struct {
-	// Data is the address to bind, IPv4; port 0 lets the kernel choose.
+	// Data is the IPv4 address to bind; with port 0 the kernel selects a port.
 	Data    netip.AddrPort
 	Service config.Tag
 	Ring    *keyring.Ring
-	// Admit tells whether a new flow may come in; nil admits all.
+	// Admit decides whether a new flow is accepted; nil accepts all.
 	Admit AdmitFunc
-	// Hand may place new flows at siblings; nil keeps all.
+	// Redirect may send new flows to siblings; nil keeps all flows here.
 	Redirect RedirectFunc
 }
 
-// Conn is the agent's data socket as the net.PacketConn of a QUIC transport.
-// One goroutine may read at a time; any number may write.
+// Conn is the agent's data socket. It implements net.PacketConn for a QUIC
+// transport. Only one goroutine may read at a time; any number may write.
 type Conn struct {
 	socket   *net.UDPConn
 	service  config.Tag
@@ -41,7 +41,7 @@
 	writer   *writer
 	once     sync.Once
 
-	// The reading goroutine owns these.
+	// The fields up to the next comment are used only by the reading goroutine.
 	batch      *ipv4.PacketConn
 	messages   []ipv4.Message
 	next       int
@@ -50,9 +50,10 @@
 	tokens     *token.Codec
 	placements *placementCache
 
-	// keys are codecs of a rotated ring that the reader has not yet taken up.
+	// keys holds the codecs of a rotated key ring until the reading goroutine
+	// starts to use them.
 	keys atomic.Pointer[keys]
-	// revision is the configuration revision in force here.
+	// revision is the configuration revision in force at this agent.
 	revision atomic.Uint64
 
 	mu    sync.Mutex
@@ -66,7 +67,8 @@
 
 var _ net.PacketConn = (*Conn)(nil)
 
-// Listen binds the data socket and starts to send and to probe.
+// Listen binds the data socket and starts the goroutines that send datagrams
+// and probe balancers.
 func Listen(o Options) (*Conn, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(o.Data))
 	if err != nil {
@@ -99,45 +101,46 @@
 	return c.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// SetKeys puts a rotated ring in force.
+// SetKeys replaces the key ring after a rotation.
 func (c *Conn) SetKeys(ring *keyring.Ring) {
 	codec := encap.NewCodec(ring)
 	c.keys.Store(&keys{codec: codec, tokens: token.NewCodec(ring)})
 	c.writer.codec.Store(codec.Clone())
 }
 
-// SetLive names the balancers that the fleet knows to live.
+// SetLive sets the balancers that the fleet's membership lists as live.
 func (c *Conn) SetLive(balancers []netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.paths.SetLive(time.Now(), balancers)
 }
 
-// SetRevision sets the configuration revision that headers carry.
+// SetRevision sets the configuration revision that is sent in headers.
 func (c *Conn) SetRevision(revision uint64) {
 	c.revision.Store(revision)
 }
 
-// Flows returns the number of remembered flows.
+// Flows returns the number of flows in the flow table.
 func (c *Conn) Flows() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.paths.Flows()
 }
 
-// Suspects returns the number of balancers that don't answer.
+// Suspects returns the number of balancers that don't answer probes.
 func (c *Conn) Suspects() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.paths.Suspects()
 }
 
-// WriteTo implements net.PacketConn: it sends a reply to a caller, given by an
-// address that ReadFrom returned. It does not wait for the socket.
+// WriteTo implements net.PacketConn. It queues a reply to the caller at addr,
+// which must be an address returned by ReadFrom, and does not wait for the
+// socket.
 func (c *Conn) WriteTo(p []byte, addr net.Addr) (int, error) {
 	f, ok := addr.(*Flow)
 	if !ok {
-		return 0, errors.Errorf("flow: %v is not the address of a caller", addr)
+		return 0, errors.Errorf("flow: cannot send to %v: the address was not returned by ReadFrom", addr)
 	}
 	d := c.writer.getDatagram()
 	c.mu.Lock()
@@ -157,30 +160,32 @@
 // LocalAddr implements net.PacketConn.
 func (c *Conn) LocalAddr() net.Addr { return c.socket.LocalAddr() }
 
-// SetDeadline implements net.PacketConn; writes never wait.
+// SetDeadline implements net.PacketConn. It applies to reads only, as writes
+// never block.
 func (c *Conn) SetDeadline(t time.Time) error { return c.socket.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.PacketConn.
 func (c *Conn) SetReadDeadline(t time.Time) error { return c.socket.SetReadDeadline(t) }
 
-// SetWriteDeadline implements net.PacketConn; writes never wait.
+// SetWriteDeadline implements net.PacketConn. It has no effect, as writes never
+// block.
 func (c *Conn) SetWriteDeadline(time.Time) error { return nil }
 
 // SetReadBuffer sets the size of the kernel's receive buffer in bytes. The QUIC
-// library asks for what it needs; the kernel may grant less.
+// library calls it with the size that it needs; the kernel may grant less.
 func (c *Conn) SetReadBuffer(n int) error { return c.socket.SetReadBuffer(n) }
 
 // SetWriteBuffer sets the size of the kernel's send buffer in bytes.
 func (c *Conn) SetWriteBuffer(n int) error { return c.socket.SetWriteBuffer(n) }
 
-// Close implements net.PacketConn. It sends what is queued first.
+// Close implements net.PacketConn. It sends all queued datagrams first.
 func (c *Conn) Close() error {
 	c.once.Do(func() { close(c.writer.done) })
 	<-c.writer.ended
 	return c.socket.Close()
 }
 
-// probe asks balancers in use whether they answer, until Close.
+// runProbes probes the balancers in use and removes expired flows until Close.
 func (c *Conn) runProbes() {
 	ticker := time.NewTicker(TickEvery)
 	defer ticker.Stop()
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -34,7 +34,7 @@
 	newSecret = "2:101112131415161718191a1b1c1d1e1f"
 )
 
-// peer is a balancer's or a sibling's socket.
+// peer is the socket of a simulated balancer or sibling.
 type peer struct {
 	socket *net.UDPConn
 	codec  *encap.Codec
@@ -64,7 +64,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// receive returns the next datagram that is not a probe.
+// receive returns the header and payload of the next datagram that is not a
+// probe.
 func (p *peer) receive(g Gomega) (encap.Header, string) {
 	b := make([]byte, 2048)
 	g.Expect(p.socket.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
@@ -90,7 +91,7 @@
 	return c
 }
 
-// next returns the next payload that reaches QUIC.
+// nextPayload returns the next payload that c passes to QUIC, and its flow.
 func nextPayload(g Gomega, c *Conn) (string, *Flow) {
 	g.Expect(c.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	b := make([]byte, 2048)
@@ -152,7 +153,7 @@
 	h, _ := b.receive(g)
 	probe.Kind = encap.KindProbeReply
 	g.Expect(h).To(Equal(probe))
-	g.Expect(droppedKind.Get()-before).To(BeEquivalentTo(1), "meant for another at the agent's address")
+	g.Expect(droppedKind.Get()-before).To(BeEquivalentTo(1), "a probe that names the agent's address is for a former balancer")
 }
 
 func initial(dcid string) []byte {
@@ -171,12 +172,12 @@
 
 	b.send(g, c.Addr(), b.header(), initial("new-flow"))
 	b.send(g, c.Addr(), b.header(), initial("new-flow")[:300]) // the rest of the ClientHello
-	// What was handed on to here stays, also when it then comes directly.
+	// A flow that a sibling sent here stays, even if a balancer then forwards it.
 	handed := b.header()
 	handed.Kind = encap.KindHandOn
 	b.send(g, c.Addr(), handed, initial("for-here"))
 	b.send(g, c.Addr(), b.header(), initial("for-here"))
-	// So does what bears a token, and what has a short header.
+	// A flow with a token stays, and so does a packet with a short header.
 	ids, err := NewIDs(ring(g, oldSecret), c.Addr(), config.TagOf("results"), 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	id, err := ids.GenerateConnectionID()
@@ -190,7 +191,7 @@
 	for range 2 {
 		h, payload := sibling.receive(g)
 		g.Expect(h.Kind).To(Equal(encap.KindHandOn))
-		g.Expect(h.Balancer).To(Equal(b.addr()), "the reply's way back stays")
+		g.Expect(h.Balancer).To(Equal(b.addr()), "the sibling replies through the same balancer")
 		g.Expect(payload[dcidOffset : dcidOffset+8]).To(Equal("new-flow"))
 	}
 }
@@ -226,7 +227,7 @@
 	old.send(g, c.Addr(), old.header(), []byte("old"))
 	nextPayload(g, c)
 	other := rotated.header()
-	other.Caller = addr(9, 5001) // a flow that the old balancer has not carried
+	other.Caller = addr(9, 5001) // a flow that only the balancer with both keys carries
 	rotated.send(g, c.Addr(), other, []byte("new"))
 	_, f := nextPayload(g, c)
 	_, err := c.WriteTo([]byte("answer"), f)
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,7 +1,10 @@
-// Package flow carries QUIC between an agent and its callers inside the
-// encapsulation that agents and balancers share. To the QUIC library it is a
-// net.PacketConn; it keeps the way back to each caller and leaves a balancer
-// that no longer answers.
+// Package flow carries QUIC datagrams between an agent and its callers by way
+// of the balancers, inside the encapsulation that agents and balancers share.
+// The agent terminates the callers' QUIC connections; a flow is the traffic
+// between one caller address and one face, the public address that the caller
+// sends to. Conn implements net.PacketConn for the QUIC library. It selects the
+// balancer that each reply is sent through and avoids balancers that stop
+// answering probes.
 package flow
 
 import (
@@ -11,25 +14,28 @@
 	"github.com/saltbend/saltbend/internal/encap"
 )
 
-// MaxIdleTimeout is how long a QUIC connection lives without any datagram of
-// its caller. Three keep-alives fit into it.
+// MaxIdleTimeout is the idle timeout of QUIC connections. It leaves time for
+// three keep-alives.
 const MaxIdleTimeout = 60 * time.Second
 
-// KeepAlivePeriod is how often an agent pings a caller that says nothing, so
-// that a quiet feed stays open and address translators keep their entry.
+// KeepAlivePeriod is the interval at which an agent pings a caller on an idle
+// connection. Pings keep an idle feed open and refresh the entries of network
+// address translators on the path.
 const KeepAlivePeriod = 15 * time.Second
 
 // PacketSize is the size of the agent's QUIC packets in bytes. With 8 bytes of
-// UDP and 20 of IPv4 header it fits a caller's path of 1308 bytes, with the
-// encapsulation a path of 1348 between agent and balancer. It does not grow:
-// the packets of a flow take many paths, of which discovery would probe one.
+// UDP header and 20 bytes of IPv4 header, a packet needs a path MTU of 1308
+// bytes to the caller and, with the encapsulation, 1348 bytes between agent and
+// balancer. The size is fixed because the packets of a flow take several paths
+// and path MTU discovery would probe only one of them.
 const PacketSize = 1280
 
-// AdmitFunc tells whether a new flow with this header may come in. It must not
-// block.
+// AdmitFunc reports whether a new flow with this header is accepted. It must
+// not block.
 type AdmitFunc func(h encap.Header) bool
 
-// HandFunc may place a new flow elsewhere. It gets the header of the Initial
-// and its destination connection ID, which it must not keep, and returns the
-// data address of a sibling that takes the flow. It must not block.
+// RedirectFunc selects a sibling, another agent of the same service, for a new
+// flow. It receives the header of the Initial packet and its destination
+// connection ID, which it must not retain. It returns the data address of the
+// sibling, or false to keep the flow at this agent. It must not block.
 type RedirectFunc func(h encap.Header, dcid []byte) (to netip.AddrPort, ok bool)
--- a/internal/flow/ids.go
+++ b/internal/flow/ids.go
@@ -14,11 +14,12 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-// nonceMask keeps the 24 bits of a token's nonce.
+// nonceMask selects the 24 bits of a token's nonce.
 const nonceMask = 1<<24 - 1
 
-// nonceStep is odd, so that the nonces of 2^24 tokens in a row differ. Drawn at
-// random, two of the some 10,000 tokens of an agent in use would likely be equal.
+// nonceStep is the difference between successive nonces. It is odd, so that the
+// nonces of 2^24 successive tokens differ. An agent has some 10,000 tokens in
+// use; with random nonces, two of them would probably be equal.
 const nonceStep = 0x9E3779
 
 // IDs issues flow tokens as the connection IDs of an agent. It is safe for
@@ -31,10 +32,10 @@
 
 var _ quic.ConnectionIDGenerator = (*IDs)(nil)
 
-// NewIDs returns a generator for the agent at the IPv4 data address.
+// NewIDs returns a generator of tokens for the agent at the IPv4 address data.
 func NewIDs(ring *keyring.Ring, data netip.AddrPort, service config.Tag, incarnation uint64) (*IDs, error) {
 	if !data.Addr().Is4() || data.Addr().IsUnspecified() {
-		return nil, errors.Errorf("flow: %s cannot stand in a token, bind one IPv4 address", data)
+		return nil, errors.Errorf("flow: data address %s cannot be encoded in a token; bind a specific IPv4 address", data)
 	}
 	var start [4]byte
 	rand.Read(start[:]) // never fails
@@ -49,7 +50,7 @@
 	}, nil
 }
 
-// SetKeys makes a rotated ring sign the tokens from now on.
+// SetKeys replaces the key ring that new tokens are sealed with.
 func (g *IDs) SetKeys(ring *keyring.Ring) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/flow/metrics.go
+++ b/internal/flow/metrics.go
@@ -11,7 +11,7 @@
 	return metrics.GetOrCreateCounter(`saltbend_agent_datagrams_dropped_total{reason="` + reason + `"}`)
 }
 
-// Counters of datagrams; a dropped one is counted under one reason.
+// Counters of datagrams. Each dropped datagram is counted under one reason.
 var (
 	received       = metrics.GetOrCreateCounter(`saltbend_agent_datagrams_received_total`)
 	sent           = metrics.GetOrCreateCounter(`saltbend_agent_datagrams_sent_total`)
@@ -34,7 +34,7 @@
 	droppedSend    = dropped("send")
 )
 
-// countDecode counts a datagram that the codec refused.
+// countDecode counts a datagram that the codec failed to decode.
 func countDecode(err error) {
 	switch {
 	case errors.Is(err, encap.ErrShort):
--- a/internal/flow/packet.go
+++ b/internal/flow/packet.go
@@ -3,17 +3,17 @@
 import "github.com/saltbend/saltbend/internal/quicid"
 
 const (
-	// minInitialSize is QUIC's least size of a datagram that opens a flow, in
-	// bytes.
+	// minInitialSize is the minimum size, in bytes, that QUIC requires of a
+	// datagram that opens a connection.
 	minInitialSize = 1200
-	// longHeaderSize is the length of a long header up to its first ID, in
-	// bytes; more must follow.
+	// longHeaderSize is the size, in bytes, of a long header up to its first
+	// connection ID. A valid datagram is longer.
 	longHeaderSize = 6
 )
 
 // longHeaderDCID returns the destination connection ID of a long-header
-// packet, sharing the datagram's memory; ok is false for short headers and for
-// what is too short or too long.
+// packet. The result shares the datagram's memory. ok is false for packets with
+// a short header, truncated datagrams, and connection IDs that are too long.
 func longHeaderDCID(datagram []byte) (dcid []byte, ok bool) {
 	if len(datagram) <= longHeaderSize || !quicid.IsLong(datagram) {
 		return nil, false
--- a/internal/flow/paths.go
+++ b/internal/flow/paths.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// Times and bounds of the return path.
+// Timeouts and limits for selecting the balancer of a reply.
 const (
-	// silentAfter is the time without a datagram of the caller after which a
-	// flow no longer relies on the balancer that carried its last one.
+	// silentAfter is the time without a datagram from the caller after which a
+	// flow counts as silent: its replies no longer depend on the balancer that
+	// carried the caller's last datagram.
 	silentAfter = 100 * time.Millisecond
-	// rotateEvery is how long the packets of a silent flow go through one
-	// balancer: long enough for a burst to stay in order, shorter than QUIC's
-	// shortest probe timeout, so that each retransmission takes another way. A
-	// flow whose caller speaks keeps its balancer for as long, too.
+	// rotateEvery is how long the replies of a silent flow go through one
+	// balancer. It is long enough to keep a burst in order, and shorter than
+	// QUIC's shortest probe timeout, so that each retransmission goes through
+	// another balancer. An active flow keeps its balancer for at least as long.
 	rotateEvery = 20 * time.Millisecond
-	// flowFor is how long a flow without a datagram of its caller is
-	// remembered; it is longer than MaxIdleTimeout, after which QUIC has given
-	// up the connection.
+	// flowTTL is how long a flow is kept after the caller's last datagram. It is
+	// longer than MaxIdleTimeout, after which QUIC closes the connection.
 	flowTTL = MaxIdleTimeout + 30*time.Second
-	// balancerFor is how long a balancer that the fleet's membership doesn't
-	// (or not yet) name is used after it last carried a datagram.
+	// balancerTTL is how long a balancer that is not, or not yet, in the fleet's
+	// membership is used after it last carried a datagram.
 	balancerTTL = time.Second
-	// maxFlows bounds the remembered flows. Beyond it a random one is forgotten
-	// for each new one: its replies then take all balancers in turn, as those of
-	// a silent flow do, until its caller speaks again.
+	// maxFlows is the size limit of the flow table. When it is full, each new
+	// flow evicts a random one. The replies of an evicted flow rotate over all
+	// balancers, like those of a silent flow, until its caller's next datagram.
 	maxFlows = 1 << 15
 )
 
-// Key identifies a flow's addresses: who sent and which public face took it.
+// Key identifies a flow by the caller's address and the face, the public
+// address that the caller sends to.
 type Key struct {
 	Caller netip.AddrPort
 	Face   netip.AddrPort
 }
 
-// Flow is a caller at a face. It is the net.Addr that QUIC knows the caller
-// by, so that a reply finds its way without a look-up.
+// Flow is the state of the traffic between a caller and a face. The QUIC
+// library uses it as the caller's net.Addr, so that a reply carries its flow.
 type Flow struct {
 	Key
 	text         string
 	balancer     netip.AddrPort
-	chosenAt     time.Time // when the balancer was chosen
+	chosenAt     time.Time // when balancer was set
 	lastReceived time.Time
-	// turn counts the ways that a silent flow has taken, turned is when it
-	// took the last one.
+	// rotation counts how often a silent flow changed its balancer; rotatedAt
+	// is the time of the last change.
 	rotation  uint64
 	rotatedAt time.Time
 }
@@ -52,22 +53,23 @@
 // Network implements net.Addr.
 func (f *Flow) Network() string { return "udp" }
 
-// String implements net.Addr. It names caller and face: QUIC takes two
-// addresses for one path when their strings are equal.
+// String implements net.Addr. It contains both the caller and the face, because
+// the QUIC library treats two addresses with equal strings as one path.
 func (f *Flow) String() string { return f.text }
 
-// Paths decides through which balancer a reply returns. It is pure: time and
-// what was heard come in, decisions go out. It is not safe for concurrent use.
+// Paths selects the balancer that each reply is sent through. It does no I/O and
+// does not read the clock: its methods take the current time and the received
+// datagrams as arguments. It is not safe for concurrent use.
 type Paths struct {
 	flows     map[Key]*Flow
 	balancers map[netip.AddrPort]*balancer
 	live      []netip.AddrPort
-	ordered   []*balancer // all known balancers, in the order of their addresses
+	ordered   []*balancer // all known balancers, sorted by address
 	probes    probes
 }
 
-// NewPaths returns a Paths that knows no flow. The first nonce of a probe is
-// nonce+1; a start's nonces should not overlap those of an earlier one.
+// NewPaths returns a Paths without flows. The first probe has the nonce nonce+1.
+// The nonces should not overlap those of an earlier run of the agent.
 func NewPaths(nonce uint64) *Paths {
 	return &Paths{
 		flows:     map[Key]*Flow{},
@@ -76,7 +78,8 @@
 	}
 }
 
-// Arrived records that a balancer carried a datagram of the caller.
+// Arrived records that the balancer via carried a datagram from the caller, and
+// returns the caller's flow.
 func (p *Paths) Arrived(now time.Time, key Key, via netip.AddrPort) *Flow {
 	f := p.flows[key]
 	if f == nil {
@@ -94,7 +97,8 @@
 	return f
 }
 
-// forgetOne makes room. Go's maps start at a random place.
+// evictOne deletes a random flow; Go starts the iteration over a map at a random
+// element.
 func (p *Paths) evictOne() {
 	for key := range p.flows {
 		delete(p.flows, key)
@@ -102,8 +106,9 @@
 	}
 }
 
-// heard notes that a balancer carried a datagram to here. That says nothing of
-// the way back, so it lifts no suspicion.
+// recordCarrier records that the balancer via carried a datagram to this agent.
+// It does not clear a suspicion, because replies may still get lost on the path
+// through this balancer.
 func (p *Paths) recordCarrier(now time.Time, via netip.AddrPort) {
 	b := p.balancers[via]
 	if b == nil {
@@ -114,7 +119,7 @@
 	b.lastReceived = now
 }
 
-// SetLive names the balancers that the fleet's membership knows to live.
+// SetLive sets the balancers that the fleet's membership lists as live.
 func (p *Paths) SetLive(now time.Time, live []netip.AddrPort) {
 	p.live = slices.Clone(live)
 	for _, b := range p.balancers {
@@ -131,12 +136,12 @@
 	p.rebuild()
 }
 
-// Choose returns the balancer through which a datagram to the flow's caller
-// goes now: the one that last carried the flow while the caller speaks and the
-// balancer is usable, else the usable ones in turn.
+// Choose returns the balancer for a datagram to the flow's caller. While the
+// caller is active, it is the balancer that carried the caller's datagrams, if
+// usable. Otherwise Choose rotates over the usable balancers.
 func (p *Paths) Choose(now time.Time, f *Flow) netip.AddrPort {
 	if current := p.flows[f.Key]; current != nil {
-		f = current // QUIC keeps the first address, also of a flow that was forgotten
+		f = current // QUIC keeps the first address, even if its flow was evicted
 	}
 	last := p.balancers[f.balancer]
 	if now.Sub(f.lastReceived) <= silentAfter && last != nil && last.usable(now) {
@@ -149,15 +154,16 @@
 	}
 	chosen := p.usableAt(now, f.rotation)
 	if chosen == nil {
-		return f.balancer // nothing better is known
+		return f.balancer // no balancer is usable, try the flow's last one
 	}
 	chosen.lastUsed = now
 	return chosen.addr
 }
 
-// usableAt returns the balancer whose turn it is, or the next usable one. The
-// turns count the unusable ones as well: else each new suspicion would number
-// the others anew, and a good one could be passed over turn after turn.
+// usableAt returns the balancer at the position given by rotation, or the next
+// usable one. Unusable balancers keep their positions: otherwise each new
+// suspicion would renumber the others, and a working balancer could be skipped
+// in several successive rotations.
 func (p *Paths) usableAt(now time.Time, rotation uint64) *balancer {
 	n := uint64(len(p.ordered))
 	for i := range n {
@@ -168,7 +174,8 @@
 	return nil
 }
 
-// Tick expires what is old and returns the probes to send.
+// Tick removes balancers that are not in the membership and no longer carry
+// datagrams, and returns the probes to send.
 func (p *Paths) Tick(now time.Time) []Probe {
 	before := len(p.balancers)
 	for addr, b := range p.balancers {
@@ -182,14 +189,15 @@
 	return p.probes.due(now, p.balancers)
 }
 
-// Answered records a balancer's answer to a probe: both ways work.
+// Answered records a balancer's answer to a probe. The answer shows that the
+// path works in both directions.
 func (p *Paths) Answered(now time.Time, addr netip.AddrPort, nonce uint64) {
 	if b := p.balancers[addr]; b != nil {
 		b.recordAnswer(now, nonce)
 	}
 }
 
-// Expire forgets flows whose callers have long been silent.
+// Expire deletes flows without a datagram from the caller for flowTTL.
 func (p *Paths) Expire(now time.Time) {
 	for key, f := range p.flows {
 		if now.Sub(f.lastReceived) > flowTTL {
@@ -198,7 +206,7 @@
 	}
 }
 
-// Flows returns the number of remembered flows.
+// Flows returns the number of flows in the flow table.
 func (p *Paths) Flows() int { return len(p.flows) }
 
 // Suspects returns the number of balancers that don't answer probes.
@@ -212,7 +220,7 @@
 	return n
 }
 
-// rebuild lists the known balancers in the order of their addresses.
+// rebuild sorts the known balancers by address into p.ordered.
 func (p *Paths) rebuild() {
 	p.ordered = p.ordered[:0]
 	for _, b := range p.balancers {
--- a/internal/flow/paths_test.go
+++ b/internal/flow/paths_test.go
@@ -19,13 +19,13 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, host}), port)
 }
 
-// world drives Paths: balancers that answer probes or do not, in steps of one
-// millisecond.
+// simulation runs Paths in steps of one millisecond, with balancers that answer
+// probes unless they have failed.
 type simulation struct {
 	paths     *Paths
 	now       time.Time
 	balancers []netip.AddrPort
-	// bad balancers neither answer probes nor carry replies.
+	// failed balancers neither answer probes nor carry replies.
 	failed map[netip.AddrPort]bool
 	probes int
 }
@@ -39,7 +39,7 @@
 	return w
 }
 
-// run lets d pass and calls each millisecond.
+// run advances the time by d and calls each in every millisecond.
 func (w *simulation) run(d time.Duration, each func(elapsed time.Duration)) {
 	for elapsed := time.Duration(0); elapsed < d; elapsed += time.Millisecond {
 		w.now = w.now.Add(time.Millisecond)
@@ -66,7 +66,7 @@
 		f := w.paths.Arrived(w.now, caller, w.balancers[b])
 		g.Expect(w.paths.Choose(w.now, f)).To(Equal(w.balancers[b]))
 		w.now = w.now.Add(silentAfter)
-		g.Expect(w.paths.Choose(w.now, f)).To(Equal(w.balancers[b]), "still fresh")
+		g.Expect(w.paths.Choose(w.now, f)).To(Equal(w.balancers[b]), "the caller's last datagram is not older than silentAfter")
 	}
 }
 
@@ -110,8 +110,8 @@
 	g.Expect(w.paths.Suspects()).To(Equal(1))
 }
 
-// A balancer that carries callers' datagrams here, but nothing back, looks
-// alive to whoever only listens.
+// A balancer can forward callers' datagrams to the agent and drop all replies.
+// Datagrams received from it must not make the agent treat it as working.
 func TestBalancerThatDropsRepliesIsAvoidedThoughItForwardsDatagrams(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(3)
@@ -130,12 +130,13 @@
 	g.Expect(w.paths.Suspects()).To(Equal(1))
 	delete(w.failed, cut)
 	w.run(time.Second, func(time.Duration) { w.paths.Arrived(w.now, caller, cut) })
-	g.Expect(w.paths.Suspects()).To(BeZero(), "an answered probe lifts the suspicion")
+	g.Expect(w.paths.Suspects()).To(BeZero(), "an answered probe clears the suspicion")
 }
 
-// A feed sends an event now and then to a caller that says nothing, and
-// repeats it at QUIC's growing probe timeouts. Whatever balancers fail, one of
-// the first repetitions must take a good one, and soon all datagrams do.
+// A feed sends occasional events to a silent caller and retransmits lost ones at
+// QUIC's growing probe timeouts. Whichever balancers fail, one of the first
+// retransmissions must go through a working balancer, and after 2 s all
+// datagrams must.
 func TestSilentFlowAvoidsFailedBalancers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -167,8 +168,8 @@
 	})
 }
 
-// Events at a period that is a multiple of the turns' must not meet the same
-// balancer each time.
+// Events with a period that is a multiple of the rotation's period must not all
+// go through the same balancer.
 func TestRegularEventsOfASilentFlowUseAllBalancers(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(5)
@@ -227,15 +228,15 @@
 		w.paths.Arrived(w.now, key, w.balancers[0])
 	}
 	g.Expect(w.paths.Flows()).To(Equal(maxFlows))
-	delete(w.paths.flows, caller) // likely done already
-	g.Expect(w.balancers).To(ContainElement(w.paths.Choose(w.now, open)), "a forgotten flow is answered all the same")
+	delete(w.paths.flows, caller) // most likely evicted already
+	g.Expect(w.balancers).To(ContainElement(w.paths.Choose(w.now, open)), "replies of an evicted flow are still sent")
 	w.now = w.now.Add(rotateEvery)
 	w.paths.Arrived(w.now, caller, w.balancers[1])
-	g.Expect(w.paths.Choose(w.now, open)).To(Equal(w.balancers[1]), "and found again when its caller speaks")
+	g.Expect(w.paths.Choose(w.now, open)).To(Equal(w.balancers[1]), "the caller's next datagram restores the flow")
 
 	w.now = w.now.Add(MaxIdleTimeout)
 	w.paths.Expire(w.now)
-	g.Expect(w.paths.Flows()).To(Equal(maxFlows), "flows outlive QUIC's idle timeout")
+	g.Expect(w.paths.Flows()).To(Equal(maxFlows), "flows are kept beyond QUIC's idle timeout")
 	w.now = w.now.Add(flowTTL)
 	w.paths.Expire(w.now)
 	g.Expect(w.paths.Flows()).To(BeZero())
--- a/internal/flow/placements.go
+++ b/internal/flow/placements.go
@@ -7,13 +7,14 @@
 	"github.com/saltbend/saltbend/internal/quicid"
 )
 
-// How long and for how many connection attempts a placement is remembered.
+// Limits of each generation of the placement cache.
 const (
 	placementTTL  = 10 * time.Second
 	maxPlacements = 4096
 )
 
-// dcidKey is a connection ID as a map key; n tells its length.
+// dcidKey is a destination connection ID in the form of a map key; n is its
+// length.
 type dcidKey struct {
 	n  uint8
 	id [quicid.MaxSize]byte
@@ -25,10 +26,12 @@
 	return k
 }
 
-// hands remembers where each connection attempt was placed, so that all
-// Initial packets of one ClientHello, and their retransmissions, go the same
-// way. The zero AddrPort stands for here. Memory is bounded: two generations
-// take turns, and what is seen again moves into the younger. It is pure.
+// placementCache records the agent that each connection attempt was sent to, so
+// that all Initial packets of one ClientHello, and their retransmissions, reach
+// the same agent. The zero AddrPort stands for this agent. Two generations of
+// entries bound its memory: after placementTTL or maxPlacements entries, the
+// current generation becomes the previous one, and an entry that is used again
+// is copied to the new one. The cache does no I/O and does not read the clock.
 type placementCache struct {
 	current, previous map[dcidKey]netip.AddrPort
 	rotatedAt         time.Time
--- a/internal/flow/probes.go
+++ b/internal/flow/probes.go
@@ -7,45 +7,52 @@
 	"time"
 )
 
-// Times of probing. A balancer in use is probed when no answer of it is newer
-// than proofFor; after answerWithin without an answer it is probed again, and
-// suspected when the first unanswered probe is suspectAfter old.
+// Intervals and limits of probing. A balancer in use is probed when its last
+// answer is older than answerTTL. It is probed again after probeTimeout without
+// an answer, and suspected when its first unanswered probe is older than
+// suspectAfter.
 const (
-	// TickEvery is how often Paths.Tick has to be called.
+	// TickEvery is the interval at which Paths.Tick has to be called.
 	TickEvery    = 50 * time.Millisecond
 	answerTTL    = 200 * time.Millisecond
 	probeTimeout = 80 * time.Millisecond
 	suspectAfter = 200 * time.Millisecond
-	// suspectEvery is how often a suspected balancer is asked.
+	// suspectProbeInterval is the interval between probes of a suspected
+	// balancer.
 	suspectProbeInterval = 500 * time.Millisecond
-	// inUseFor is how long a balancer counts as in use after a reply.
+	// inUseTTL is how long a balancer counts as in use after a reply was sent
+	// through it.
 	inUseTTL = time.Second
-	// probesPerSecond bounds an agent's probes. Beyond it proofs get older, and
-	// turning silent flows over the balancers (Choose) is what recovers them.
+	// probesPerSecond limits the probes of an agent. With more balancers than
+	// the limit allows for, balancers are probed less often than answerTTL asks
+	// for, and silent flows recover from a failed balancer by the rotation in
+	// Paths.Choose.
 	probesPerSecond = 10
 	probeBurst      = 10
-	// With more than fewBalancers the bound is manyProbesPerSecond: a balancer
-	// that fails then carries few of the packets, and it answers the probes of
-	// the whole fleet's agents out of its budget for control.
+	// With more than fewBalancers balancers, the limit is
+	// reducedProbesPerSecond: a failed balancer then carries only a small part
+	// of the packets, and each balancer answers the probes of all agents in the
+	// fleet out of its budget for control traffic.
 	fewBalancers           = 16
 	reducedProbesPerSecond = 3
 )
 
-// Probe asks one balancer whether it answers.
+// Probe is a probe to be sent to one balancer.
 type Probe struct {
 	Balancer netip.AddrPort
 	Nonce    uint64
 }
 
-// balancer is what an agent knows of one balancer.
+// balancer is the agent's state of one balancer.
 type balancer struct {
 	addr         netip.AddrPort
-	member       bool      // named by the fleet's membership
-	lastReceived time.Time // last datagram carried to here
+	member       bool      // listed in the fleet's membership
+	lastReceived time.Time // last datagram carried to this agent
 	lastUsed     time.Time // last reply sent through it
 	lastAnswer   time.Time // last answer to a probe
-	// asked is when the oldest unanswered probe was sent, askedLast the
-	// newest; zero when none is open. Their nonces bound what is an answer.
+	// firstProbe and lastProbe are when the first and the last probe since the
+	// last answer were sent; firstProbe is zero when no probe is unanswered. An
+	// answer counts if its nonce is in the range from firstNonce to lastNonce.
 	firstProbe time.Time
 	lastProbe  time.Time
 	firstNonce uint64
@@ -57,8 +64,7 @@
 	return !b.suspected && (b.member || now.Sub(b.lastReceived) <= balancerTTL)
 }
 
-// due tells whether the balancer should be probed now, and how urgently: the
-// time since which an answer is missed.
+// due reports whether the balancer should be probed now.
 func (b *balancer) due(now time.Time) bool {
 	switch {
 	case b.suspected:
@@ -96,7 +102,8 @@
 	return true
 }
 
-// probes hands out probes within the budget, the longest missed answer first.
+// probes schedules probes within the rate limit, a token bucket. When the limit
+// does not allow all probes that are due, the order of compareUrgency applies.
 type probes struct {
 	nonce      uint64
 	tokens     float64
@@ -126,8 +133,8 @@
 	return out
 }
 
-// probeRate returns the probes a second that an agent of so many balancers may
-// send.
+// probeRate returns the number of probes per second that an agent may send when
+// it knows the given number of balancers.
 func probeRate(balancers int) float64 {
 	if balancers > fewBalancers {
 		return reducedProbesPerSecond
@@ -145,8 +152,9 @@
 	p.refilledAt = now
 }
 
-// compareUrgency puts open questions first, then the oldest proof; suspects
-// come last. Ties go by address, so that equal inputs give equal outputs.
+// compareUrgency orders balancers with an unanswered probe first, then the
+// others, and suspected ones last; within each group, the oldest answer comes
+// first. Ties are broken by address, so that equal inputs give equal outputs.
 func compareUrgency(a, b *balancer) int {
 	return cmp.Or(
 		cmp.Compare(urgency(a), urgency(b)),
--- a/internal/flow/read.go
+++ b/internal/flow/read.go
@@ -8,8 +8,9 @@
 	"github.com/saltbend/saltbend/internal/encap"
 )
 
-// ReadFrom implements net.PacketConn: it returns the next datagram of a caller
-// and the caller's *Flow. Other datagrams are handled or dropped on the way.
+// ReadFrom implements net.PacketConn. It returns the next datagram from a caller
+// and the caller's *Flow. It handles or drops the datagrams in between that are
+// not for QUIC at this agent.
 func (c *Conn) ReadFrom(p []byte) (int, net.Addr, error) {
 	for {
 		if c.next == c.count {
@@ -40,7 +41,8 @@
 	return nil
 }
 
-// take handles one datagram; the flow is nil when it is not for QUIC here.
+// handle processes one datagram. The flow is nil unless the datagram is for QUIC
+// at this agent.
 func (c *Conn) handle(b []byte) ([]byte, *Flow) {
 	h, payload, err := c.codec.Decode(b)
 	if err != nil {
@@ -65,8 +67,9 @@
 	return nil, nil
 }
 
-// answer tells a balancer that asks that the agent lives. A probe that names the
-// agent itself as balancer was meant for one that had the address before.
+// answerProbe answers a balancer's probe. A probe that names the agent's own
+// address as the balancer was meant for a balancer that had the address before,
+// and is dropped.
 func (c *Conn) answerProbe(h encap.Header) {
 	if h.Balancer == c.Addr() || !h.Balancer.Addr().Is4() {
 		droppedKind.Inc()
@@ -109,7 +112,7 @@
 	return payload, f
 }
 
-// handOn passes a datagram on to a sibling as it came.
+// sendToSibling forwards a datagram unchanged to a sibling.
 func (c *Conn) sendToSibling(h encap.Header, payload []byte, to netip.AddrPort) {
 	d := c.writer.getDatagram()
 	d.to = to
@@ -118,8 +121,9 @@
 	c.writer.send(d, payload)
 }
 
-// opensFlow returns the connection ID that the caller chose, where the payload
-// is of a flow that has no token yet.
+// opensFlow returns the destination connection ID of a long-header packet if the
+// caller chose it, that is, if it is not one of the fleet's flow tokens. ok is
+// false for all other packets.
 func (c *Conn) opensFlow(payload []byte) (dcid []byte, ok bool) {
 	dcid, ok = longHeaderDCID(payload)
 	if !ok {
@@ -129,8 +133,8 @@
 	return dcid, err != nil
 }
 
-// place returns the sibling that takes a new flow, or the zero AddrPort when
-// the datagram is for here. What was handed on to here stays here.
+// place returns the sibling to send a new flow to, or the zero AddrPort when the
+// flow stays at this agent. A flow that a sibling sent here always stays.
 func (c *Conn) place(now time.Time, h encap.Header, dcid []byte, size int) netip.AddrPort {
 	if c.redirect == nil {
 		return netip.AddrPort{}
--- a/internal/flow/writer.go
+++ b/internal/flow/writer.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// batchSize is the number of datagrams of one system call.
+	// batchSize is the maximum number of datagrams per system call.
 	batchSize = 64
-	// sendQueue is the number of datagrams that wait for the socket; more are
-	// dropped, and QUIC sends their content again.
+	// sendQueue is the capacity of the send queue in datagrams. When it is full,
+	// datagrams are dropped, and QUIC retransmits their content.
 	sendQueue = 1024
 )
 
-// datagram is one datagram to send. buf has room for the header, then the
-// payload. It is passed by pointer: each flow has a goroutine that sends, whose
-// stack should stay small.
+// datagram is one datagram to send. buf holds the encoded header, followed by
+// the payload. Datagrams are passed by pointer, to keep the stacks of the sending
+// goroutines small; there is one for each flow.
 type datagram struct {
 	header encap.Header
 	to     netip.AddrPort
@@ -30,13 +30,13 @@
 	buf    [encap.MaxDatagram]byte
 }
 
-// writer sends encapsulated datagrams in batches. Its one goroutine owns the
-// codec.
+// writer sends encapsulated datagrams in batches. Only the goroutine of run uses
+// the codec.
 type writer struct {
 	socket *ipv4.PacketConn
 	codec  atomic.Pointer[encap.Codec]
 	queue  chan *datagram
-	// done ends run, which sends what is queued and then closes ended.
+	// Closing done makes run send the queued datagrams, close ended and return.
 	done  chan struct{}
 	ended chan struct{}
 	pool  sync.Pool
@@ -54,13 +54,14 @@
 	return w
 }
 
-// take returns a datagram to fill in for send.
+// getDatagram returns a datagram from the pool, to be filled in and passed to
+// send.
 func (w *writer) getDatagram() *datagram {
 	return w.pool.Get().(*datagram)
 }
 
-// send queues a datagram with a copy of the payload; it does not block, and the
-// datagram is the writer's from now on.
+// send queues a datagram with a copy of the payload. It does not block. The
+// caller must not use the datagram afterwards.
 func (w *writer) send(d *datagram, payload []byte) {
 	if len(payload) > encap.MaxPayload {
 		w.drop(d, droppedTooLong)
@@ -79,7 +80,7 @@
 	w.pool.Put(d)
 }
 
-// run sends until done is closed, and then what is queued by then.
+// run sends queued datagrams until done is closed and the queue is empty.
 func (w *writer) run() {
 	defer close(w.ended)
 	messages := newMessages()
@@ -102,7 +103,7 @@
 	}
 }
 
-// fill adds what is queued already.
+// fill adds queued datagrams to the batch without waiting for more.
 func (w *writer) fill(batch []*datagram) []*datagram {
 	for len(batch) < batchSize {
 		select {
@@ -131,7 +132,8 @@
 	for sent := 0; sent < n; {
 		k, err := w.socket.WriteBatch(messages[sent:n], 0)
 		if err != nil {
-			// One datagram was refused, for example by a route that is gone.
+			// The kernel refused one datagram, for example because its route was
+			// removed. Skip it.
 			droppedSend.Inc()
 			k = max(k, 0) + 1
 		}
