--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -28,7 +28,7 @@
 )
 
 // patience bounds each wait; nothing is meant to take as long.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // certificatePEM returns a fresh self-signed certificate and its key.
 func certificatePEM(t testing.TB) (cert, key []byte) {
@@ -83,7 +83,7 @@
 	}
 	g.Expect(s.Check()).To(BeEmpty())
 	p := rolerun.Start(t, testRing(t), func(ctx context.Context, env settings.Env) error { return Run(ctx, s, env) })
-	g.Eventually(func() int { return readyz(t, p) }).WithTimeout(patience).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return readyz(t, p) }).WithTimeout(waitTimeout).Should(Equal(http.StatusOK))
 	return p
 }
 
@@ -171,7 +171,7 @@
 	return out
 }
 
-func TestRequestsFeedsAndUploadsThroughSprayingBalancers(t *testing.T) {
+func TestRequestsFeedsAndUploadsWorkWhenBalancersAlternatePerDatagram(t *testing.T) {
 	g := NewWithT(t)
 	events := make(chan string)
 	up := httptest.NewServer(feedHandler(events))
@@ -184,7 +184,7 @@
 	for i := range 20 {
 		g.Expect(get(g, caller, fmt.Sprintf("https://results/runner/%d", i))).To(Equal(fmt.Sprintf("runner %d", i)))
 		events <- fmt.Sprint(i)
-		g.Eventually(feed).WithTimeout(patience).Should(Receive(Equal(fmt.Sprint(i))))
+		g.Eventually(feed).WithTimeout(waitTimeout).Should(Receive(Equal(fmt.Sprint(i))))
 	}
 	const size = 3 << 20
 	put, err := http.NewRequest("PUT", "https://results/photo", io.LimitReader(zeros{}, size))
--- a/internal/agent/balancer_test.go
+++ b/internal/agent/balancer_test.go
@@ -28,8 +28,8 @@
 type balancer struct {
 	data *net.UDPConn
 	// frozen keeps everything from it, deaf what comes from agents.
-	frozen, deaf atomic.Bool
-	replies      atomic.Int64
+	frozen, ignoresAgents atomic.Bool
+	replies               atomic.Int64
 }
 
 // fabric is the one address that callers know. It sprays their datagrams over
@@ -130,7 +130,7 @@
 			return
 		}
 		h, payload, err := codec.Decode(buf[:n])
-		if err != nil || b.frozen.Load() || b.deaf.Load() {
+		if err != nil || b.frozen.Load() || b.ignoresAgents.Load() {
 			continue
 		}
 		switch h.Kind {
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -34,9 +34,9 @@
 	// eventEvery is how often each feed brings an event.
 	eventEvery = time.Second
 	// settle lets all feeds bring some events before memory is measured.
-	settle = 3 * time.Second
+	settleTime = 3 * time.Second
 	// dialers is how many callers connect at once.
-	dialers = 8
+	maxConcurrentDials = 8
 )
 
 func TestMain(m *testing.M) {
@@ -54,7 +54,7 @@
 // the face, the path to ask for and the number of callers, prints a line when
 // all are connected, and ends with its input.
 func callers(in io.Reader, out io.Writer) error {
-	up := httptest.NewServer(http.HandlerFunc(tick))
+	up := httptest.NewServer(http.HandlerFunc(serveLookupOrFeed))
 	fmt.Fprintln(out, up.URL)
 	var face, path string
 	var n int
@@ -62,9 +62,9 @@
 		return err
 	}
 	g, ctx := errgroup.WithContext(context.Background())
-	g.SetLimit(dialers)
+	g.SetLimit(maxConcurrentDials)
 	for range n {
-		g.Go(func() error { return hold(ctx, netip.MustParseAddrPort(face), path) })
+		g.Go(func() error { return openAndDiscard(ctx, netip.MustParseAddrPort(face), path) })
 	}
 	if err := g.Wait(); err != nil {
 		return err
@@ -75,7 +75,7 @@
 }
 
 // tick is a feed with one event at a time, or a lookup.
-func tick(w http.ResponseWriter, r *http.Request) {
+func serveLookupOrFeed(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != feedPath {
 		fmt.Fprintln(w, "found")
 		return
@@ -90,7 +90,7 @@
 
 // hold asks on a connection of its own, takes one line and reads on in the
 // background.
-func hold(ctx context.Context, face netip.AddrPort, path string) error {
+func openAndDiscard(ctx context.Context, face netip.AddrPort, path string) error {
 	resp, err := dialer(face).Get("https://" + testService + path)
 	if err != nil {
 		return err
@@ -123,17 +123,17 @@
 
 func measure(b *testing.B, path string) {
 	g := NewWithT(b)
-	second := exec.Command(os.Args[0])
-	second.Env = append(os.Environ(), callersEnv+"=1")
-	second.Stderr = os.Stderr
-	in, err := second.StdinPipe()
+	child := exec.Command(os.Args[0])
+	child.Env = append(os.Environ(), callersEnv+"=1")
+	child.Stderr = os.Stderr
+	in, err := child.StdinPipe()
 	g.Expect(err).NotTo(HaveOccurred())
-	out, err := second.StdoutPipe()
+	out, err := child.StdoutPipe()
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(second.Start()).To(Succeed())
+	g.Expect(child.Start()).To(Succeed())
 	defer func() {
 		_ = in.Close()
-		_ = second.Wait()
+		_ = child.Wait()
 	}()
 	lines := bufio.NewScanner(out)
 	g.Expect(lines.Scan()).To(BeTrue())
@@ -144,7 +144,7 @@
 	before := memory()
 	fmt.Fprintln(in, addrOf(f.face), path, benchCallers)
 	g.Expect(lines.Scan()).To(BeTrue(), "all are connected")
-	time.Sleep(settle) // lets events flow; a longer wait measures the same
+	time.Sleep(settleTime) // lets events flow; a longer wait measures the same
 	after := memory()
 	heap, stack := after.heap-before.heap, after.stack-before.stack
 	b.ReportMetric(heap/benchCallers, "heap-B/caller")
@@ -171,7 +171,7 @@
 // balancer and agent share the machine.
 func BenchmarkHandshake(b *testing.B) {
 	g := NewWithT(b)
-	e := startEndpoint(b, anyPort, named("a"), nil)
+	e := startEndpoint(b, anyPort, respondWith("a"), nil)
 	f := newFabric(b, 1)
 	f.setNewFlow(e.conn.Addr())
 	tlsConfig := &tls.Config{InsecureSkipVerify: true, ServerName: testService, NextProtos: []string{"h3"}}
@@ -180,7 +180,7 @@
 	b.Cleanup(func() { _ = transport.Close() })
 	before := cpuTime(b)
 	var group errgroup.Group
-	group.SetLimit(dialers)
+	group.SetLimit(maxConcurrentDials)
 	for b.Loop() {
 		group.Go(func() error {
 			conn, err := transport.Dial(context.Background(), f.face.LocalAddr(), tlsConfig, nil)
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -12,14 +12,16 @@
 
 // leaving tells of a reason to drain other than the process being stopped: the
 // upstream announces that it drains, or its service is gone.
-type leaving struct {
-	asked chan struct{}
-	once  *sync.Once
+type drainRequest struct {
+	requested chan struct{}
+	once      *sync.Once
 }
 
-func newLeaving() leaving { return leaving{asked: make(chan struct{}), once: &sync.Once{}} }
+func newDrainRequest() drainRequest {
+	return drainRequest{requested: make(chan struct{}), once: &sync.Once{}}
+}
 
-func (l leaving) ask() { l.once.Do(func() { close(l.asked) }) }
+func (d drainRequest) trigger() { d.once.Do(func() { close(d.requested) }) }
 
 // drain stops new work, lets running work and feeds end, and returns when none
 // is left or the drain's timeout is over.
--- a/internal/agent/follow.go
+++ b/internal/agent/follow.go
@@ -11,13 +11,13 @@
 )
 
 // fleet is what follow has made of the last snapshot; it belongs to follow.
-type fleet struct {
+type appliedState struct {
 	ready bool
 	slots int
 }
 
 // follow keeps the agent's parts at what the fleet knows, until ctx ends.
-func (a *agent) follow(ctx context.Context) {
+func (a *agent) applySnapshots(ctx context.Context) {
 	for {
 		changed := a.node.Changed()
 		a.apply(a.node.Snapshot())
@@ -41,30 +41,30 @@
 	a.flow.SetRevision(snapshot.Config.Revision)
 	if service := a.serviceIn(snapshot.Config); service != nil {
 		a.applyService(service)
-	} else if a.fleet.ready {
-		a.leaving.ask() // the configuration no longer has the service
+	} else if a.appliedState.ready {
+		a.drainRequest.trigger() // the configuration no longer has the service
 	}
 }
 
 // judged takes up what the upstream has earned.
-func (a *agent) judged(v health.Verdict) {
+func (a *agent) applyVerdict(v health.Verdict) {
 	a.node.SetLoad(v.Weight)
 	if v.Draining {
-		a.leaving.ask()
+		a.drainRequest.trigger()
 	}
 }
 
 // applyService takes up the configuration of the agent's service. Until there
 // is one, the agent can't tell which requests may repeat, and asks for none.
 func (a *agent) applyService(service *config.Service) {
-	if slots := service.Limits.Slots; slots > 0 && slots != a.fleet.slots {
-		a.fleet.slots = slots
+	if slots := service.Limits.Slots; slots > 0 && slots != a.appliedState.slots {
+		a.appliedState.slots = slots
 		a.node.SetSlots(slots)
 	}
-	if a.fleet.ready {
+	if a.appliedState.ready {
 		return
 	}
-	a.fleet.ready = true
+	a.appliedState.ready = true
 	a.node.SetState(member.StateReady)
 	a.env.Events.Add(part, eventReady, a.settings.Service)
 }
@@ -87,7 +87,7 @@
 }
 
 // unready returns the reasons why new flows should not come here.
-func (a *agent) unready() []string {
+func (a *agent) unreadyReasons() []string {
 	var reasons []string
 	if a.service() == nil {
 		reasons = append(reasons, "no configuration names the service")
--- a/internal/agent/hand.go
+++ b/internal/agent/hand.go
@@ -16,16 +16,16 @@
 // hand places a new flow: at a ready sibling while the agent drains or has as
 // many connections as the configuration allows, at the least loaded one while
 // that is clearly better placed, else here.
-func (a *agent) hand(_ encap.Header, dcid []byte) (netip.AddrPort, bool) {
+func (a *agent) redirect(_ encap.Header, dcid []byte) (netip.AddrPort, bool) {
 	snapshot := a.node.Snapshot()
-	if snapshot.Self.State == member.StateDraining || a.full(snapshot) {
-		return sibling(snapshot, dcid)
+	if snapshot.Self.State == member.StateDraining || a.atConnectionLimit(snapshot) {
+		return chooseSibling(snapshot, dcid)
 	}
 	target := a.requests.FlowTarget()
 	if !target.Better(int(a.server.connections.Load())) {
 		return netip.AddrPort{}, false
 	}
-	return dataOf(snapshot, target.To)
+	return dataAddrOf(snapshot, target.To)
 }
 
 // admit refuses a new flow that a balancer with an older configuration placed
@@ -46,7 +46,7 @@
 
 // dataOf returns the data address of the ready sibling with the control
 // address.
-func dataOf(snapshot *control.Snapshot, to netip.AddrPort) (netip.AddrPort, bool) {
+func dataAddrOf(snapshot *control.Snapshot, to netip.AddrPort) (netip.AddrPort, bool) {
 	for _, m := range snapshot.Agents {
 		if m.Control == to && m.State == member.StateReady {
 			return m.Data, true
@@ -56,7 +56,7 @@
 }
 
 // full reports whether the agent has as many connections as it may.
-func (a *agent) full(snapshot *control.Snapshot) bool {
+func (a *agent) atConnectionLimit(snapshot *control.Snapshot) bool {
 	service := a.serviceIn(snapshot.Config)
 	if service == nil || service.Limits.Connections == 0 {
 		return false
@@ -65,7 +65,7 @@
 }
 
 // sibling chooses among the agents of the service that are ready.
-func sibling(snapshot *control.Snapshot, dcid []byte) (netip.AddrPort, bool) {
+func chooseSibling(snapshot *control.Snapshot, dcid []byte) (netip.AddrPort, bool) {
 	others := make([]member.Member, 0, len(snapshot.Agents))
 	for _, m := range snapshot.Agents {
 		if m.Control != snapshot.Self.Control {
--- a/internal/agent/hand_test.go
+++ b/internal/agent/hand_test.go
@@ -10,7 +10,7 @@
 	"github.com/saltbend/saltbend/internal/encap"
 )
 
-func TestNewFlowsOfLaggingBalancersComeThroughFacesOfTheServiceOnly(t *testing.T) {
+func TestNewFlowsWithOlderRevisionAreAdmittedOnlyThroughFacesOfTheService(t *testing.T) {
 	g := NewWithT(t)
 	const revision = 7
 	here, elsewhere := netip.MustParseAddrPort("192.0.2.1:443"), netip.MustParseAddrPort("192.0.2.2:443")
--- a/internal/agent/leaving_test.go
+++ b/internal/agent/leaving_test.go
@@ -12,7 +12,7 @@
 	"github.com/saltbend/saltbend/test/rolerun"
 )
 
-func TestUpstreamThatAnnouncesADrainIsDrained(t *testing.T) {
+func TestAgentDrainsAndExitsWhenItsUpstreamReportsDraining(t *testing.T) {
 	g := NewWithT(t)
 	var draining atomic.Bool
 	var polls atomic.Int64
@@ -29,9 +29,9 @@
 	t.Cleanup(up.Close)
 	polled := strings.Replace(configuration, "    drain:", "    health: {path: /health, interval: 100ms}\n    drain:", 1)
 	agent := startAgent(t, up.URL, func(s *Settings) { s.Store = []string{rolerun.NewStore(t, polled)} })
-	g.Eventually(polls.Load).WithTimeout(patience).Should(BeNumerically(">=", 2))
+	g.Eventually(polls.Load).WithTimeout(waitTimeout).Should(BeNumerically(">=", 2))
 	g.Expect(agent.Ended).NotTo(BeClosed())
 	draining.Store(true)
-	g.Eventually(agent.Ended).WithTimeout(patience).Should(BeClosed())
+	g.Eventually(agent.Ended).WithTimeout(waitTimeout).Should(BeClosed())
 	g.Expect(agent.Err).NotTo(HaveOccurred())
 }
--- a/internal/agent/path_test.go
+++ b/internal/agent/path_test.go
@@ -30,11 +30,11 @@
 	server *server
 }
 
-func startEndpoint(t testing.TB, data netip.AddrPort, handler http.Handler, hand flow.RedirectFunc) *endpoint {
+func startEndpoint(t testing.TB, data netip.AddrPort, handler http.Handler, redirect flow.RedirectFunc) *endpoint {
 	g := NewWithT(t)
 	ring := testRing(t)
 	tag := config.TagOf(testService)
-	conn, err := flow.Listen(flow.Options{Data: data, Service: tag, Ring: ring, Redirect: hand})
+	conn, err := flow.Listen(flow.Options{Data: data, Service: tag, Ring: ring, Redirect: redirect})
 	g.Expect(err).NotTo(HaveOccurred())
 	ids, err := flow.NewIDs(ring, conn.Addr(), tag, uint64(time.Now().UnixNano()))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -57,11 +57,11 @@
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
 // named answers with its name.
-func named(name string) http.Handler {
+func respondWith(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, name) })
 }
 
-func TestFeedOfSilentCallerOutlivesFrozenAndCutBalancers(t *testing.T) {
+func TestFeedOfSilentCallerSurvivesFailedBalancers(t *testing.T) {
 	g := NewWithT(t)
 	events := make(chan string)
 	up := httptest.NewServer(feedHandler(events))
@@ -74,14 +74,14 @@
 		failed := f.balancers[round%3]
 		fault := &failed.frozen
 		if round >= 3 {
-			fault = &failed.deaf
+			fault = &failed.ignoresAgents
 		}
 		fault.Store(true)
 		for i := range 20 {
 			event := fmt.Sprint(round, i)
 			sent := time.Now()
 			events <- event
-			g.Eventually(feed).WithTimeout(patience).Should(Receive(Equal(event)))
+			g.Eventually(feed).WithTimeout(waitTimeout).Should(Receive(Equal(event)))
 			worst = max(worst, time.Since(sent))
 		}
 		fault.Store(false)
@@ -89,14 +89,14 @@
 	t.Logf("slowest event with one of three balancers frozen or cut: %v", worst)
 }
 
-func TestCallerOfDeadIncarnationIsTold(t *testing.T) {
+func TestCallerReceivesStatelessResetAfterAgentRestart(t *testing.T) {
 	g := NewWithT(t)
-	quiet := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	idleFeed := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	})
 	f := newFabric(t, 2)
-	first := startEndpoint(t, anyPort, quiet, nil)
+	first := startEndpoint(t, anyPort, idleFeed, nil)
 	data := first.conn.Addr()
 	f.setNewFlow(data)
 	caller := newCaller(t, addrOf(f.face))
@@ -105,47 +105,47 @@
 	defer resp.Body.Close()
 
 	first.kill()
-	startEndpoint(t, data, named("second"), nil)
-	told := make(chan error, 1)
+	startEndpoint(t, data, respondWith("second"), nil)
+	feedErr := make(chan error, 1)
 	go func() {
 		_, err := io.ReadAll(resp.Body)
-		told <- err
+		feedErr <- err
 	}()
 	// Any packet of the caller brings the news; here it is a new request.
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "GET", "https://results/x", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	if resp, err := caller.Do(req); err == nil {
 		_ = resp.Body.Close()
 	}
-	g.Eventually(told).WithTimeout(patience).Should(Receive(&err))
+	g.Eventually(feedErr).WithTimeout(waitTimeout).Should(Receive(&err))
 	var reset *quic.StatelessResetError
 	g.Expect(errors.As(err, &reset)).To(BeTrue(), "%v", err)
 }
 
-func TestNewFlowIsHandedOnWhole(t *testing.T) {
+func TestNewFlowIsRedirectedWithAllItsInitials(t *testing.T) {
 	g := NewWithT(t)
-	sibling := startEndpoint(t, anyPort, named("sibling"), nil)
-	asked := make(chan struct{}, 100)
-	hand := func(encap.Header, []byte) (netip.AddrPort, bool) {
-		asked <- struct{}{}
+	sibling := startEndpoint(t, anyPort, respondWith("sibling"), nil)
+	calls := make(chan struct{}, 100)
+	redirect := func(encap.Header, []byte) (netip.AddrPort, bool) {
+		calls <- struct{}{}
 		return sibling.conn.Addr(), true
 	}
-	busy := startEndpoint(t, anyPort, named("busy"), hand)
+	redirecting := startEndpoint(t, anyPort, respondWith("busy"), redirect)
 	f := newFabric(t, 3)
-	f.setNewFlow(busy.conn.Addr())
+	f.setNewFlow(redirecting.conn.Addr())
 	for range 5 {
 		caller := newCaller(t, addrOf(f.face))
 		g.Expect(get(g, caller, "https://results/")).To(Equal("sibling"))
 	}
-	g.Expect(asked).To(HaveLen(5), "the hook is asked once for each connection attempt")
+	g.Expect(calls).To(HaveLen(5), "the hook is asked once for each connection attempt")
 }
 
-func TestInitialsThatReachTwoAgentsAreHarmless(t *testing.T) {
+func TestOneAgentServesTheCallerWhenInitialsReachTwoAgents(t *testing.T) {
 	g := NewWithT(t)
-	a := startEndpoint(t, anyPort, named("a"), nil)
-	b := startEndpoint(t, anyPort, named("b"), nil)
+	a := startEndpoint(t, anyPort, respondWith("a"), nil)
+	b := startEndpoint(t, anyPort, respondWith("b"), nil)
 	f := newFabric(t, 3)
 	f.setNewFlow(a.conn.Addr(), b.conn.Addr())
 	for range 10 {
@@ -157,10 +157,10 @@
 	}
 }
 
-func TestNoRequestTravelsInAFirstFlight(t *testing.T) {
+func TestResumptionAndEarlyDataAreDisabled(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(quicConfig().Allow0RTT).To(BeFalse())
-	e := startEndpoint(t, anyPort, named("a"), nil)
+	e := startEndpoint(t, anyPort, respondWith("a"), nil)
 	f := newFabric(t, 2)
 	f.setNewFlow(e.conn.Addr())
 	session := &tls.Config{
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestDrainEndsWorkAndKeepsFeeds(t *testing.T) {
+func TestDrainWaitsForRunningRequestsAndFeeds(t *testing.T) {
 	g := NewWithT(t)
 	events := make(chan string)
 	begun, finish := make(chan struct{}), make(chan struct{})
@@ -199,24 +199,24 @@
 	feed := openFeed(g, caller)
 	answer := make(chan string, 1)
 	go func() { answer <- get(g, caller, "https://results/runner/slow") }()
-	g.Eventually(begun).WithTimeout(patience).Should(BeClosed())
+	g.Eventually(begun).WithTimeout(waitTimeout).Should(BeClosed())
 
 	p.Stop()
-	g.Eventually(func() int { return readyz(t, p) }).WithTimeout(patience).Should(Equal(http.StatusServiceUnavailable))
+	g.Eventually(func() int { return readyz(t, p) }).WithTimeout(waitTimeout).Should(Equal(http.StatusServiceUnavailable))
 	close(finish)
-	g.Eventually(answer).WithTimeout(patience).Should(Receive(Equal("whole")))
+	g.Eventually(answer).WithTimeout(waitTimeout).Should(Receive(Equal("whole")))
 	for i := range 3 {
 		events <- fmt.Sprint(i)
-		g.Eventually(feed).WithTimeout(patience).Should(Receive(Equal(fmt.Sprint(i))))
+		g.Eventually(feed).WithTimeout(waitTimeout).Should(Receive(Equal(fmt.Sprint(i))))
 	}
 	g.Expect(p.Ended).NotTo(BeClosed())
 	close(events)
-	g.Eventually(feed).WithTimeout(patience).Should(BeClosed())
-	g.Eventually(p.Ended).WithTimeout(patience).Should(BeClosed())
+	g.Eventually(feed).WithTimeout(waitTimeout).Should(BeClosed())
+	g.Eventually(p.Ended).WithTimeout(waitTimeout).Should(BeClosed())
 	g.Expect(p.Err).NotTo(HaveOccurred())
 }
 
-func TestDrainThatEndsByItsTimeoutTellsWhatItCut(t *testing.T) {
+func TestShutdownAtItsTimeoutReturnsTheNumberOfCutRequests(t *testing.T) {
 	g := NewWithT(t)
 	begun := make(chan struct{})
 	endless := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -232,17 +232,17 @@
 			_ = resp.Body.Close()
 		}
 	}()
-	g.Eventually(begun).WithTimeout(patience).Should(BeClosed())
-	over, end := context.WithCancel(t.Context())
-	end()
-	g.Expect(e.server.shutdown(over)).To(Equal(1))
+	g.Eventually(begun).WithTimeout(waitTimeout).Should(BeClosed())
+	expired, cancel := context.WithCancel(t.Context())
+	cancel()
+	g.Expect(e.server.shutdown(expired)).To(Equal(1))
 }
 
-func TestFullAgentPlacesNewFlowsAtSiblings(t *testing.T) {
+func TestAgentAtItsConnectionLimitRedirectsNewFlowsToASibling(t *testing.T) {
 	g := NewWithT(t)
 	platform := rolerun.NewStore(t, strings.Replace(configuration, "connections: 4000", "connections: 1", 1))
 	start := func(name string, join ...settings.Address) *rolerun.Role {
-		up := httptest.NewServer(named(name))
+		up := httptest.NewServer(respondWith(name))
 		t.Cleanup(up.Close)
 		return startAgent(t, up.URL, func(s *Settings) {
 			s.Store = []string{platform}
@@ -256,5 +256,5 @@
 	lookup := func() string { return get(g, newCaller(t, addrOf(f.face)), "https://results/runner/1") }
 	g.Expect(lookup()).To(Equal("first"))
 	// The members have to learn of each other before one can hand on.
-	g.Eventually(lookup).WithTimeout(patience).Should(Equal("second"))
+	g.Eventually(lookup).WithTimeout(waitTimeout).Should(Equal("second"))
 }
--- a/internal/agent/quic.go
+++ b/internal/agent/quic.go
@@ -58,7 +58,7 @@
 // newTransport returns the QUIC transport over conn.
 func newTransport(conn net.PacketConn, ids *flow.IDs, ring *keyring.Ring, data netip.AddrPort) *quic.Transport {
 	resetKey := quic.StatelessResetKey(reset.NewKeys(ring).Key(data))
-	tokens := addressKey(ring)
+	tokens := addressTokenKey(ring)
 	limit := rate.NewLimiter(validateAbove, validateBurst)
 	return &quic.Transport{
 		Conn:                  conn,
@@ -71,7 +71,7 @@
 
 // addressKey returns the key of address validation tokens. The whole fleet has
 // the same: a caller may come back to another agent.
-func addressKey(ring *keyring.Ring) quic.TokenGeneratorKey {
+func addressTokenKey(ring *keyring.Ring) quic.TokenGeneratorKey {
 	return quic.TokenGeneratorKey(ring.Derive(keyring.PurposeAddress, sha256.Size)[0].Bytes)
 }
 
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -49,24 +49,24 @@
 
 // agent is one running agent role.
 type agent struct {
-	settings Settings
-	env      settings.Env
-	log      *slog.Logger
-	process  *process.Process
-	node     *control.Node
-	flow     *flow.Conn
-	upstream *upstream.Client
-	requests *request.Handler
-	tickets  *home.Home
-	server   *server
-	cancel   context.CancelFunc // ends the node and the requests' scheduler
-	fleet    fleet
-	leaving  leaving
+	settings     Settings
+	env          settings.Env
+	log          *slog.Logger
+	process      *process.Process
+	node         *control.Node
+	flow         *flow.Conn
+	upstream     *upstream.Client
+	requests     *request.Handler
+	tickets      *home.Home
+	server       *server
+	cancel       context.CancelFunc // ends the node and the requests' scheduler
+	appliedState appliedState
+	drainRequest drainRequest
 }
 
 // Run serves until ctx ends, then lets running work end and returns.
 func Run(ctx context.Context, s Settings, env settings.Env) error {
-	a := &agent{settings: s, env: env, log: logging.Part(env.Logger, part), leaving: newLeaving()}
+	a := &agent{settings: s, env: env, log: logging.Part(env.Logger, part), drainRequest: newDrainRequest()}
 	defer a.close()
 	if err := a.start(); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	case <-ctx.Done():
 		a.drain()
 		return nil
-	case <-a.leaving.asked:
+	case <-a.drainRequest.requested:
 		a.drain()
 		return nil
 	case err := <-a.server.done:
@@ -111,8 +111,8 @@
 	if err := a.serve(ctx, ring, cert, self); err != nil {
 		return err
 	}
-	a.process.Ops.AddCheck(a.unready)
-	go a.follow(ctx)
+	a.process.Ops.AddCheck(a.unreadyReasons)
+	go a.applySnapshots(ctx)
 	return nil
 }
 
@@ -122,7 +122,7 @@
 		Service:  config.TagOf(a.settings.Service),
 		Ring:     ring,
 		Admit:    a.admit,
-		Redirect: a.hand,
+		Redirect: a.redirect,
 	})
 	a.flow = conn
 	return err
@@ -161,7 +161,7 @@
 	})
 	transport := newTransport(a.flow, ids, ring, self.Data)
 	a.server = newServer(transport, a.requests, a.log)
-	a.server.counted = a.requests.SetConnections
+	a.server.onConnectionCount = a.requests.SetConnections
 	a.registerMetrics()
 	return a.server.listen(cert)
 }
@@ -186,7 +186,7 @@
 		Caller:   a.process.Peer,
 		Registry: a.process.Peer,
 		Tickets:  a.tickets,
-		Judged:   a.judged,
+		Judged:   a.applyVerdict,
 		Events:   a.env.Events,
 		Logger:   a.env.Logger,
 	})
--- a/internal/agent/running.go
+++ b/internal/agent/running.go
@@ -18,39 +18,39 @@
 
 // count wraps a handler. A request whose stream the handler takes over runs
 // until the stream ends.
-func (r *running) count(next http.Handler) http.Handler {
+func (r *running) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.add(1)
-		counted := &countedWriter{ResponseWriter: w}
+		tracked := &trackedWriter{ResponseWriter: w}
 		defer func() {
-			if counted.taken == nil {
+			if tracked.takenStream == nil {
 				r.add(-1)
 				return
 			}
-			context.AfterFunc(counted.taken.Context(), func() { r.add(-1) })
+			context.AfterFunc(tracked.takenStream.Context(), func() { r.add(-1) })
 		}()
-		next.ServeHTTP(counted, req)
+		next.ServeHTTP(tracked, req)
 	})
 }
 
 // countedWriter notes whether the response's stream is taken over.
-type countedWriter struct {
+type trackedWriter struct {
 	http.ResponseWriter
-	taken *http3.Stream
+	takenStream *http3.Stream
 }
 
 // Unwrap lets http.ResponseController find what else the writer can do.
-func (w *countedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *trackedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // HTTPStream implements http3.HTTPStreamer.
-func (w *countedWriter) HTTPStream() (*http3.Stream, error) {
+func (w *trackedWriter) HTTPStream() (*http3.Stream, error) {
 	streamer, ok := w.ResponseWriter.(http3.HTTPStreamer)
 	if !ok {
 		return nil, errors.New("agent: the response has no HTTP/3 stream")
 	}
 	stream, err := streamer.HTTPStream()
 	if err == nil {
-		w.taken = stream
+		w.takenStream = stream
 	}
 	return stream, err
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -31,15 +31,15 @@
 	// connections is the number of callers' connections.
 	connections atomic.Int64
 	// counted, if set before the server listens, is told of their number.
-	counted func(int)
-	done    chan error
+	onConnectionCount func(int)
+	done              chan error
 }
 
 // newServer returns a server of handler on the transport.
 func newServer(transport *quic.Transport, handler http.Handler, log *slog.Logger) *server {
 	s := &server{transport: transport, done: make(chan error, 1)}
 	s.http = &http3.Server{
-		Handler:        s.running.count(handler),
+		Handler:        s.running.track(handler),
 		MaxHeaderBytes: maxHeaderBytes,
 		Logger:         log,
 		ConnContext:    s.countConnection,
@@ -69,8 +69,8 @@
 
 func (s *server) addConnections(n int64) {
 	sum := s.connections.Add(n)
-	if s.counted != nil {
-		s.counted(int(sum))
+	if s.onConnectionCount != nil {
+		s.onConnectionCount(int(sum))
 	}
 }
 
--- a/internal/flow/paths_test.go
+++ b/internal/flow/paths_test.go
@@ -154,11 +154,11 @@
 			if elapsed%(25*time.Millisecond) != 0 {
 				return
 			}
-			bad := w.failed[w.paths.Choose(w.now, f)]
-			if !bad && firstGood < 0 {
+			failed := w.failed[w.paths.Choose(w.now, f)]
+			if !failed && firstGood < 0 {
 				firstGood = elapsed
 			}
-			if bad && elapsed > 2*time.Second {
+			if failed && elapsed > 2*time.Second {
 				late++
 			}
 		})
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -17,22 +17,22 @@
 	// weightStep is the grain of weights: each change costs the fleet messages.
 	weightStep = 250
 	// leaveStep is the part of a step by which the weight has to have moved.
-	leaveStep = 0.75
+	stepHysteresis = 0.75
 	// gain is the weight of one outcome in the moving averages.
-	gain = 0.05
+	shortGain = 0.05
 	// drawsFrom is the share of good outcomes from which on an upstream may
 	// draw work of others.
-	drawsFrom = 0.8
+	drawThreshold = 0.8
 	// fresh is how long an outcome contradicts what the upstream reports.
-	fresh = 2 * time.Second
+	outcomeTTL = 2 * time.Second
 	// trusted is the number of good outcomes in a row that outweigh a report of
 	// bad health.
-	trusted = 5
+	trustedStreak = 5
 	// slowFactor is how much slower than its own past an upstream may get
 	// before its weight falls.
 	slowFactor = 2
 	// pastGain is the weight of one outcome in the long average of latencies.
-	pastGain = 0.002
+	longGain = 0.002
 )
 
 // Outcome is the observed end of one request.
@@ -75,21 +75,21 @@
 
 // Tracker follows one upstream.
 type Tracker struct {
-	slowStart time.Duration
-	warmFrom  time.Time
-	good      float64
-	latency   time.Duration
-	past      time.Duration
-	inRow     int
-	last      time.Time
-	report    Report
+	slowStart     time.Duration
+	warmupStart   time.Time
+	successRate   float64
+	latency       time.Duration
+	longLatency   time.Duration
+	successStreak int
+	lastOutcome   time.Time
+	report        Report
 	// step is the weight that was last given, but for minWeight.
-	step int
+	lastStep int
 }
 
 // NewTracker returns the tracker of an upstream that is cold at start.
 func NewTracker(start time.Time, slowStart time.Duration) *Tracker {
-	return &Tracker{slowStart: slowStart, warmFrom: start, good: 1, report: Report{Healthy: true}}
+	return &Tracker{slowStart: slowStart, warmupStart: start, successRate: 1, report: Report{Healthy: true}}
 }
 
 // SetSlowStart changes the time that a cold upstream takes.
@@ -97,16 +97,16 @@
 
 // Observe takes the outcome of a request.
 func (t *Tracker) Observe(now time.Time, o Outcome) {
-	t.last = now
+	t.lastOutcome = now
 	if !o.Good {
-		t.inRow = 0
-		t.good -= gain * t.good
+		t.successStreak = 0
+		t.successRate -= shortGain * t.successRate
 		return
 	}
-	t.inRow++
-	t.good += gain * (1 - t.good)
-	t.latency = average(t.latency, o.Latency, gain)
-	t.past = average(t.past, o.Latency, pastGain)
+	t.successStreak++
+	t.successRate += shortGain * (1 - t.successRate)
+	t.latency = average(t.latency, o.Latency, shortGain)
+	t.longLatency = average(t.longLatency, o.Latency, longGain)
 }
 
 func average(mean, next time.Duration, gain float64) time.Duration {
@@ -120,14 +120,14 @@
 // from being unreachable, it is cold.
 func (t *Tracker) Hear(now time.Time, r Report) {
 	if r.Healthy && !t.report.Healthy && !t.contradicted(now) {
-		t.warmFrom = now
+		t.warmupStart = now
 	}
 	t.report = r
 }
 
 // contradicted reports whether recent requests went well.
 func (t *Tracker) contradicted(now time.Time) bool {
-	return t.inRow >= trusted && now.Sub(t.last) < fresh
+	return t.successStreak >= trustedStreak && now.Sub(t.lastOutcome) < outcomeTTL
 }
 
 // Judge returns what the upstream has earned of its slots. Weights move in
@@ -135,60 +135,60 @@
 func (t *Tracker) Judge(now time.Time, slots int, peers Peers) Verdict {
 	v := Verdict{
 		Weight:   t.weight(now),
-		Slots:    t.slots(slots),
-		Draws:    t.good >= drawsFrom && t.believedHealthy(now),
+		Slots:    t.allowedSlots(slots),
+		Draws:    t.successRate >= drawThreshold && t.consideredHealthy(now),
 		Draining: t.report.Draining,
 	}
-	v.Panic = !peers.enough(v.Draws)
+	v.Panic = !peers.reachThreshold(v.Draws)
 	if v.Panic {
 		v.Slots, v.Draws = slots, true
 	}
 	return v
 }
 
-func (t *Tracker) believedHealthy(now time.Time) bool {
+func (t *Tracker) consideredHealthy(now time.Time) bool {
 	return t.report.Healthy || t.contradicted(now)
 }
 
 // weight falls with the square of the failures and with growing latency, and
 // rises over the slow start.
 func (t *Tracker) weight(now time.Time) int {
-	if !t.believedHealthy(now) {
+	if !t.consideredHealthy(now) {
 		return 0
 	}
-	w := FullWeight * t.good * t.good * t.warmth(now)
-	if t.past > 0 && t.latency > slowFactor*t.past {
-		w *= float64(slowFactor*t.past) / float64(t.latency)
+	w := FullWeight * t.successRate * t.successRate * t.warmupFactor(now)
+	if t.longLatency > 0 && t.latency > slowFactor*t.longLatency {
+		w *= float64(slowFactor*t.longLatency) / float64(t.latency)
 	}
-	return max(t.settle(w), minWeight)
+	return max(t.quantize(w), minWeight)
 }
 
 // settle returns the step that the weight stands at. It leaves a step only for
 // one that is clearly nearer, so that it doesn't swing.
-func (t *Tracker) settle(w float64) int {
-	if math.Abs(w-float64(t.step)) >= leaveStep*weightStep {
-		t.step = int(math.Round(w/weightStep)) * weightStep
+func (t *Tracker) quantize(w float64) int {
+	if math.Abs(w-float64(t.lastStep)) >= stepHysteresis*weightStep {
+		t.lastStep = int(math.Round(w/weightStep)) * weightStep
 	}
-	return t.step
+	return t.lastStep
 }
 
-func (t *Tracker) warmth(now time.Time) float64 {
+func (t *Tracker) warmupFactor(now time.Time) float64 {
 	if t.slowStart <= 0 {
 		return 1
 	}
-	return min(max(float64(now.Sub(t.warmFrom))/float64(t.slowStart), 0), 1)
+	return min(max(float64(now.Sub(t.warmupStart))/float64(t.slowStart), 0), 1)
 }
 
-func (t *Tracker) slots(all int) int {
-	if t.good >= drawsFrom {
+func (t *Tracker) allowedSlots(all int) int {
+	if t.successRate >= drawThreshold {
 		return all
 	}
-	return max(1, int(math.Ceil(float64(all)*t.good*t.good)))
+	return max(1, int(math.Ceil(float64(all)*t.successRate*t.successRate)))
 }
 
 // enough reports whether the service's share of healthy upstreams reaches the
 // threshold.
-func (p Peers) enough(self bool) bool {
+func (p Peers) reachThreshold(self bool) bool {
 	healthy := p.Healthy
 	if self {
 		healthy++
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -27,12 +27,12 @@
 }
 
 var (
-	good = health.Outcome{Good: true, Latency: 20 * time.Millisecond}
-	fast = health.Outcome{Latency: time.Millisecond}
+	good      = health.Outcome{Good: true, Latency: 20 * time.Millisecond}
+	fastError = health.Outcome{Latency: time.Millisecond}
 )
 
-func TestFastErrorsEarnNothing(t *testing.T) {
-	tr, now := tracker(100, fast)
+func TestFastErrorsLowerSlotsAndWeight(t *testing.T) {
+	tr, now := tracker(100, fastError)
 	tr.Hear(now, health.Report{Healthy: true})
 	v := tr.Judge(now, slots, health.Peers{Known: 6, Healthy: 6, PanicThreshold: 0.5})
 	if v.Draws || v.Slots != 1 || v.Weight > 100 {
@@ -46,13 +46,13 @@
 	}
 }
 
-func TestWeightIsFullAgainAfterFailuresAndDoesNotSwing(t *testing.T) {
+func TestWeightIsStableUnderSteadyFailuresAndRecovers(t *testing.T) {
 	tr, now := tracker(100, good)
 	changes, last := 0, health.FullWeight
 	for i := range 2000 {
 		o := good
 		if i%16 == 0 {
-			o = fast
+			o = fastError
 		}
 		tr.Observe(now, o)
 		if w := tr.Judge(now, slots, health.Peers{}).Weight; w != last {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestOutcomesOutweighAReportOfBadHealth(t *testing.T) {
+func TestRecentGoodOutcomesOverrideAnUnhealthyReport(t *testing.T) {
 	tr, now := tracker(100, good)
 	tr.Hear(now, health.Report{Healthy: false})
 	if v := tr.Judge(now, slots, health.Peers{}); !v.Draws || v.Weight != health.FullWeight {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestSlowStartRaisesTheWeight(t *testing.T) {
+func TestWeightRisesDuringSlowStart(t *testing.T) {
 	tr := health.NewTracker(start, 10*time.Second)
 	last := 0
 	for _, after := range []time.Duration{0, 3 * time.Second, 6 * time.Second, 10 * time.Second} {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestLatencyAboveItsPastLowersTheWeight(t *testing.T) {
+func TestLatencyAboveTheLongTermAverageLowersTheWeight(t *testing.T) {
 	tr, now := tracker(1000, good)
 	for range 100 {
 		tr.Observe(now, health.Outcome{Good: true, Latency: 400 * time.Millisecond})
@@ -107,8 +107,8 @@
 	}
 }
 
-func TestPanicSpreadsWork(t *testing.T) {
-	tr, now := tracker(100, fast)
+func TestHealthIsIgnoredWhenMostPeersAreUnhealthy(t *testing.T) {
+	tr, now := tracker(100, fastError)
 	v := tr.Judge(now, slots, health.Peers{Known: 6, Healthy: 2, PanicThreshold: 0.5})
 	if !v.Panic || !v.Draws || v.Slots != slots {
 		t.Fatalf("most of the service is bad, but %+v", v)
@@ -128,7 +128,7 @@
 	return &http.Response{StatusCode: e.status, Body: io.NopCloser(strings.NewReader(e.body))}, nil
 }
 
-func TestPoll(t *testing.T) {
+func TestPollReportsHealthAndDraining(t *testing.T) {
 	for name, c := range map[string]struct {
 		endpoint endpoint
 		want     health.Report
--- a/internal/health/poll.go
+++ b/internal/health/poll.go
@@ -25,7 +25,7 @@
 
 // Poll reads the health endpoint until ctx ends and gives each report to hear.
 // The settings are asked before each read, so that they may change.
-func Poll(ctx context.Context, r upstream.Runner, settings func() config.Health, hear func(Report)) {
+func Poll(ctx context.Context, r upstream.Runner, settings func() config.Health, report func(Report)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -40,7 +40,7 @@
 			interval = defaultInterval
 		}
 		if s.Path != "" {
-			hear(read(ctx, r, s.Path, interval))
+			report(read(ctx, r, s.Path, interval))
 		}
 		timer.Reset(interval)
 	}
--- a/internal/sim/balance_test.go
+++ b/internal/sim/balance_test.go
@@ -9,14 +9,14 @@
 const (
 	balanceLength = 30 * time.Second
 	balanceSeeds  = 4
-	busyShare     = 0.85
+	loadShare     = 0.85
 )
 
 var lookups = []class{{name: "lookup", movable: true, deadline: time.Hour, share: 1}}
 
-func today() []service {
+func currentServices() []service {
 	return []service{
-		evenService("7x5", 7, 5).withLying(),
+		evenService("7x5", 7, 5).withBroken(),
 		evenService("7x5", 7, 5),
 		evenService("7x7", 7, 7),
 		evenService("7x5", 7, 5).withSlow(3),
@@ -27,21 +27,21 @@
 // BenchmarkBalance compares ways to spread lookups with one ideal queue over
 // all slots.
 func BenchmarkBalance(b *testing.B) {
-	for _, s := range today() {
+	for _, s := range currentServices() {
 		var loads [][]*work
 		for seed := range uint64(balanceSeeds) {
-			loads = append(loads, arrivals(seed, s, busyShare, balanceLength, lookups))
+			loads = append(loads, arrivals(seed, s, loadShare, balanceLength, lookups))
 		}
-		ideal := pooled(policies()[0], s, loads, 0).quantile(0.99, wait)
+		ideal := pooled(policies()[0], s, loads, 0).quantile(0.99, queueTime)
 		for i, delay := range []time.Duration{500 * time.Microsecond, 1500 * time.Microsecond} {
 			for _, p := range policies() {
 				if i > 0 && p.options.Alone {
 					continue // the same at any delay
 				}
 				r := pooled(p, s, loads, delay)
-				p99 := r.quantile(0.99, wait)
+				p99 := r.quantile(0.99, queueTime)
 				b.Run(fmt.Sprintf("%s/%s/%s", s.name, delay, p.name), func(b *testing.B) {
-					b.ReportMetric(r.quantile(0.5, wait).Seconds()*1e3, "p50-ms")
+					b.ReportMetric(r.quantile(0.5, queueTime).Seconds()*1e3, "p50-ms")
 					b.ReportMetric(p99.Seconds()*1e3, "p99-ms")
 					b.ReportMetric(float64(p99)/float64(ideal), "p99/ideal")
 					b.ReportMetric(r.maxLoad, "max/mean")
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -27,12 +27,12 @@
 	capacity float64
 }
 
-func warm(time.Duration) float64 { return 1 }
+func normalSpeed(time.Duration) float64 { return 1 }
 
 func evenService(name string, n, slots int) service {
 	s := service{name: name, capacity: float64(n * slots)}
 	for range n {
-		s.upstreams = append(s.upstreams, &upstream{slots: slots, slow: warm})
+		s.upstreams = append(s.upstreams, &upstream{slots: slots, slowdown: normalSpeed})
 	}
 	return s
 }
@@ -40,7 +40,7 @@
 // withSlow makes the first upstream so many times slower.
 func (s service) withSlow(factor float64) service {
 	s.name += "-slow"
-	s.upstreams[0].slow = func(time.Duration) float64 { return factor }
+	s.upstreams[0].slowdown = func(time.Duration) float64 { return factor }
 	s.capacity -= float64(s.upstreams[0].slots) * (1 - 1/factor)
 	return s
 }
@@ -50,7 +50,7 @@
 func (s service) withCold() service {
 	const coldFactor, warmTime = 3, 10 * time.Second
 	s.name += "-cold"
-	s.upstreams[1].slow = func(now time.Duration) float64 {
+	s.upstreams[1].slowdown = func(now time.Duration) float64 {
 		return 1 + coldFactor*max(0, 1-now.Seconds()/warmTime.Seconds())
 	}
 	return s
@@ -58,7 +58,7 @@
 
 // withLying makes the first upstream answer errors at once while it claims to
 // be healthy.
-func (s service) withLying() service {
+func (s service) withBroken() service {
 	s.name += "-lying"
 	s.upstreams[0].broken = true
 	s.capacity -= float64(s.upstreams[0].slots)
@@ -71,9 +71,9 @@
 }
 
 // arrivals draws a workload at that share of the capacity.
-func arrivals(seed uint64, s service, busy float64, length time.Duration, classes []class) []*work {
+func arrivals(seed uint64, s service, load float64, length time.Duration, classes []class) []*work {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	rate := busy * s.capacity / meanService.Seconds()
+	rate := load * s.capacity / meanService.Seconds()
 	var out []*work
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / rate
@@ -111,12 +111,12 @@
 	// single puts all servers behind one queue.
 	single bool
 	// fifo forgets priorities.
-	fifo  bool
-	queue int
+	ignorePriorities bool
+	queue            int
 	// health has agents judge their upstreams by their outcomes.
 	health bool
 	// endless deadlines are unknown to the scheduler.
-	endless bool
+	hideDeadlines bool
 }
 
 func byHash(*rand.Rand) chooser {
@@ -141,16 +141,16 @@
 	}
 }
 
-const endless = 1 << 20
+const unlimitedQueue = 1 << 20
 
 func policies() []policy {
 	alone := dispatch.Options{Alone: true, IgnoreDeadlines: true}
 	return []policy{
-		{name: "ideal", choose: atRandom, options: alone, single: true, queue: endless},
-		{name: "random", choose: atRandom, options: alone, queue: endless},
-		{name: "round-robin", choose: roundRobin, options: alone, queue: endless},
-		{name: "hash", choose: byHash, options: alone, queue: endless},
-		{name: "chosen", choose: byHash, queue: endless, health: true},
+		{name: "ideal", choose: atRandom, options: alone, single: true, queue: unlimitedQueue},
+		{name: "random", choose: atRandom, options: alone, queue: unlimitedQueue},
+		{name: "round-robin", choose: roundRobin, options: alone, queue: unlimitedQueue},
+		{name: "hash", choose: byHash, options: alone, queue: unlimitedQueue},
+		{name: "chosen", choose: byHash, queue: unlimitedQueue, health: true},
 	}
 }
 
@@ -162,7 +162,7 @@
 }
 
 func simulate(p policy, s service, load []*work, delay time.Duration) result {
-	w := &world{rng: rand.New(rand.NewPCG(1, 2)), delay: delay}
+	w := &simulation{rng: rand.New(rand.NewPCG(1, 2)), delay: delay}
 	if p.single {
 		w.add(s.working(), p.queue, p.options)
 	} else {
@@ -173,18 +173,18 @@
 			}
 		}
 	}
-	w.introduce()
+	w.connectSiblings()
 	choose := p.choose(w.rng)
 	works := make([]*work, len(load))
 	for i := range load {
 		k := *load[i]
 		works[i] = &k
-		works[i].told = *k.class
-		if p.fifo {
-			works[i].told.priority = 0
+		works[i].scheduled = *k.class
+		if p.ignorePriorities {
+			works[i].scheduled.priority = 0
 		}
-		if p.endless {
-			works[i].told.deadline = time.Hour
+		if p.hideDeadlines {
+			works[i].scheduled.deadline = time.Hour
 		}
 		w.after(k.arrival, func() { w.arrive(w.nodes[choose(&k, len(w.nodes))], dispatch.ID(i+1), works[i]) })
 	}
@@ -211,11 +211,11 @@
 }
 
 // maxLoad is the highest load of a node over the mean.
-func (w *world) maxLoad() float64 {
+func (w *simulation) maxLoad() float64 {
 	highest, sum := 0.0, 0.0
 	for _, n := range w.nodes {
-		highest = max(highest, n.inHand)
-		sum += n.inHand
+		highest = max(highest, n.loadIntegral)
+		sum += n.loadIntegral
 	}
 	return highest * float64(len(w.nodes)) / sum
 }
@@ -246,4 +246,4 @@
 	return float64(n) / float64(len(r.works))
 }
 
-func wait(k *work) (time.Duration, bool) { return k.started - k.arrival, !k.refused }
+func queueTime(k *work) (time.Duration, bool) { return k.started - k.arrival, !k.refused }
--- a/internal/sim/overload_test.go
+++ b/internal/sim/overload_test.go
@@ -12,7 +12,7 @@
 	overloadLength = 30 * time.Second
 	overloadSeeds  = 4
 	// limit is the length of each agent's queue.
-	limit = 64
+	queueLimit = 64
 )
 
 // mixed is 60% of the capacity in lookups, 50% in batches and 40% in reports.
@@ -28,15 +28,15 @@
 	{name: "batch", priority: 1, deadline: 2 * time.Second, share: 0.2 / overload},
 }
 
-func shedders() []policy {
-	length := dispatch.Options{IgnoreDeadlines: true}
+func sheddingPolicies() []policy {
+	byLength := dispatch.Options{IgnoreDeadlines: true}
 	return []policy{
-		{name: "chosen", choose: byHash, queue: limit},
-		{name: "by-length", choose: byHash, queue: limit, options: length},
-		{name: "fifo-by-length", choose: byHash, queue: limit, options: length, fifo: true},
-		{name: "fifo-by-deadline", choose: byHash, queue: limit, fifo: true},
-		{name: "fifo-no-shedding", choose: byHash, queue: endless, options: length, fifo: true, endless: true},
-		{name: "no-shedding", choose: byHash, queue: endless, options: length, endless: true},
+		{name: "chosen", choose: byHash, queue: queueLimit},
+		{name: "by-length", choose: byHash, queue: queueLimit, options: byLength},
+		{name: "fifo-by-length", choose: byHash, queue: queueLimit, options: byLength, ignorePriorities: true},
+		{name: "fifo-by-deadline", choose: byHash, queue: queueLimit, ignorePriorities: true},
+		{name: "fifo-no-shedding", choose: byHash, queue: unlimitedQueue, options: byLength, ignorePriorities: true, hideDeadlines: true},
+		{name: "no-shedding", choose: byHash, queue: unlimitedQueue, options: byLength, hideDeadlines: true},
 	}
 }
 
@@ -51,13 +51,13 @@
 		for seed := range uint64(overloadSeeds) {
 			loads = append(loads, arrivals(seed, s, overload, overloadLength, mix.classes))
 		}
-		for _, p := range shedders() {
+		for _, p := range sheddingPolicies() {
 			r := pooled(p, s, loads, 500*time.Microsecond)
 			b.Run(mix.name+"/"+p.name, func(b *testing.B) {
 				b.ReportMetric(0, "ns/op")
-				b.ReportMetric(r.quantile(0.5, answeredIn("lookup")).Seconds()*1e3, "lookup-p50-ms")
-				b.ReportMetric(r.quantile(0.99, answeredIn("lookup")).Seconds()*1e3, "lookup-p99-ms")
-				b.ReportMetric(r.quantile(0.99, toldIn).Seconds()*1e3, "told-p99-ms")
+				b.ReportMetric(r.quantile(0.5, answerTime("lookup")).Seconds()*1e3, "lookup-p50-ms")
+				b.ReportMetric(r.quantile(0.99, answerTime("lookup")).Seconds()*1e3, "lookup-p99-ms")
+				b.ReportMetric(r.quantile(0.99, refusalTime).Seconds()*1e3, "told-p99-ms")
 				for _, c := range mix.classes {
 					b.ReportMetric(100*r.inTime(c.name), c.name+"-in-time-%")
 				}
@@ -67,14 +67,14 @@
 }
 
 // answeredIn gives the time to the answer of a class.
-func answeredIn(name string) func(*work) (time.Duration, bool) {
+func answerTime(name string) func(*work) (time.Duration, bool) {
 	return func(k *work) (time.Duration, bool) {
 		return k.ended - k.arrival, !k.refused && k.class.name == name
 	}
 }
 
 // toldIn gives the time after which a caller was told to come back.
-func toldIn(k *work) (time.Duration, bool) { return k.ended - k.arrival, k.refused }
+func refusalTime(k *work) (time.Duration, bool) { return k.ended - k.arrival, k.refused }
 
 // inTime is the share of a class that was answered by its deadline.
 func (r result) inTime(name string) float64 {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -23,7 +23,7 @@
 	service time.Duration
 	flow    int
 	// told is the class as the scheduler sees it.
-	told class
+	scheduled class
 
 	started time.Duration
 	ended   time.Duration
@@ -49,7 +49,7 @@
 type upstream struct {
 	slots int
 	// slow multiplies service times at a time.
-	slow func(now time.Duration) float64
+	slowdown func(now time.Duration) float64
 	// broken upstreams answer all requests with an error in a millisecond,
 	// while they claim to be healthy.
 	broken bool
@@ -58,19 +58,19 @@
 // node is an agent with its upstream; the ideal queue is one node with the
 // servers of all.
 type node struct {
-	addr    netip.AddrPort
-	sched   *dispatch.Scheduler
-	free    []server
-	inHand  float64 // requests in hand, integrated over time
-	since   time.Duration
-	works   map[dispatch.ID]*work
-	wakeAt  time.Duration
-	tracker *health.Tracker
-	limits  dispatch.Limits
+	addr         netip.AddrPort
+	sched        *dispatch.Scheduler
+	free         []server
+	loadIntegral float64 // requests in hand, integrated over time
+	since        time.Duration
+	works        map[dispatch.ID]*work
+	wakeAt       time.Duration
+	tracker      *health.Tracker
+	limits       dispatch.Limits
 }
 
 // world is one run.
-type world struct {
+type simulation struct {
 	now      time.Duration
 	events   events
 	nodes    []*node
@@ -112,14 +112,14 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now + d, order: w.order, do: do})
 }
 
-func (w *world) clock() time.Time { return epoch.Add(w.now) }
+func (w *simulation) clock() time.Time { return epoch.Add(w.now) }
 
-func (w *world) run() {
+func (w *simulation) run() {
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -127,10 +127,10 @@
 	}
 }
 
-func (w *world) node(addr netip.AddrPort) *node { return w.nodes[addr.Port()-1] }
+func (w *simulation) node(addr netip.AddrPort) *node { return w.nodes[addr.Port()-1] }
 
 // add makes a node with the servers of the upstreams.
-func (w *world) add(upstreams []*upstream, queue int, o dispatch.Options) *node {
+func (w *simulation) add(upstreams []*upstream, queue int, o dispatch.Options) *node {
 	n := &node{works: map[dispatch.ID]*work{}}
 	for _, u := range upstreams {
 		for range u.slots {
@@ -147,7 +147,7 @@
 }
 
 // introduce makes all nodes siblings.
-func (w *world) introduce() {
+func (w *simulation) connectSiblings() {
 	for _, n := range w.nodes {
 		var others []netip.AddrPort
 		for _, o := range w.nodes {
@@ -159,20 +159,20 @@
 	}
 }
 
-func (w *world) arrive(n *node, id dispatch.ID, k *work) {
+func (w *simulation) arrive(n *node, id dispatch.ID, k *work) {
 	n.works[id] = k
 	w.do(n, n.sched.Arrive(w.clock(), request(id, k)))
 }
 
 func request(id dispatch.ID, k *work) dispatch.Request {
 	return dispatch.Request{
-		ID: id, Priority: k.told.priority, Movable: k.told.movable,
-		Arrived: epoch.Add(k.arrival), Deadline: epoch.Add(k.arrival + k.told.deadline),
+		ID: id, Priority: k.scheduled.priority, Movable: k.scheduled.movable,
+		Arrived: epoch.Add(k.arrival), Deadline: epoch.Add(k.arrival + k.scheduled.deadline),
 	}
 }
 
 // do carries actions out, as the shell would.
-func (w *world) do(n *node, actions []dispatch.Action) {
+func (w *simulation) do(n *node, actions []dispatch.Action) {
 	n.account(w.now)
 	for _, a := range slices.Clone(actions) {
 		switch a := a.(type) {
@@ -197,7 +197,7 @@
 	w.wake(n)
 }
 
-func (w *world) send(from *node, to netip.AddrPort, s dispatch.Standing, then func(to *node) []dispatch.Action) {
+func (w *simulation) send(from *node, to netip.AddrPort, s dispatch.Standing, then func(to *node) []dispatch.Action) {
 	w.messages++
 	w.after(w.delay, func() {
 		n := w.node(to)
@@ -208,7 +208,7 @@
 	})
 }
 
-func (w *world) wake(n *node) {
+func (w *simulation) wake(n *node) {
 	at, ok := n.sched.NextWake()
 	due := at.Sub(epoch)
 	if !ok || (n.wakeAt > w.now && n.wakeAt <= due) {
@@ -218,13 +218,13 @@
 	w.after(n.wakeAt-w.now, func() { w.do(n, n.sched.Tick(w.clock())) })
 }
 
-func (w *world) start(n *node, id dispatch.ID) {
+func (w *simulation) start(n *node, id dispatch.ID) {
 	k := n.works[id]
 	k.started = w.now
 	at := w.rng.IntN(len(n.free))
 	s := n.free[at]
 	n.free = slices.Delete(n.free, at, at+1)
-	service := time.Duration(float64(k.service) * s.upstream.slow(w.now))
+	service := time.Duration(float64(k.service) * s.upstream.slowdown(w.now))
 	k.failed = s.upstream.broken
 	if k.failed {
 		service = time.Millisecond
@@ -232,13 +232,13 @@
 	w.after(service, func() {
 		k.ended = w.now
 		n.free = append(n.free, s)
-		w.judge(n, health.Outcome{Good: !k.failed, Latency: service})
+		w.updateHealth(n, health.Outcome{Good: !k.failed, Latency: service})
 		w.do(n, n.sched.Done(w.clock(), id, service, !k.failed))
 	})
 }
 
 // judge has the node judge its upstream, as the shell does.
-func (w *world) judge(n *node, o health.Outcome) {
+func (w *simulation) updateHealth(n *node, o health.Outcome) {
 	if n.tracker == nil {
 		return
 	}
@@ -247,13 +247,13 @@
 	w.do(n, n.sched.SetHealth(w.clock(), v.Slots, v.Draws))
 }
 
-func (w *world) refuse(n *node, a dispatch.Refuse) {
+func (w *simulation) refuse(n *node, a dispatch.Refuse) {
 	k := n.works[a.ID]
 	delete(n.works, a.ID)
 	k.refused, k.ended = true, w.now
 }
 
-func (w *world) push(from *node, p dispatch.Push) {
+func (w *simulation) push(from *node, p dispatch.Push) {
 	k := from.works[p.ID]
 	w.messages++
 	w.after(w.delay, func() {
@@ -275,6 +275,6 @@
 // account integrates what the node had in hand.
 func (n *node) account(now time.Duration) {
 	l := n.sched.Load()
-	n.inHand += float64(l.Running+l.Queued) * (now - n.since).Seconds()
+	n.loadIntegral += float64(l.Running+l.Queued) * (now - n.since).Seconds()
 	n.since = now
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -36,10 +36,10 @@
 // second connection by itself; it never does so when the first was fresh. Feeds
 // have connections of their own that cost little memory.
 type Client struct {
-	base   *url.URL
-	dialer *net.Dialer
-	pooled *http.Transport
-	single *http.Transport
+	base     *url.URL
+	dialer   *net.Dialer
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 var _ Runner = (*Client)(nil)
@@ -52,9 +52,9 @@
 	pooled.MaxIdleConnsPerHost = maxIdle
 	pooled.MaxIdleConns = maxIdle
 	pooled.IdleConnTimeout = idleTimeout
-	single := newTransport(dialer)
-	single.DisableKeepAlives = true
-	return &Client{base: base, dialer: dialer, pooled: pooled, single: single}
+	unpooled := newTransport(dialer)
+	unpooled.DisableKeepAlives = true
+	return &Client{base: base, dialer: dialer, pooled: pooled, unpooled: unpooled}
 }
 
 func newTransport(dialer *net.Dialer) *http.Transport {
@@ -81,18 +81,18 @@
 // Close closes the connections that carry no request.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 // Run implements Runner.
 func (c *Client) Run(ctx context.Context, r *http.Request, class config.Class) (*http.Response, error) {
-	run := c.runRequest
+	run := c.runUnpooled
 	if class.Kind == config.KindFeed {
 		run = c.runFeed
 	} else if class.Idempotent {
 		run = c.runPooled
 	}
-	resp, err := run(ctx, c.outgoing(ctx, r))
+	resp, err := run(ctx, c.upstreamRequest(ctx, r))
 	if err != nil {
 		return nil, err
 	}
@@ -104,22 +104,22 @@
 	return roundTrip(ctx, c.pooled, out)
 }
 
-func (c *Client) runRequest(ctx context.Context, out *http.Request) (*http.Response, error) {
-	return roundTrip(ctx, c.single, out)
+func (c *Client) runUnpooled(ctx context.Context, out *http.Request) (*http.Response, error) {
+	return roundTrip(ctx, c.unpooled, out)
 }
 
 func roundTrip(ctx context.Context, transport *http.Transport, out *http.Request) (*http.Response, error) {
-	var s sending
+	var s sendTracker
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.gotConn})
 	resp, err := transport.RoundTrip(out.WithContext(traced))
 	if err != nil {
-		return nil, &Error{Outcome: s.seal(), Cause: errors.Wrap(err, "upstream")}
+		return nil, &Error{Outcome: s.abort(), Cause: errors.Wrap(err, "upstream")}
 	}
 	return resp, nil
 }
 
 // outgoing builds the upstream's request from the caller's.
-func (c *Client) outgoing(ctx context.Context, r *http.Request) *http.Request {
+func (c *Client) upstreamRequest(ctx context.Context, r *http.Request) *http.Request {
 	u := *c.base
 	u.Path = joinPath(c.base.Path, r.URL.Path)
 	u.RawPath = joinPath(c.base.EscapedPath(), r.URL.EscapedPath())
@@ -147,7 +147,7 @@
 	}
 	removeHopByHop(out.Header)
 	out.Header.Del("Expect") // the body follows anyway, with back pressure
-	if _, given := out.Header["User-Agent"]; !given {
+	if _, present := out.Header["User-Agent"]; !present {
 		out.Header.Set("User-Agent", "") // none instead of Go's
 	}
 	setDeadline(ctx, out.Header)
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -21,7 +21,7 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 var (
 	lookup = config.Class{Name: "lookup", Kind: config.KindRequest, Idempotent: true}
@@ -50,24 +50,24 @@
 
 // hangUp is an upstream that answers the first request of a connection and
 // hangs up at the second, having read it; with none it hangs up at the first.
-func hangUp(t testing.TB, answered int) (base string, taken *atomic.Int64) {
+func disconnectAfter(t testing.TB, answered int) (base string, received *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = l.Close() })
-	taken = &atomic.Int64{}
+	received = &atomic.Int64{}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go hangUpConn(c, answered, taken)
+			go disconnectConnAfter(c, answered, received)
 		}
 	}()
-	return "http://" + l.Addr().String(), taken
+	return "http://" + l.Addr().String(), received
 }
 
-func hangUpConn(c net.Conn, answered int, taken *atomic.Int64) {
+func disconnectConnAfter(c net.Conn, answered int, received *atomic.Int64) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for i := 0; ; i++ {
@@ -76,7 +76,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		taken.Add(1)
+		received.Add(1)
 		if i >= answered {
 			return
 		}
@@ -84,12 +84,12 @@
 	}
 }
 
-func TestRequestThatMustNotRepeatIsSentOnce(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "POST", "PUT", "DELETE"} {
 		for _, body := range []string{"", "batch"} {
 			t.Run(method+body, func(t *testing.T) {
 				g := NewWithT(t)
-				base, taken := hangUp(t, 1)
+				base, received := disconnectAfter(t, 1)
 				c := client(t, base)
 				resp, err := c.Run(t.Context(), request("GET", "/", nil), lookup)
 				g.Expect(err).NotTo(HaveOccurred())
@@ -106,19 +106,19 @@
 				resp, err = c.Run(t.Context(), keyed(), submit)
 				g.Expect(err).NotTo(HaveOccurred(), "it has a connection of its own")
 				g.Expect(resp.Body.Close()).To(Succeed())
-				g.Expect(taken.Load()).To(BeEquivalentTo(2))
+				g.Expect(received.Load()).To(BeEquivalentTo(2))
 
-				base, taken = hangUp(t, 0)
+				base, received = disconnectAfter(t, 0)
 				_, err = client(t, base).Run(t.Context(), keyed(), submit)
 				g.Expect(err).To(MatchError(ErrMayHaveRun))
 				g.Expect(err).NotTo(MatchError(ErrNotSent))
-				g.Expect(taken.Load()).To(BeEquivalentTo(1))
+				g.Expect(received.Load()).To(BeEquivalentTo(1))
 			})
 		}
 	}
 }
 
-func TestNothingSentIsToldApart(t *testing.T) {
+func TestFailureBeforeSendingIsErrNotSent(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -136,22 +136,22 @@
 	g.Expect(err).To(MatchError(context.Canceled))
 }
 
-func TestRequestGivenUpBeforeItsFirstByteIsNotWrittenLater(t *testing.T) {
+func TestRequestAbortedBeforeItsFirstByteIsNotWritten(t *testing.T) {
 	g := NewWithT(t)
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() })
 	c := &conn{Conn: near}
 	c.begin()
-	g.Expect(c.seal()).To(BeFalse())
+	g.Expect(c.abort()).To(BeFalse())
 	_, err := c.Write([]byte("GET"))
-	g.Expect(err).To(MatchError(errSealed))
+	g.Expect(err).To(MatchError(errAborted))
 
 	c = &conn{Conn: near}
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	c.begin()
 	_, err = c.Write([]byte("GET"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(c.seal()).To(BeTrue())
+	g.Expect(c.abort()).To(BeTrue())
 }
 
 func TestDeadlineAndCancellationReachTheUpstream(t *testing.T) {
@@ -173,16 +173,16 @@
 		failed <- err
 	}()
 	var ms string
-	g.Eventually(left).WithTimeout(patience).Should(Receive(&ms))
+	g.Eventually(left).WithTimeout(waitTimeout).Should(Receive(&ms))
 	n, err := strconv.Atoi(ms)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(n).To(And(BeNumerically("<=", 3600_000), BeNumerically(">", 3000_000)))
 	cancel()
-	g.Eventually(cancelled).WithTimeout(patience).Should(BeClosed())
-	g.Eventually(failed).WithTimeout(patience).Should(Receive(MatchError(ErrMayHaveRun)))
+	g.Eventually(cancelled).WithTimeout(waitTimeout).Should(BeClosed())
+	g.Eventually(failed).WithTimeout(waitTimeout).Should(Receive(MatchError(ErrMayHaveRun)))
 }
 
-func TestOnlyEndToEndFieldsPass(t *testing.T) {
+func TestHopByHopFieldsAreRemoved(t *testing.T) {
 	g := NewWithT(t)
 	var got *http.Request
 	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -208,7 +208,7 @@
 	g.Expect(r.Header).To(HaveKey("Connection"), "the caller's request is left as it was")
 }
 
-func TestAnswerCutShortIsAnError(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	for name, head := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestEventsPassOneByOne(t *testing.T) {
+func TestEachEventIsForwardedWithoutDelay(t *testing.T) {
 	g := NewWithT(t)
 	next := make(chan struct{})
 	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -264,7 +264,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		next <- struct{}{}
 	}
-	g.Eventually(done).WithTimeout(patience).Should(Receive(BeNil()))
+	g.Eventually(done).WithTimeout(waitTimeout).Should(Receive(BeNil()))
 }
 
 type pipeWriter struct {
@@ -275,9 +275,9 @@
 func (p pipeWriter) Write(b []byte) (int, error) { return p.w.Write(b) }
 
 // counted counts what was read of an endless body.
-type counted struct{ n atomic.Int64 }
+type countingReader struct{ n atomic.Int64 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	clear(p)
 	c.n.Add(int64(len(p)))
 	return len(p), nil
@@ -300,10 +300,10 @@
 	_, err = resp.Body.Read(make([]byte, 1))
 	g.Expect(err).To(MatchError(context.Canceled))
 	g.Expect(resp.Body.Close()).To(Succeed())
-	g.Eventually(gone).WithTimeout(patience).Should(BeClosed())
+	g.Eventually(gone).WithTimeout(waitTimeout).Should(BeClosed())
 }
 
-func TestUploadIsReadNoFasterThanTheUpstreamTakesIt(t *testing.T) {
+func TestUploadIsReadNoFasterThanTheUpstreamReadsIt(t *testing.T) {
 	g := NewWithT(t)
 	const size = 256 << 20
 	begun, end := make(chan struct{}), make(chan struct{})
@@ -313,7 +313,7 @@
 		<-end
 		panic(http.ErrAbortHandler)
 	})
-	body := &counted{}
+	body := &countingReader{}
 	r := request("POST", "/photo", io.LimitReader(body, size))
 	r.ContentLength = size
 	failed := make(chan error, 1)
@@ -321,7 +321,7 @@
 		_, err := c.Run(t.Context(), r, config.Class{Kind: config.KindUpload})
 		failed <- err
 	}()
-	g.Eventually(begun).WithTimeout(patience).Should(BeClosed())
+	g.Eventually(begun).WithTimeout(waitTimeout).Should(BeClosed())
 	// What was read above the upstream's megabyte sits in the kernel's buffers.
 	var before, after int64 = -1, body.n.Load()
 	for before != after {
@@ -331,10 +331,10 @@
 	}
 	g.Expect(after).To(BeNumerically("<", size/4))
 	close(end)
-	g.Eventually(failed).WithTimeout(patience).Should(Receive(MatchError(ErrMayHaveRun)))
+	g.Eventually(failed).WithTimeout(waitTimeout).Should(Receive(MatchError(ErrMayHaveRun)))
 }
 
-func TestBodyOfUnknownLengthArrives(t *testing.T) {
+func TestBodyOfUnknownLengthIsForwardedWhole(t *testing.T) {
 	g := NewWithT(t)
 	c := serve(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 	for _, length := range []int64{0, -1, 5} {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,7 +9,7 @@
 )
 
 // errSealed refuses to write a request that was already reported as not sent.
-var errSealed = errors.New("upstream: the request was given up before it was sent")
+var errAborted = errors.New("upstream: the request was given up before it was sent")
 
 // conn is a connection that knows whether the current request's first byte was
 // handed to the kernel.
@@ -17,7 +17,7 @@
 	net.Conn
 	mu      sync.Mutex
 	written bool
-	sealed  bool
+	aborted bool
 }
 
 // begin starts a request on the connection.
@@ -29,19 +29,19 @@
 
 // seal keeps a request that has not begun from being written; it reports
 // whether it had begun.
-func (c *conn) seal() (written bool) {
+func (c *conn) abort() (written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = c.sealed || !c.written
+	c.aborted = c.aborted || !c.written
 	return c.written
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.aborted {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errAborted
 	}
 	c.written = true
 	c.mu.Unlock()
@@ -49,12 +49,12 @@
 }
 
 // sending follows one request over the connections that it gets.
-type sending struct {
+type sendTracker struct {
 	mu    sync.Mutex
 	conns []*conn
 }
 
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
+func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return
@@ -67,12 +67,12 @@
 
 // seal ends a failed request: nothing of it is written from now on unless it
 // was before. It returns what the failure means.
-func (s *sending) seal() error {
+func (s *sendTracker) abort() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	outcome := ErrNotSent
 	for _, c := range s.conns {
-		if c.seal() {
+		if c.abort() {
 			outcome = ErrMayHaveRun
 		}
 	}
--- a/internal/upstream/detach.go
+++ b/internal/upstream/detach.go
@@ -25,13 +25,13 @@
 	if err != nil {
 		return false
 	}
-	go carry(stream, body, done)
+	go copyToStream(stream, body, done)
 	return true
 }
 
-func carry(stream *http3.Stream, body io.ReadCloser, done func(error)) {
-	sent := func() error { return nil } // a stream holds nothing back
-	err := copyPieces(stream, body, make([]byte, eventBuffer), sent)
+func copyToStream(stream *http3.Stream, body io.ReadCloser, done func(error)) {
+	noFlush := func() error { return nil } // a stream holds nothing back
+	err := copyChunks(stream, body, make([]byte, eventBuffer), noFlush)
 	stream.CancelRead(quic.StreamErrorCode(http3.ErrCodeNoError))
 	if err != nil {
 		stream.CancelWrite(quic.StreamErrorCode(http3.ErrCodeInternalError))
--- a/internal/upstream/feed.go
+++ b/internal/upstream/feed.go
@@ -33,7 +33,7 @@
 			outcome = ErrMayHaveRun
 		}
 		_ = f.Close()
-		return nil, &Error{Outcome: outcome, Cause: errors.Wrap(f.because(err), "upstream: feed")}
+		return nil, &Error{Outcome: outcome, Cause: errors.Wrap(f.contextCause(err), "upstream: feed")}
 	}
 	resp.Request = nil // it would be kept for as long as the feed
 	resp.Body = &feedBody{ReadCloser: resp.Body, conn: f}
@@ -61,7 +61,7 @@
 }
 
 // because returns the context's end if that is what caused err.
-func (f *feedConn) because(err error) error {
+func (f *feedConn) contextCause(err error) error {
 	if cause := context.Cause(f.ctx); cause != nil {
 		return cause
 	}
@@ -113,7 +113,7 @@
 func (b *feedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && err != io.EOF {
-		err = b.conn.because(err)
+		err = b.conn.contextCause(err)
 	}
 	return n, err
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -28,11 +28,11 @@
 		return errors.Wrap(err, "flush the header to the caller")
 	}
 	if IsEvents(header) {
-		return copyPieces(w, body, make([]byte, eventBuffer), control.Flush)
+		return copyChunks(w, body, make([]byte, eventBuffer), control.Flush)
 	}
 	buf := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(buf)
-	return copyPieces(w, body, buf[:], control.Flush)
+	return copyChunks(w, body, buf[:], control.Flush)
 }
 
 // IsEvents reports whether the response is a stream of server-sent events.
@@ -42,10 +42,10 @@
 }
 
 // copyPieces copies until the body ends and calls flush after each piece.
-func copyPieces(w io.Writer, body io.Reader, buf []byte, flush func() error) error {
+func copyChunks(w io.Writer, body io.Reader, buf []byte, flush func() error) error {
 	for {
 		n, readErr := body.Read(buf)
-		if err := writePiece(w, buf[:n], flush); err != nil {
+		if err := writeChunk(w, buf[:n], flush); err != nil {
 			return err
 		}
 		if readErr == io.EOF {
@@ -57,11 +57,11 @@
 	}
 }
 
-func writePiece(w io.Writer, piece []byte, flush func() error) error {
-	if len(piece) == 0 {
+func writeChunk(w io.Writer, chunk []byte, flush func() error) error {
+	if len(chunk) == 0 {
 		return nil
 	}
-	if _, err := w.Write(piece); err != nil {
+	if _, err := w.Write(chunk); err != nil {
 		return errors.Wrap(err, "write to the caller")
 	}
 	return errors.Wrap(flush(), "flush to the caller")
