--- a/internal/agent/admit_test.go
+++ b/internal/agent/admit_test.go
@@ -22,11 +22,11 @@
 		seen    uint64
 		admits  bool
 	}{
-		{"a face of the service, lagging", service, here, revision - 1, true},
-		{"a former face, lagging", service, elsewhere, revision - 1, false},
-		{"a new face that the agent doesn't know yet", service, elsewhere, revision + 1, true},
+		{"a face of the service, older revision", service, here, revision - 1, true},
+		{"a former face, older revision", service, elsewhere, revision - 1, false},
+		{"a new face that the agent's configuration does not have yet", service, elsewhere, revision + 1, true},
 		{"the same revision", service, elsewhere, revision, true},
-		{"a service that is gone, lagging", nil, here, revision - 1, false},
+		{"a removed service, older revision", nil, here, revision - 1, false},
 	} {
 		h := encap.Header{Face: c.face, Revision: c.seen}
 		g.Expect(admits(revision, c.service, h)).To(Equal(c.admits), c.name)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -27,7 +27,8 @@
 	"github.com/saltbend/saltbend/test/rolerun"
 )
 
-// patience bounds each wait; nothing is meant to take as long.
+// waitTimeout limits each wait. It is much longer than any wait takes when the
+// test passes.
 const waitTimeout = 20 * time.Second
 
 // certificatePEM returns a fresh self-signed certificate and its key.
@@ -49,7 +50,7 @@
 	return cert, key
 }
 
-// configuration is what the test's agents serve by.
+// configuration is the configuration of the agents in these tests.
 const configuration = `version: 1
 services:
   - name: results
@@ -63,7 +64,7 @@
       - {name: batch, methods: [POST], path: "/batch", deadline: 20s}
 `
 
-// startAgent runs the role until the test ends.
+// startAgent runs an agent until the test ends and returns when it is ready.
 func startAgent(t testing.TB, upstreamURL string, change func(*Settings)) *rolerun.Role {
 	g := NewWithT(t)
 	cert, key := certificatePEM(t)
@@ -94,7 +95,8 @@
 	return resp.StatusCode
 }
 
-// newCaller returns an HTTP/3 client that reaches every name at the face.
+// newCaller returns an HTTP/3 client that connects to the face for every host
+// name.
 func newCaller(t testing.TB, face netip.AddrPort) *http.Client {
 	c := dialer(face)
 	t.Cleanup(func() { _ = c.Transport.(*http3.Transport).Close() })
@@ -104,15 +106,15 @@
 func dialer(face netip.AddrPort) *http.Client {
 	return &http.Client{Transport: &http3.Transport{
 		TLSClientConfig: &tls.Config{InsecureSkipVerify: true, ServerName: testService},
-		QUICConfig:      &quic.Config{MaxIdleTimeout: time.Minute}, // says nothing by itself
+		QUICConfig:      &quic.Config{MaxIdleTimeout: time.Minute}, // the client sends no keep-alives
 		Dial: func(ctx context.Context, _ string, t *tls.Config, c *quic.Config) (*quic.Conn, error) {
 			return quic.DialAddrEarly(ctx, face.String(), t, c)
 		},
 	}}
 }
 
-// feedHandler is an upstream: lookups, uploads that are counted, and a feed
-// whose events the test sends.
+// feedHandler is an upstream with lookups, uploads that are answered with their
+// size, and a feed of the events that the test sends.
 func feedHandler(events <-chan string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /runner/{id}", func(w http.ResponseWriter, r *http.Request) {
@@ -152,8 +154,8 @@
 	return string(body)
 }
 
-// openFeed opens the feed; what it brings comes through the channel, which is
-// closed when the feed ends.
+// openFeed opens the feed and returns a channel of its events, which is closed
+// when the feed ends.
 func openFeed(g Gomega, c *http.Client) <-chan string {
 	resp, err := c.Get("https://results/feed")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/agent/balancer_test.go
+++ b/internal/agent/balancer_test.go
@@ -24,21 +24,23 @@
 	return ring
 }
 
-// balancer is a stand-in for one balancer: a data socket and a way to callers.
+// balancer simulates a balancer. It forwards datagrams between the face and the
+// agents.
 type balancer struct {
 	data *net.UDPConn
-	// frozen keeps everything from it, deaf what comes from agents.
+	// A frozen balancer drops all datagrams; with ignoresAgents it drops only
+	// the datagrams from agents.
 	frozen, ignoresAgents atomic.Bool
 	replies               atomic.Int64
 }
 
-// fabric is the one address that callers know. It sprays their datagrams over
-// the balancers in turn.
+// fabric simulates the network in front of the balancers. It receives callers'
+// datagrams at one face and distributes them over the balancers in turn.
 type fabric struct {
 	face      *net.UDPConn
 	ring      *keyring.Ring
 	balancers []*balancer
-	// newFlow are the agents that get the Initials of new flows.
+	// newFlow lists the agents that receive the Initials of new flows.
 	mu      sync.Mutex
 	newFlow []netip.AddrPort
 }
@@ -73,7 +75,7 @@
 	f.newFlow = agents
 }
 
-// spray carries callers' datagrams to agents.
+// spray forwards callers' datagrams to agents.
 func (f *fabric) spray() {
 	codec := encap.NewCodec(f.ring)
 	tokens := token.NewCodec(f.ring)
@@ -93,7 +95,7 @@
 			Caller:   netip.AddrPortFrom(caller.Addr().Unmap(), caller.Port()),
 			Face:     addrOf(f.face),
 			Service:  config.TagOf(testService),
-			Revision: math.MaxUint64, // these balancers never lag behind the agent
+			Revision: math.MaxUint64, // never older than the agent's revision
 			Balancer: addrOf(b.data),
 		}
 		if codec.Encode(buf, &h) != nil {
@@ -120,7 +122,7 @@
 	return f.newFlow
 }
 
-// replies carries agents' datagrams to callers and answers probes.
+// replies forwards agents' datagrams to callers and answers probes.
 func (f *fabric) replies(b *balancer) {
 	codec := encap.NewCodec(f.ring)
 	buf := make([]byte, 2048)
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -24,18 +24,19 @@
 	"github.com/saltbend/saltbend/internal/wait"
 )
 
-// The memory of callers and upstreams must not count as the agent's, so that
-// the benchmark runs them in a second process: this binary with this variable.
+// callersEnv makes this test binary run callers and an upstream instead of
+// tests. The benchmarks start it as a child process, so that the memory of
+// callers and upstream is not counted as the agent's.
 const callersEnv = "SALTBEND_TEST_CALLERS"
 
 const (
 	feedPath     = "/feed"
 	benchCallers = 1000
-	// eventEvery is how often each feed brings an event.
+	// eventEvery is the interval between the events of a feed.
 	eventEvery = time.Second
-	// settle lets all feeds bring some events before memory is measured.
+	// settleTime lets all feeds send some events before memory is measured.
 	settleTime = 3 * time.Second
-	// dialers is how many callers connect at once.
+	// maxConcurrentDials is the number of callers that connect at once.
 	maxConcurrentDials = 8
 )
 
@@ -50,9 +51,10 @@
 	os.Exit(m.Run())
 }
 
-// callers is the second process. It prints the address of an upstream, reads
-// the face, the path to ask for and the number of callers, prints a line when
-// all are connected, and ends with its input.
+// callers is the main function of the child process. It prints the URL of its
+// upstream, reads the face, the path to request and the number of callers,
+// prints a line when all callers are connected, and returns at the end of its
+// input.
 func callers(in io.Reader, out io.Writer) error {
 	up := httptest.NewServer(http.HandlerFunc(serveLookupOrFeed))
 	fmt.Fprintln(out, up.URL)
@@ -74,7 +76,7 @@
 	return err
 }
 
-// tick is a feed with one event at a time, or a lookup.
+// serveLookupOrFeed answers a lookup, or a feed with one event every eventEvery.
 func serveLookupOrFeed(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != feedPath {
 		fmt.Fprintln(w, "found")
@@ -88,8 +90,8 @@
 	}
 }
 
-// hold asks on a connection of its own, takes one line and reads on in the
-// background.
+// openAndDiscard sends a request on a new connection, reads the first line of the
+// response, and discards the rest in the background.
 func openAndDiscard(ctx context.Context, face netip.AddrPort, path string) error {
 	resp, err := dialer(face).Get("https://" + testService + path)
 	if err != nil {
@@ -103,17 +105,17 @@
 	return ctx.Err()
 }
 
-// BenchmarkFeed measures what one open feed costs the agent: heap in use after
-// a collection, stacks, and goroutines.
+// BenchmarkFeed measures the agent's cost of one open feed: heap after a garbage
+// collection, stacks, and goroutines.
 func BenchmarkFeed(b *testing.B) {
 	for b.Loop() {
 		measure(b, feedPath)
 	}
-	b.ReportMetric(0, "ns/op") // the time says nothing
+	b.ReportMetric(0, "ns/op") // hides the time, which has no meaning here
 }
 
-// BenchmarkConnection measures a connection that is idle after one lookup: the
-// part of a feed that the libraries take.
+// BenchmarkConnection measures the cost of a connection that is idle after one
+// lookup, which is the share of the QUIC and HTTP/3 libraries in an open feed.
 func BenchmarkConnection(b *testing.B) {
 	for b.Loop() {
 		measure(b, "/runner/1")
@@ -143,8 +145,8 @@
 	f.setNewFlow(p.Addresses.Data)
 	before := memory()
 	fmt.Fprintln(in, addrOf(f.face), path, benchCallers)
-	g.Expect(lines.Scan()).To(BeTrue(), "all are connected")
-	time.Sleep(settleTime) // lets events flow; a longer wait measures the same
+	g.Expect(lines.Scan()).To(BeTrue(), "all callers are connected")
+	time.Sleep(settleTime) // lets feeds send events; longer waits give the same result
 	after := memory()
 	heap, stack := after.heap-before.heap, after.stack-before.stack
 	b.ReportMetric(heap/benchCallers, "heap-B/caller")
@@ -157,7 +159,7 @@
 
 func memory() usage {
 	runtime.GC()
-	runtime.GC() // the first one empties the pools' first generation
+	runtime.GC() // a sync.Pool frees its objects only at the second collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return usage{
@@ -167,8 +169,8 @@
 	}
 }
 
-// BenchmarkHandshake opens and closes connections through one balancer; caller,
-// balancer and agent share the machine.
+// BenchmarkHandshake opens and closes connections through one balancer. Caller,
+// balancer and agent run in the same process.
 func BenchmarkHandshake(b *testing.B) {
 	g := NewWithT(b)
 	e := startEndpoint(b, anyPort, respondWith("a"), nil)
@@ -195,14 +197,14 @@
 	b.ReportMetric((cpuTime(b)-before).Seconds()*1e6/float64(b.N), "cpu-us/handshake")
 }
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the CPU time that the process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u unix.Rusage
 	NewWithT(b).Expect(unix.Getrusage(unix.RUSAGE_SELF, &u)).To(Succeed())
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkDownload measures a long answer through three balancers that take
+// BenchmarkDownload measures a large response through three balancers that carry
 // the caller's datagrams in turn.
 func BenchmarkDownload(b *testing.B) {
 	g := NewWithT(b)
--- a/internal/agent/drain.go
+++ b/internal/agent/drain.go
@@ -10,8 +10,9 @@
 	"github.com/saltbend/saltbend/internal/wait"
 )
 
-// leaving tells of a reason to drain other than the process being stopped: the
-// upstream announces that it drains, or its service is gone.
+// drainRequest requests a drain for a reason other than the end of the process:
+// the upstream reports that it drains, or its service was removed from the
+// configuration. requested is closed by the first call of trigger.
 type drainRequest struct {
 	requested chan struct{}
 	once      *sync.Once
@@ -23,15 +24,15 @@
 
 func (d drainRequest) trigger() { d.once.Do(func() { close(d.requested) }) }
 
-// drain stops new work, lets running work and feeds end, and returns when none
-// is left or the drain's timeout is over.
+// drain stops accepting new work and waits for running requests and feeds to
+// end, at most for the drain timeout.
 func (a *agent) drain() {
 	a.env.Events.Add(part, eventDraining, "")
 	a.log.Info("Draining.", slog.Int("requests", a.server.running.number()))
 	a.node.SetState(member.StateDraining)
 	ctx, cancel := context.WithTimeout(context.Background(), a.drainTimeout())
 	defer cancel()
-	_ = wait.For(ctx, announceGrace) // at its timeout the drain goes on all the same
+	_ = wait.For(ctx, announceGrace) // the drain continues even if its timeout ends the wait
 	a.requests.Drain()
 	cut := a.server.shutdown(ctx)
 	a.tickets.Close(ctx)
@@ -39,7 +40,8 @@
 	a.log.Info("Drained.", slog.Int("cut", cut))
 }
 
-// drainTimeout returns the end of a drain whose feeds don't end by themselves.
+// drainTimeout returns the maximum duration of a drain, after which remaining
+// requests and feeds are cut.
 func (a *agent) drainTimeout() time.Duration {
 	if s := a.service(); s != nil && s.Drain.Timeout > 0 {
 		return s.Drain.Timeout
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -4,7 +4,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// registerMetrics publishes what the agent holds. A process has one agent.
+// registerMetrics registers the agent's gauges. Their names are global, as a
+// process runs at most one agent.
 func (a *agent) registerMetrics() {
 	gauge("saltbend_agent_connections", func() int { return int(a.server.connections.Load()) })
 	gauge("saltbend_agent_requests_running", a.server.running.number)
--- a/internal/agent/path_test.go
+++ b/internal/agent/path_test.go
@@ -24,7 +24,7 @@
 	"github.com/saltbend/saltbend/test/rolerun"
 )
 
-// endpoint is the QUIC and HTTP/3 part of an agent alone.
+// endpoint is the QUIC and HTTP/3 server of an agent without its other parts.
 type endpoint struct {
 	conn   *flow.Conn
 	server *server
@@ -48,7 +48,7 @@
 	return e
 }
 
-// kill ends the endpoint without a word to its callers.
+// kill closes the endpoint without notifying its callers.
 func (e *endpoint) kill() {
 	_ = e.conn.Close()
 	_ = e.server.transport.Close()
@@ -56,7 +56,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// named answers with its name.
+// respondWith returns a handler that answers every request with name.
 func respondWith(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, name) })
 }
@@ -111,7 +111,8 @@
 		_, err := io.ReadAll(resp.Body)
 		feedErr <- err
 	}()
-	// Any packet of the caller brings the news; here it is a new request.
+	// The caller receives the stateless reset after its next packet; here that
+	// is a new request.
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "GET", "https://results/x", nil)
@@ -139,7 +140,7 @@
 		caller := newCaller(t, addrOf(f.face))
 		g.Expect(get(g, caller, "https://results/")).To(Equal("sibling"))
 	}
-	g.Expect(calls).To(HaveLen(5), "the hook is asked once for each connection attempt")
+	g.Expect(calls).To(HaveLen(5), "the redirect function is called once for each connection attempt")
 }
 
 func TestOneAgentServesTheCallerWhenInitialsReachTwoAgents(t *testing.T) {
@@ -173,7 +174,7 @@
 		<-conn.HandshakeComplete()
 		g.Expect(conn.ConnectionState().Used0RTT).To(BeFalse())
 		g.Expect(conn.ConnectionState().TLS.DidResume).To(BeFalse())
-		_, err = conn.AcceptUniStream(t.Context()) // by now a ticket would have come
+		_, err = conn.AcceptUniStream(t.Context()) // a session ticket would have arrived before this
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(conn.CloseWithError(0, "")).To(Succeed())
 	}
@@ -255,6 +256,7 @@
 	f.setNewFlow(first.Addresses.Data)
 	lookup := func() string { return get(g, newCaller(t, addrOf(f.face)), "https://results/runner/1") }
 	g.Expect(lookup()).To(Equal("first"))
-	// The members have to learn of each other before one can hand on.
+	// The first agent can redirect only after it has received the record of the
+	// second.
 	g.Eventually(lookup).WithTimeout(waitTimeout).Should(Equal("second"))
 }
--- a/internal/agent/quic.go
+++ b/internal/agent/quic.go
@@ -17,26 +17,29 @@
 )
 
 const (
-	// handshakeTimeout ends a handshake whose caller went silent.
+	// handshakeTimeout ends a handshake when the caller stops answering.
 	handshakeTimeout = 5 * time.Second
-	// streamWindow and connectionWindow bound what a caller may send ahead of
-	// the upstream, in bytes; they are what an upload with back pressure can
-	// hold here.
+	// streamWindow and connectionWindow limit how many bytes a caller may send
+	// before the upstream has read them, per stream and per connection. They
+	// are also the most memory that an upload takes up here when the upstream
+	// reads slowly.
 	streamWindow     = 256 << 10
 	connectionWindow = 512 << 10
-	// requestsPerConnection is the number of requests a caller may have open
-	// on one connection.
+	// requestsPerConnection is the maximum number of concurrent requests on one
+	// connection.
 	requestsPerConnection = 100
-	// uniStreams is what HTTP/3 needs: control, and two of QPACK.
+	// uniStreams is the maximum number of unidirectional streams that a caller
+	// may open. HTTP/3 needs three: the control stream and two for QPACK.
 	uniStreams = 8
-	// Beyond validateAbove new connections per second, callers first have to
-	// show that they receive at their address. That costs a round trip, and
-	// keeps a flood with forged addresses from costing handshakes.
+	// Above validateAbove new connections per second, with bursts of
+	// validateBurst, the agent validates callers' addresses before the
+	// handshake. That costs a round trip, but a flood with spoofed source
+	// addresses then doesn't cost the agent handshakes.
 	validateAbove = 500
 	validateBurst = 1000
 )
 
-// quicConfig returns how callers' connections are held.
+// quicConfig returns the QUIC configuration of callers' connections.
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           handshakeTimeout,
@@ -50,12 +53,13 @@
 		MaxConnectionReceiveWindow:     connectionWindow,
 		MaxIncomingStreams:             requestsPerConnection,
 		MaxIncomingUniStreams:          uniStreams,
-		// A replayed first flight would run a request twice.
+		// A request in a replayed 0-RTT packet would run twice.
 		Allow0RTT: false,
 	}
 }
 
-// newTransport returns the QUIC transport over conn.
+// newTransport returns the QUIC transport over conn. ids generates its connection
+// IDs, and the keys of its tokens and stateless resets are derived from ring.
 func newTransport(conn net.PacketConn, ids *flow.IDs, ring *keyring.Ring, data netip.AddrPort) *quic.Transport {
 	resetKey := quic.StatelessResetKey(reset.NewKeys(ring).Key(data))
 	tokens := addressTokenKey(ring)
@@ -69,15 +73,15 @@
 	}
 }
 
-// addressKey returns the key of address validation tokens. The whole fleet has
-// the same: a caller may come back to another agent.
+// addressTokenKey returns the key of address validation tokens. All agents of
+// the fleet use the same key, because a caller may reconnect to another agent.
 func addressTokenKey(ring *keyring.Ring) quic.TokenGeneratorKey {
 	return quic.TokenGeneratorKey(ring.Derive(keyring.PurposeAddress, sha256.Size)[0].Bytes)
 }
 
-// tlsConfig returns the TLS settings towards callers. Session tickets are off:
-// a resumed session saves little on a connection that lasts for hours, and
-// without tickets there can be no 0-RTT.
+// tlsConfig returns the TLS configuration of callers' connections. Session
+// tickets are disabled: resumption saves little on connections that last for
+// hours, and without tickets 0-RTT is impossible.
 func tlsConfig(cert tls.Certificate) *tls.Config {
 	return http3.ConfigureTLSConfig(&tls.Config{
 		Certificates:           []tls.Certificate{cert},
--- a/internal/agent/redirect.go
+++ b/internal/agent/redirect.go
@@ -13,9 +13,10 @@
 	"github.com/saltbend/saltbend/internal/placement"
 )
 
-// hand places a new flow: at a ready sibling while the agent drains or has as
-// many connections as the configuration allows, at the least loaded one while
-// that is clearly better placed, else here.
+// redirect selects the agent for a new flow. While this agent drains or is at
+// its connection limit, it returns a ready sibling. Otherwise it returns the
+// least loaded sibling if that one is clearly the better choice, and false if
+// the flow stays here.
 func (a *agent) redirect(_ encap.Header, dcid []byte) (netip.AddrPort, bool) {
 	snapshot := a.node.Snapshot()
 	if snapshot.Self.State == member.StateDraining || a.atConnectionLimit(snapshot) {
@@ -28,15 +29,17 @@
 	return dataAddrOf(snapshot, target.To)
 }
 
-// admit refuses a new flow that a balancer with an older configuration placed
-// here, through a face that the service no longer has: the caller means the
-// service that has the face now.
+// admit rejects a new flow that a balancer with an older configuration routed
+// here through a face that the service no longer has. The caller means to reach
+// the service that owns the face now.
 func (a *agent) admit(h encap.Header) bool {
 	c := a.node.Snapshot().Config
 	return c == nil || admits(c.Revision, a.serviceIn(c), h)
 }
 
-// admits decides with the service as of a revision, nil where it has none.
+// admits reports whether a new flow with header h is accepted under the
+// configuration with the given revision. service is nil if that configuration
+// does not have the agent's service.
 func admits(revision uint64, service *config.Service, h encap.Header) bool {
 	if h.Revision >= revision {
 		return true
@@ -44,8 +47,8 @@
 	return service != nil && slices.Contains(service.Faces, h.Face)
 }
 
-// dataOf returns the data address of the ready sibling with the control
-// address.
+// dataAddrOf returns the data address of the sibling with the control address
+// to, or false if the sibling is not ready.
 func dataAddrOf(snapshot *control.Snapshot, to netip.AddrPort) (netip.AddrPort, bool) {
 	for _, m := range snapshot.Agents {
 		if m.Control == to && m.State == member.StateReady {
@@ -55,7 +58,8 @@
 	return netip.AddrPort{}, false
 }
 
-// full reports whether the agent has as many connections as it may.
+// atConnectionLimit reports whether the agent has reached the service's limit of
+// connections.
 func (a *agent) atConnectionLimit(snapshot *control.Snapshot) bool {
 	service := a.serviceIn(snapshot.Config)
 	if service == nil || service.Limits.Connections == 0 {
@@ -64,7 +68,7 @@
 	return a.server.connections.Load() >= int64(service.Limits.Connections)
 }
 
-// sibling chooses among the agents of the service that are ready.
+// chooseSibling selects a ready sibling by the hash of the connection ID.
 func chooseSibling(snapshot *control.Snapshot, dcid []byte) (netip.AddrPort, bool) {
 	others := make([]member.Member, 0, len(snapshot.Agents))
 	for _, m := range snapshot.Agents {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -1,6 +1,7 @@
-// Package agent assembles the agent role of the daemon: it ends the callers'
-// QUIC connections beside one upstream and serves their HTTP/3 requests from
-// it.
+// Package agent assembles the agent role of the daemon. An agent runs beside one
+// upstream, terminates the callers' QUIC connections, and serves their HTTP/3
+// requests from the upstream. The agents of the same service are its siblings;
+// an agent can redirect new flows (callers' connections) to them.
 package agent
 
 import (
@@ -25,10 +26,10 @@
 	"github.com/saltbend/saltbend/internal/upstream"
 )
 
-// part names the agent in logs and events.
+// part is the name of the agent in logs and events.
 const part = "agent"
 
-// Kinds of events of the agent.
+// Kinds of the events that an agent records.
 const (
 	eventReady    event.Kind = "agent-ready"
 	eventDraining event.Kind = "agent-draining"
@@ -38,16 +39,16 @@
 const (
 	// fullWeight is the weight of a warm upstream.
 	fullWeight = 1000
-	// announceGrace is the time that the fleet gets to learn that an agent
-	// drains before its callers are told to leave, so that their new
-	// connections don't come back to it.
+	// announceGrace is the delay between announcing to the fleet that the agent
+	// drains and asking its callers to reconnect. Without it, their new
+	// connections could be routed to the same agent again.
 	announceGrace = 500 * time.Millisecond
-	// closeTimeout bounds the time in which the fleet is told that the process ends
-	// and the listeners close.
+	// closeTimeout limits how long the agent takes to announce its end to the
+	// fleet and to close its listeners.
 	closeTimeout = 2 * time.Second
 )
 
-// agent is one running agent role.
+// agent is the state of a running agent.
 type agent struct {
 	settings     Settings
 	env          settings.Env
@@ -64,7 +65,8 @@
 	drainRequest drainRequest
 }
 
-// Run serves until ctx ends, then lets running work end and returns.
+// Run runs the agent until ctx ends, the upstream drains, or the service is
+// removed from the configuration. It then drains the agent and returns.
 func Run(ctx context.Context, s Settings, env settings.Env) error {
 	a := &agent{settings: s, env: env, log: logging.Part(env.Logger, part), drainRequest: newDrainRequest()}
 	defer a.close()
@@ -80,11 +82,12 @@
 		a.drain()
 		return nil
 	case err := <-a.server.done:
-		return errors.Wrap(err, "serve callers")
+		return errors.Wrap(err, "serve HTTP/3 to callers")
 	}
 }
 
-// start brings up all parts; close takes down those that stand.
+// start starts all components. If it fails, close stops the ones that have been
+// started.
 func (a *agent) start() error {
 	ring := a.env.Keys.Ring()
 	base, err := a.settings.upstreamURL()
@@ -128,7 +131,7 @@
 	return err
 }
 
-// self returns the agent's record at its start.
+// self returns the agent's initial membership record.
 func (a *agent) self() member.Member {
 	return member.Member{
 		Control:     a.process.Peer.Addr(),
@@ -144,7 +147,7 @@
 	}
 }
 
-// serve ends the callers' connections.
+// serve starts to accept the callers' connections.
 func (a *agent) serve(ctx context.Context, ring *keyring.Ring, cert tls.Certificate, self member.Member) error {
 	ids, err := flow.NewIDs(ring, self.Data, config.TagOf(self.Service), self.Incarnation)
 	if err != nil {
@@ -166,7 +169,7 @@
 	return a.server.listen(cert)
 }
 
-// serveRequests brings up what answers the callers' requests.
+// serveRequests starts the components that handle the callers' requests.
 func (a *agent) serveRequests(ctx context.Context, ring *keyring.Ring, self member.Member) (err error) {
 	a.tickets, err = home.New(home.Options{
 		Self:   self,
@@ -196,7 +199,7 @@
 	return a.tickets.Serve(a.process.Peer, a.requests)
 }
 
-// close takes down all parts that stand.
+// close stops all components that have been started.
 func (a *agent) close() {
 	if a.server != nil {
 		a.server.close()
--- a/internal/agent/running.go
+++ b/internal/agent/running.go
@@ -9,15 +9,16 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// running counts the requests in progress, feeds included.
+// running counts the requests in progress, including feeds.
 type running struct {
 	mu   sync.Mutex
 	n    int
-	idle chan struct{} // closed when n falls to 0; nil when nobody waits
+	idle chan struct{} // closed when n falls to 0; nil without a call of wait
 }
 
-// count wraps a handler. A request whose stream the handler takes over runs
-// until the stream ends.
+// track wraps a handler to count its requests. If the handler takes over the
+// stream of the response, the request counts until the stream ends; otherwise
+// until the handler returns.
 func (r *running) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.add(1)
@@ -33,20 +34,21 @@
 	})
 }
 
-// countedWriter notes whether the response's stream is taken over.
+// trackedWriter records whether the handler took over the response's stream.
 type trackedWriter struct {
 	http.ResponseWriter
 	takenStream *http3.Stream
 }
 
-// Unwrap lets http.ResponseController find what else the writer can do.
+// Unwrap gives http.ResponseController access to the optional methods of the
+// wrapped writer.
 func (w *trackedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // HTTPStream implements http3.HTTPStreamer.
 func (w *trackedWriter) HTTPStream() (*http3.Stream, error) {
 	streamer, ok := w.ResponseWriter.(http3.HTTPStreamer)
 	if !ok {
-		return nil, errors.New("agent: the response has no HTTP/3 stream")
+		return nil, errors.New("agent: cannot take over the stream: the response is not HTTP/3")
 	}
 	stream, err := streamer.HTTPStream()
 	if err == nil {
@@ -65,14 +67,14 @@
 	}
 }
 
-// number returns how many requests are in progress.
+// number returns the number of requests in progress.
 func (r *running) number() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.n
 }
 
-// wait returns when no request is in progress or ctx ends.
+// wait blocks until no request is in progress or ctx ends.
 func (r *running) wait(ctx context.Context) {
 	r.mu.Lock()
 	if r.n == 0 {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -15,11 +15,11 @@
 	"github.com/saltbend/saltbend/internal/wait"
 )
 
-// maxHeaderBytes bounds the headers of a caller's request.
+// maxHeaderBytes is the maximum size of a request's headers in bytes.
 const maxHeaderBytes = 32 << 10
 
-// goAwayGrace is how long callers without a request may take to leave by
-// themselves after they were told to.
+// goAwayGrace is how long callers without a running request get to close their
+// connections after the GOAWAY, before the agent closes them.
 const goAwayGrace = time.Second
 
 // server serves HTTP/3 on one QUIC transport.
@@ -28,14 +28,15 @@
 	listener  *quic.Listener
 	http      *http3.Server
 	running   running
-	// connections is the number of callers' connections.
+	// connections is the number of open connections of callers.
 	connections atomic.Int64
-	// counted, if set before the server listens, is told of their number.
+	// onConnectionCount, if not nil, is called with each new value of
+	// connections. It must be set before listen is called.
 	onConnectionCount func(int)
 	done              chan error
 }
 
-// newServer returns a server of handler on the transport.
+// newServer returns a server that serves handler on the transport.
 func newServer(transport *quic.Transport, handler http.Handler, log *slog.Logger) *server {
 	s := &server{transport: transport, done: make(chan error, 1)}
 	s.http = &http3.Server{
@@ -47,9 +48,9 @@
 	return s
 }
 
-// listen serves from now on; done tells when that fails. Connections are taken
-// up only once their handshake is over, so that forged addresses cost no more
-// than that.
+// listen starts to serve. A failure of the server is sent on done. Connections
+// are accepted only after their handshake, so that connection attempts from
+// spoofed addresses cost no more than a handshake.
 func (s *server) listen(cert tls.Certificate) error {
 	listener, err := s.transport.Listen(tlsConfig(cert), quicConfig())
 	if err != nil {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// countConnection counts a connection for as long as it lasts.
+// countConnection counts a connection until it is closed.
 func (s *server) countConnection(ctx context.Context, conn *quic.Conn) context.Context {
 	s.addConnections(1)
 	context.AfterFunc(conn.Context(), func() { s.addConnections(-1) })
@@ -74,9 +75,9 @@
 	}
 }
 
-// shutdown tells all callers to leave, lets running requests end until ctx
-// does, and closes what is left then. It returns the number of requests that
-// it cut.
+// shutdown sends a GOAWAY to all callers, waits for running requests until ctx
+// ends, and then closes the remaining connections. It returns the number of
+// requests that were still running and got cut.
 func (s *server) shutdown(ctx context.Context) (cut int) {
 	graceful, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
@@ -86,14 +87,14 @@
 		end()
 	}()
 	if err := s.http.Shutdown(graceful); err == nil {
-		return 0 // the callers have left by themselves
+		return 0 // all callers have closed their connections
 	}
 	return <-left
 }
 
-// awaitIdle waits until no request runs or ctx ends, and returns how many run.
-// The last packets of an answer get time to arrive before its connection is
-// closed.
+// awaitIdle waits until no request runs or ctx ends, and returns the number of
+// requests that still run. It adds goAwayGrace, so that the last packets of a
+// response can arrive before its connection is closed.
 func (s *server) awaitIdle(ctx context.Context) int {
 	for {
 		s.running.wait(ctx)
@@ -104,7 +105,7 @@
 	}
 }
 
-// close ends everything at once.
+// close closes the server, its listener and its transport immediately.
 func (s *server) close() {
 	_ = s.http.Close()
 	if s.listener != nil {
--- a/internal/agent/snapshot.go
+++ b/internal/agent/snapshot.go
@@ -10,13 +10,15 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// fleet is what follow has made of the last snapshot; it belongs to follow.
+// appliedState is what applySnapshots has applied so far. Only the goroutine of
+// applySnapshots uses it.
 type appliedState struct {
 	ready bool
 	slots int
 }
 
-// follow keeps the agent's parts at what the fleet knows, until ctx ends.
+// applySnapshots updates the agent's components with each snapshot of the
+// fleet's state until ctx ends.
 func (a *agent) applySnapshots(ctx context.Context) {
 	for {
 		changed := a.node.Changed()
@@ -42,11 +44,12 @@
 	if service := a.serviceIn(snapshot.Config); service != nil {
 		a.applyService(service)
 	} else if a.appliedState.ready {
-		a.drainRequest.trigger() // the configuration no longer has the service
+		a.drainRequest.trigger() // the service was removed from the configuration
 	}
 }
 
-// judged takes up what the upstream has earned.
+// applyVerdict announces the upstream's weight to the fleet, and starts a drain
+// if the upstream reports that it drains.
 func (a *agent) applyVerdict(v health.Verdict) {
 	a.node.SetLoad(v.Weight)
 	if v.Draining {
@@ -54,8 +57,9 @@
 	}
 }
 
-// applyService takes up the configuration of the agent's service. Until there
-// is one, the agent can't tell which requests may repeat, and asks for none.
+// applyService applies the configuration of the agent's service, and makes the
+// agent ready at the first call. Until then the agent receives no requests,
+// because it doesn't know which of them may be repeated.
 func (a *agent) applyService(service *config.Service) {
 	if slots := service.Limits.Slots; slots > 0 && slots != a.appliedState.slots {
 		a.appliedState.slots = slots
@@ -86,11 +90,12 @@
 	return nil
 }
 
-// unready returns the reasons why new flows should not come here.
+// unreadyReasons returns the reasons why new flows should not be routed to this
+// agent.
 func (a *agent) unreadyReasons() []string {
 	var reasons []string
 	if a.service() == nil {
-		reasons = append(reasons, "no configuration names the service")
+		reasons = append(reasons, "the service is not in the configuration, or there is no configuration yet")
 	}
 	if a.node.Snapshot().Self.State == member.StateDraining {
 		reasons = append(reasons, "draining")
