--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,26 +15,31 @@
 )
 
 const (
-	// dialTimeout bounds a connect; the upstream is on the same host.
+	// dialTimeout limits the time to connect. It is short because the upstream
+	// is on the same host.
 	dialTimeout = 2 * time.Second
-	// idleTimeout closes pooled connections before usual servers do.
+	// idleTimeout closes idle pooled connections before most servers would close
+	// them.
 	idleTimeout = 30 * time.Second
-	// maxIdle is the number of pooled connections; an upstream has few slots.
+	// maxIdle is the maximum number of idle pooled connections. It is enough
+	// because an upstream serves only a few requests at once.
 	maxIdle = 64
-	// maxHeader bounds the headers of a response in bytes.
+	// maxHeader is the maximum size of a response's headers in bytes.
 	maxHeader = 64 << 10
 )
 
-// HeaderDeadline tells the upstream how many milliseconds are left.
+// HeaderDeadline is the request header with the milliseconds that are left until
+// the request's deadline.
 const HeaderDeadline = "Saltbend-Deadline-Ms"
 
 // Client is the Runner of one upstream.
 //
-// Idempotent requests share pooled connections. The others get a connection of
-// their own: on a pooled one that the upstream has just closed, nobody could
-// tell whether the request ran, and net/http sends some requests again on a
-// second connection by itself; it never does so when the first was fresh. Feeds
-// have connections of their own that cost little memory.
+// Idempotent requests use pooled connections. Each non-idempotent request uses a
+// new connection, for two reasons: if the upstream has just closed a pooled
+// connection, it is unknown whether the request ran; and net/http may
+// retransmit a request that failed on a pooled connection, but never one that
+// failed on a new connection. Each feed uses a new connection that takes up
+// little memory.
 type Client struct {
 	base     *url.URL
 	dialer   *net.Dialer
@@ -44,8 +49,8 @@
 
 var _ Runner = (*Client)(nil)
 
-// New returns a client of the upstream at base, an http URL whose path is put
-// before each request's path.
+// New returns a client of the upstream at the http URL base. The path of base is
+// prepended to the path of each request.
 func New(base *url.URL) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	pooled := newTransport(dialer)
@@ -66,7 +71,7 @@
 			}
 			return &conn{Conn: c}, nil
 		},
-		DisableCompression:     true, // the caller and the upstream settle encodings
+		DisableCompression:     true, // the caller and the upstream negotiate the encoding
 		MaxResponseHeaderBytes: maxHeader,
 		Protocols:              http1(),
 	}
@@ -78,7 +83,7 @@
 	return &p
 }
 
-// Close closes the connections that carry no request.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
 	c.unpooled.CloseIdleConnections()
@@ -118,7 +123,8 @@
 	return resp, nil
 }
 
-// outgoing builds the upstream's request from the caller's.
+// upstreamRequest returns the request to send to the upstream for the caller's
+// request r.
 func (c *Client) upstreamRequest(ctx context.Context, r *http.Request) *http.Request {
 	u := *c.base
 	u.Path = joinPath(c.base.Path, r.URL.Path)
@@ -146,17 +152,18 @@
 		out.ContentLength = -1
 	}
 	removeHopByHop(out.Header)
-	out.Header.Del("Expect") // the body follows anyway, with back pressure
+	out.Header.Del("Expect") // the body is sent without waiting for 100 Continue
 	if _, present := out.Header["User-Agent"]; !present {
-		out.Header.Set("User-Agent", "") // none instead of Go's
+		out.Header.Set("User-Agent", "") // keeps net/http from adding its default
 	}
 	setDeadline(ctx, out.Header)
 	return out
 }
 
-// hasBody tells whether a body has to be sent. Its length may be unknown: -1 in
-// a caller's request, 0 with a body in one that http.NewRequest built. A GET or
-// HEAD that announces no body has none that means anything.
+// hasBody reports whether the request has a body to send. The length of the body
+// may be unknown: it is then -1 in a caller's request, and 0 with a non-nil Body
+// in a request from http.NewRequest. A GET or HEAD request counts as having a
+// body only if its length is known and positive.
 func hasBody(r *http.Request) bool {
 	switch {
 	case r.Body == nil || r.Body == http.NoBody:
@@ -177,7 +184,8 @@
 	return base + path
 }
 
-// setDeadline passes on how much time is left; a caller cannot set it.
+// setDeadline sets HeaderDeadline from the deadline of ctx, and removes a value
+// that the caller sent.
 func setDeadline(ctx context.Context, h http.Header) {
 	h.Del(HeaderDeadline)
 	deadline, ok := ctx.Deadline()
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -48,8 +48,9 @@
 	return httptest.NewRequest(method, target, body)
 }
 
-// hangUp is an upstream that answers the first request of a connection and
-// hangs up at the second, having read it; with none it hangs up at the first.
+// disconnectAfter starts an upstream that answers the given number of requests on
+// each connection, and closes the connection after it has read the next one.
+// received counts the requests that it has read.
 func disconnectAfter(t testing.TB, answered int) (base string, received *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -97,14 +98,14 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(resp.Body.Close()).To(Succeed())
 
-				// The pool now holds a connection on which the upstream hangs up.
+				// The upstream closes the pooled connection at its next request.
 				keyed := func() *http.Request {
 					r := request(method, "/", strings.NewReader(body))
 					r.Header.Set("Idempotency-Key", "7")
 					return r
 				}
 				resp, err = c.Run(t.Context(), keyed(), submit)
-				g.Expect(err).NotTo(HaveOccurred(), "it has a connection of its own")
+				g.Expect(err).NotTo(HaveOccurred(), "a non-idempotent request uses a new connection")
 				g.Expect(resp.Body.Close()).To(Succeed())
 				g.Expect(received.Load()).To(BeEquivalentTo(2))
 
@@ -160,7 +161,7 @@
 	cancelled := make(chan struct{})
 	c := serve(t, func(_ http.ResponseWriter, r *http.Request) {
 		left <- r.Header.Get(HeaderDeadline)
-		_, _ = io.Copy(io.Discard, r.Body) // a server notices a hang-up after the body
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body
 		<-r.Context().Done()
 		close(cancelled)
 	})
@@ -205,7 +206,7 @@
 	g.Expect(got.Header).To(HaveKey("X-Kept"))
 	g.Expect(resp.Header).NotTo(Or(HaveKey("Keep-Alive"), HaveKey("Connection"), HaveKey("X-Private")))
 	g.Expect(resp.Header).To(HaveKey("X-Kept"))
-	g.Expect(r.Header).To(HaveKey("Connection"), "the caller's request is left as it was")
+	g.Expect(r.Header).To(HaveKey("Connection"), "the caller's request is not modified")
 }
 
 func TestTruncatedResponseIsAnError(t *testing.T) {
@@ -274,7 +275,7 @@
 
 func (p pipeWriter) Write(b []byte) (int, error) { return p.w.Write(b) }
 
-// counted counts what was read of an endless body.
+// countingReader is an endless body that counts the bytes read from it.
 type countingReader struct{ n atomic.Int64 }
 
 func (c *countingReader) Read(p []byte) (int, error) {
@@ -322,11 +323,11 @@
 		failed <- err
 	}()
 	g.Eventually(begun).WithTimeout(waitTimeout).Should(BeClosed())
-	// What was read above the upstream's megabyte sits in the kernel's buffers.
+	// Bytes read beyond the upstream's 1 MiB are in the kernel's buffers.
 	var before, after int64 = -1, body.n.Load()
 	for before != after {
 		before = after
-		time.Sleep(50 * time.Millisecond) // lets the buffers fill; a longer wait changes nothing
+		time.Sleep(50 * time.Millisecond) // lets the buffers fill; longer waits give the same result
 		after = body.n.Load()
 	}
 	g.Expect(after).To(BeNumerically("<", size/4))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,11 +8,12 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed refuses to write a request that was already reported as not sent.
-var errAborted = errors.New("upstream: the request was given up before it was sent")
+// errAborted is returned by writes of a request that was already reported as not
+// sent.
+var errAborted = errors.New("upstream: request aborted before its first byte was sent")
 
-// conn is a connection that knows whether the current request's first byte was
-// handed to the kernel.
+// conn is a connection that records whether the first byte of the current
+// request was passed to the kernel.
 type conn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -20,15 +21,15 @@
 	aborted bool
 }
 
-// begin starts a request on the connection.
+// begin records the start of a request on the connection.
 func (c *conn) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written = false
 }
 
-// seal keeps a request that has not begun from being written; it reports
-// whether it had begun.
+// abort blocks all writes to the connection if no byte of the current request
+// was written yet. It reports whether a byte was written.
 func (c *conn) abort() (written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +49,7 @@
 	return c.Conn.Write(b)
 }
 
-// sending follows one request over the connections that it gets.
+// sendTracker records the connections that net/http uses for one request.
 type sendTracker struct {
 	mu    sync.Mutex
 	conns []*conn
@@ -65,8 +66,9 @@
 	s.conns = append(s.conns, c)
 }
 
-// seal ends a failed request: nothing of it is written from now on unless it
-// was before. It returns what the failure means.
+// abort prevents a failed request from being written to a connection on which no
+// byte of it was sent yet. It returns the request's outcome, ErrNotSent or
+// ErrMayHaveRun.
 func (s *sendTracker) abort() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/detach.go
+++ b/internal/upstream/detach.go
@@ -8,14 +8,14 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// Detach lets a handler return while its response goes on: it sends the header
-// that was written to w and copies the body to the caller, piece by piece, in a
-// goroutine of its own, then closes the body and calls done. A handler's
-// goroutine has a deep stack, which a feed would hold for hours. Detach reports
-// false, and has done nothing, where w can't do without its handler.
+// Detach lets a handler return while its response continues. It sends the header
+// that was written to w, copies the body to the caller in chunks in a new
+// goroutine, closes the body, and calls done. Otherwise, a feed would keep the
+// deep stack of its handler's goroutine for hours. Detach returns false without
+// any effect if w does not support responses that outlive their handler.
 //
-// An error of done means that the caller has not got the whole body; the
-// response was then aborted.
+// If done is called with an error, the caller has not received the whole body
+// and the response was aborted.
 func Detach(w http.ResponseWriter, body io.ReadCloser, done func(error)) bool {
 	streamer, ok := w.(http3.HTTPStreamer)
 	if !ok {
@@ -30,7 +30,7 @@
 }
 
 func copyToStream(stream *http3.Stream, body io.ReadCloser, done func(error)) {
-	noFlush := func() error { return nil } // a stream holds nothing back
+	noFlush := func() error { return nil } // a stream has no write buffer
 	err := copyChunks(stream, body, make([]byte, eventBuffer), noFlush)
 	stream.CancelRead(quic.StreamErrorCode(http3.ErrCodeNoError))
 	if err != nil {
--- a/internal/upstream/feed.go
+++ b/internal/upstream/feed.go
@@ -12,17 +12,18 @@
 	"github.com/pkg/errors"
 )
 
-// feedBuffer is the size of the read buffer of a feed's connection in bytes: a
-// feed is open for hours and carries small events.
+// feedBuffer is the size of the read buffer of a feed's connection in bytes. It
+// is small because a feed is open for hours and its events are small.
 const feedBuffer = 512
 
-// runFeed runs a request on a connection of its own without http.Transport,
-// whose two goroutines and buffers for each connection would be a large part
-// of what an open feed costs. The library still writes and parses HTTP.
+// runFeed sends a request on a new connection without http.Transport. The two
+// goroutines and the buffers that http.Transport uses for each connection would
+// be a large part of the cost of an open feed. net/http still encodes the
+// request and parses the response.
 func (c *Client) runFeed(ctx context.Context, out *http.Request) (*http.Response, error) {
 	socket, err := c.dialer.DialContext(ctx, "tcp", hostPort(out))
 	if err != nil {
-		return nil, &Error{Outcome: ErrNotSent, Cause: errors.Wrap(err, "upstream: feed")}
+		return nil, &Error{Outcome: ErrNotSent, Cause: errors.Wrap(err, "upstream: connect for a feed")}
 	}
 	f := &feedConn{ctx: ctx, socket: socket}
 	f.stop = context.AfterFunc(ctx, f.interrupt)
@@ -33,9 +34,9 @@
 			outcome = ErrMayHaveRun
 		}
 		_ = f.Close()
-		return nil, &Error{Outcome: outcome, Cause: errors.Wrap(f.contextCause(err), "upstream: feed")}
+		return nil, &Error{Outcome: outcome, Cause: errors.Wrap(f.contextCause(err), "upstream: open a feed")}
 	}
-	resp.Request = nil // it would be kept for as long as the feed
+	resp.Request = nil // frees the request while the feed is open
 	resp.Body = &feedBody{ReadCloser: resp.Body, conn: f}
 	return resp, nil
 }
@@ -47,7 +48,7 @@
 	return r.URL.Host
 }
 
-// feedConn is the connection of one feed. It ends with its context.
+// feedConn is the connection of one feed. The end of ctx interrupts it.
 type feedConn struct {
 	ctx     context.Context
 	stop    func() bool
@@ -55,12 +56,13 @@
 	written bool
 }
 
-// interrupt makes reads and writes return.
+// interrupt makes pending and later reads and writes fail.
 func (f *feedConn) interrupt() {
 	_ = f.socket.SetDeadline(time.Unix(1, 0))
 }
 
-// because returns the context's end if that is what caused err.
+// contextCause returns the cause of the context's end, or err if the context has
+// not ended.
 func (f *feedConn) contextCause(err error) error {
 	if cause := context.Cause(f.ctx); cause != nil {
 		return cause
@@ -68,13 +70,15 @@
 	return err
 }
 
-// Write implements io.Writer and notes that something may have been sent.
+// Write implements io.Writer. It records that a part of the request may have been
+// sent.
 func (f *feedConn) Write(b []byte) (int, error) {
 	f.written = true
 	return f.socket.Write(b)
 }
 
-// exchange sends the request and reads the final response's header.
+// exchange sends the request and reads the header of the final response, skipping
+// informational ones.
 func (f *feedConn) exchange(out *http.Request) (*http.Response, error) {
 	if err := f.ctx.Err(); err != nil {
 		return nil, err
@@ -97,19 +101,20 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (f *feedConn) Close() error {
 	f.stop()
 	return f.socket.Close()
 }
 
-// feedBody is the body of a feed's response, which owns the connection.
+// feedBody is the body of a feed's response. It owns the connection.
 type feedBody struct {
 	io.ReadCloser
 	conn *feedConn
 }
 
-// Read implements io.Reader. The end of the context is an error as such.
+// Read implements io.Reader. After the end of the context, it returns the
+// context's cause as the error.
 func (b *feedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && err != io.EOF {
@@ -118,8 +123,8 @@
 	return n, err
 }
 
-// Close implements io.Closer. What is unread is not read, unlike the library's
-// Close does it: it may go on for ever.
+// Close implements io.Closer. Unlike the body of net/http, it does not read the
+// rest of the response, which may be endless.
 func (b *feedBody) Close() error {
 	return b.conn.Close()
 }
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, 7.6.1).
+// hopByHop lists the header fields that apply to a single connection (RFC 9110,
+// section 7.6.1).
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -19,8 +20,8 @@
 	"Upgrade",
 }
 
-// removeHopByHop removes the fields of one connection, also those that the
-// Connection field names.
+// removeHopByHop removes the hop-by-hop fields and the fields listed in the
+// Connection field.
 func removeHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// Sizes of the buffers that responses are copied through, in bytes. A feed
-// holds its buffer for hours, so that it is small.
+// Sizes of the buffers for copying responses, in bytes. The buffer of a feed is
+// small because the feed uses it for hours.
 const (
 	copyBuffer  = 32 << 10
 	eventBuffer = 512
@@ -18,14 +18,15 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
-// Stream copies the body of a response with the given header to the caller. The
-// caller's header goes out at once, and each piece as it comes, so that nothing
-// waits in a buffer for more. An error means that the caller has not got the
-// whole body and must not be made to believe so; Stream closes nothing.
+// Stream copies the body of a response with the given header to the caller. It
+// sends the header of w immediately and flushes each chunk of the body as it
+// arrives. If Stream returns an error, the caller has not received the whole
+// body, and the response must not be ended as if it were complete. Stream does
+// not close the body.
 func Stream(w http.ResponseWriter, header http.Header, body io.Reader) error {
 	control := http.NewResponseController(w)
 	if err := control.Flush(); err != nil {
-		return errors.Wrap(err, "flush the header to the caller")
+		return errors.Wrap(err, "send the response header to the caller")
 	}
 	if IsEvents(header) {
 		return copyChunks(w, body, make([]byte, eventBuffer), control.Flush)
@@ -41,7 +42,7 @@
 	return err == nil && kind == "text/event-stream"
 }
 
-// copyPieces copies until the body ends and calls flush after each piece.
+// copyChunks copies the body to w and calls flush after each chunk.
 func copyChunks(w io.Writer, body io.Reader, buf []byte, flush func() error) error {
 	for {
 		n, readErr := body.Read(buf)
@@ -52,7 +53,7 @@
 			return nil
 		}
 		if readErr != nil {
-			return errors.Wrap(readErr, "read from the upstream")
+			return errors.Wrap(readErr, "read the response body from the upstream")
 		}
 	}
 }
@@ -62,7 +63,7 @@
 		return nil
 	}
 	if _, err := w.Write(chunk); err != nil {
-		return errors.Wrap(err, "write to the caller")
+		return errors.Wrap(err, "write the response body to the caller")
 	}
-	return errors.Wrap(flush(), "flush to the caller")
+	return errors.Wrap(flush(), "flush the response body to the caller")
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream passes requests to the agent's one upstream over HTTP/1.1.
-// It tells apart what was surely not run from what may have run, and it never
-// sends a request twice that may not be repeated.
+// Package upstream forwards requests to the agent's upstream over HTTP/1.1. Its
+// errors distinguish requests that certainly did not run from those that may
+// have run, and it never sends a non-idempotent request twice.
 package upstream
 
 import (
@@ -12,30 +12,32 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-// Errors of Runner.Run; errors.Is finds them, and the cause as well.
+// Outcomes of a failed Runner.Run. Use errors.Is to test for them or for the
+// cause of the failure.
 var (
-	// ErrNotSent says that no byte of the request reached the upstream: it was
-	// not run and may be sent again.
+	// ErrNotSent means that no byte of the request was sent to the upstream. The
+	// request did not run and may be sent again.
 	ErrNotSent = errors.New("upstream: request not sent")
-	// ErrMayHaveRun says that the request was sent, at least in part, and no
-	// whole answer is known.
+	// ErrMayHaveRun means that the request was sent, at least in part, and that
+	// no complete response was received.
 	ErrMayHaveRun = errors.New("upstream: request may have run")
 )
 
 // Runner runs requests at the upstream.
 type Runner interface {
-	// Run sends r, whose URL names path and query only, and returns the
-	// response once its headers are there. The deadline of ctx is passed on to
-	// the upstream; the end of ctx cancels the request there, also while its
-	// body is read. The caller closes the body; a body that ends early yields
-	// an error from Read, never a plain io.EOF. A failed Run returns an error
-	// that is ErrNotSent or ErrMayHaveRun.
+	// Run sends r and returns the response after its headers have arrived. Only
+	// the path and the query of r.URL are used. Run sends the deadline of ctx to
+	// the upstream in HeaderDeadline. The end of ctx cancels the request at the
+	// upstream, even while the response body is being read. The caller has to
+	// close the body. Read of a truncated body returns an error other than
+	// io.EOF. If Run fails, its error matches ErrNotSent or ErrMayHaveRun.
 	//
-	// Run reads r.Body as fast as the upstream takes it. It does not change r.
+	// Run reads r.Body no faster than the upstream accepts it, and does not
+	// modify r.
 	Run(ctx context.Context, r *http.Request, class config.Class) (*http.Response, error)
 }
 
-// Error is a failed run: what it means and why it failed.
+// Error is the error of a failed Run: its outcome and its cause.
 type Error struct {
 	// Outcome is ErrNotSent or ErrMayHaveRun.
 	Outcome error
@@ -47,7 +49,7 @@
 	return e.Outcome.Error() + ": " + e.Cause.Error()
 }
 
-// Unwrap gives errors.Is and errors.As both the outcome and the cause.
+// Unwrap returns the outcome and the cause for errors.Is and errors.As.
 func (e *Error) Unwrap() []error {
 	return []error{e.Outcome, e.Cause}
 }
