--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,7 +1,7 @@
-// Package health judges an agent's own upstream by the outcomes of its
-// requests. Tracker is pure: times and observations come in, a verdict goes
-// out. What the upstream says of itself counts only where nothing was observed
-// that contradicts it.
+// Package health assesses the health of an agent's upstream from the outcomes of
+// its requests and from the reports of its health endpoint. Recent good outcomes
+// override a report of bad health. Tracker does no I/O and does not read the
+// clock: times, outcomes and reports are passed in, and Judge returns a Verdict.
 package health
 
 import (
@@ -12,68 +12,74 @@
 const (
 	// FullWeight is the weight of a warm, healthy upstream.
 	FullWeight = 1000
-	// minWeight keeps a cold upstream in the choice, so that it gets warm.
+	// minWeight is the lowest weight of an upstream that is considered healthy.
+	// It lets a cold upstream receive some flows, so that it can warm up.
 	minWeight = 50
-	// weightStep is the grain of weights: each change costs the fleet messages.
+	// weightStep is the granularity of weights. It is coarse because each change
+	// of a weight is announced to the fleet.
 	weightStep = 250
-	// leaveStep is the part of a step by which the weight has to have moved.
+	// stepHysteresis is how far a weight has to move away from the last step
+	// before the step changes, as a fraction of weightStep.
 	stepHysteresis = 0.75
-	// gain is the weight of one outcome in the moving averages.
+	// shortGain is the weight of one outcome in the short-term moving averages.
 	shortGain = 0.05
-	// drawsFrom is the share of good outcomes from which on an upstream may
-	// draw work of others.
+	// drawThreshold is the lowest success rate at which an agent may take over
+	// requests from its siblings and the upstream gets all its slots.
 	drawThreshold = 0.8
-	// fresh is how long an outcome contradicts what the upstream reports.
+	// outcomeTTL is how long good outcomes override a report of bad health.
 	outcomeTTL = 2 * time.Second
-	// trusted is the number of good outcomes in a row that outweigh a report of
-	// bad health.
+	// trustedStreak is the number of successive good outcomes that override a
+	// report of bad health.
 	trustedStreak = 5
-	// slowFactor is how much slower than its own past an upstream may get
-	// before its weight falls.
+	// slowFactor is the ratio of short-term to long-term average latency above
+	// which the weight of an upstream falls.
 	slowFactor = 2
-	// pastGain is the weight of one outcome in the long average of latencies.
+	// longGain is the weight of one outcome in the long-term average latency.
 	longGain = 0.002
 )
 
-// Outcome is the observed end of one request.
+// Outcome is the observed result of one request.
 type Outcome struct {
-	// Good is a whole answer that speaks of no failure of the upstream.
+	// Good means a complete response that does not indicate a failure of the
+	// upstream.
 	Good    bool
 	Latency time.Duration
 }
 
-// Report is what the upstream says of itself.
+// Report is the result of a health check of the upstream.
 type Report struct {
 	Healthy  bool
 	Draining bool
 }
 
-// Peers is what is known of the service's other upstreams.
+// Peers describes the other upstreams of the service.
 type Peers struct {
-	// Known and Healthy count the others and those of them that look healthy.
+	// Known is the number of other upstreams, and Healthy the number of those
+	// that look healthy.
 	Known, Healthy int
-	// PanicThreshold is the share of the service that has to look healthy for
-	// health to count.
+	// PanicThreshold is the fraction of the service's upstreams that have to look
+	// healthy. Below it, health is ignored for Slots and Draws.
 	PanicThreshold float64
 }
 
-// Verdict is what the upstream has earned.
+// Verdict is the result of Judge: how much work the upstream should get.
 type Verdict struct {
-	// Weight is the share of new flows, in thousandths; it doesn't depend on
-	// the peers, so that they can judge by it.
+	// Weight is the upstream's relative share of new flows; FullWeight is 1000.
+	// It does not depend on Peers, because the peers count this upstream as
+	// healthy or not by its weight.
 	Weight int
-	// Slots is the number of requests that may run at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Draws tells whether the agent may take work of its siblings.
+	// Draws reports whether the agent may take over requests from its siblings.
 	Draws bool
-	// Panic tells that most of the service looks bad, so that health is
-	// ignored for Slots and Draws.
+	// Panic reports that fewer upstreams of the service than PanicThreshold look
+	// healthy, so that health is ignored for Slots and Draws.
 	Panic bool
-	// Draining tells that the upstream has announced that it leaves.
+	// Draining reports that the upstream has announced a drain.
 	Draining bool
 }
 
-// Tracker follows one upstream.
+// Tracker tracks the health of one upstream.
 type Tracker struct {
 	slowStart     time.Duration
 	warmupStart   time.Time
@@ -83,19 +89,20 @@
 	successStreak int
 	lastOutcome   time.Time
 	report        Report
-	// step is the weight that was last given, but for minWeight.
+	// lastStep is the last quantized weight, before minWeight is applied.
 	lastStep int
 }
 
-// NewTracker returns the tracker of an upstream that is cold at start.
+// NewTracker returns the tracker of an upstream that is cold at start and warms up
+// over slowStart.
 func NewTracker(start time.Time, slowStart time.Duration) *Tracker {
 	return &Tracker{slowStart: slowStart, warmupStart: start, successRate: 1, report: Report{Healthy: true}}
 }
 
-// SetSlowStart changes the time that a cold upstream takes.
+// SetSlowStart sets how long a cold upstream takes to warm up.
 func (t *Tracker) SetSlowStart(d time.Duration) { t.slowStart = d }
 
-// Observe takes the outcome of a request.
+// Observe records the outcome of a request.
 func (t *Tracker) Observe(now time.Time, o Outcome) {
 	t.lastOutcome = now
 	if !o.Good {
@@ -116,8 +123,8 @@
 	return mean + time.Duration(gain*float64(next-mean))
 }
 
-// Hear takes what the upstream says of itself. Coming back from bad health, or
-// from being unreachable, it is cold.
+// Hear records a report of the upstream's health endpoint. An upstream that
+// becomes healthy after bad health, which includes being unreachable, is cold.
 func (t *Tracker) Hear(now time.Time, r Report) {
 	if r.Healthy && !t.report.Healthy && !t.contradicted(now) {
 		t.warmupStart = now
@@ -125,13 +132,14 @@
 	t.report = r
 }
 
-// contradicted reports whether recent requests went well.
+// contradicted reports whether recent good outcomes contradict a report of bad
+// health.
 func (t *Tracker) contradicted(now time.Time) bool {
 	return t.successStreak >= trustedStreak && now.Sub(t.lastOutcome) < outcomeTTL
 }
 
-// Judge returns what the upstream has earned of its slots. Weights move in
-// steps, of which the tracker remembers the last.
+// Judge returns the verdict for an upstream with the given number of slots.
+// Weights are quantized with hysteresis, so the result depends on the last call.
 func (t *Tracker) Judge(now time.Time, slots int, peers Peers) Verdict {
 	v := Verdict{
 		Weight:   t.weight(now),
@@ -150,8 +158,9 @@
 	return t.report.Healthy || t.contradicted(now)
 }
 
-// weight falls with the square of the failures and with growing latency, and
-// rises over the slow start.
+// weight is proportional to the square of the success rate. It is lower during
+// the slow start, and while the latency exceeds slowFactor times its long-term
+// average.
 func (t *Tracker) weight(now time.Time) int {
 	if !t.consideredHealthy(now) {
 		return 0
@@ -163,8 +172,8 @@
 	return max(t.quantize(w), minWeight)
 }
 
-// settle returns the step that the weight stands at. It leaves a step only for
-// one that is clearly nearer, so that it doesn't swing.
+// quantize rounds the weight to a multiple of weightStep. The hysteresis keeps
+// the result from alternating between two steps.
 func (t *Tracker) quantize(w float64) int {
 	if math.Abs(w-float64(t.lastStep)) >= stepHysteresis*weightStep {
 		t.lastStep = int(math.Round(w/weightStep)) * weightStep
@@ -186,8 +195,8 @@
 	return max(1, int(math.Ceil(float64(all)*t.successRate*t.successRate)))
 }
 
-// enough reports whether the service's share of healthy upstreams reaches the
-// threshold.
+// reachThreshold reports whether the fraction of healthy upstreams of the service
+// is at least PanicThreshold. self is the health of the agent's own upstream.
 func (p Peers) reachThreshold(self bool) bool {
 	healthy := p.Healthy
 	if self {
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -36,13 +36,13 @@
 	tr.Hear(now, health.Report{Healthy: true})
 	v := tr.Judge(now, slots, health.Peers{Known: 6, Healthy: 6, PanicThreshold: 0.5})
 	if v.Draws || v.Slots != 1 || v.Weight > 100 {
-		t.Fatalf("an upstream that answers errors earned %+v", v)
+		t.Fatalf("upstream that answers with fast errors: verdict %+v, want no draws, 1 slot and weight <= 100", v)
 	}
 	for range 100 {
 		tr.Observe(now, good)
 	}
 	if v := tr.Judge(now, slots, health.Peers{}); !v.Draws || v.Slots != slots || v.Weight < 900 {
-		t.Fatalf("recovered upstream earned %+v", v)
+		t.Fatalf("upstream after 100 good outcomes: verdict %+v, want draws, all slots and weight >= 900", v)
 	}
 }
 
@@ -60,13 +60,13 @@
 		}
 	}
 	if changes > 2 {
-		t.Errorf("the weight changed %d times under steady failures", changes)
+		t.Errorf("weight changed %d times under steady failures, want at most 2", changes)
 	}
 	for range 100 {
 		tr.Observe(now, good)
 	}
 	if w := tr.Judge(now, slots, health.Peers{}).Weight; w != health.FullWeight {
-		t.Errorf("weight %d after 100 good outcomes", w)
+		t.Errorf("weight %d after 100 good outcomes, want full weight", w)
 	}
 }
 
@@ -74,10 +74,10 @@
 	tr, now := tracker(100, good)
 	tr.Hear(now, health.Report{Healthy: false})
 	if v := tr.Judge(now, slots, health.Peers{}); !v.Draws || v.Weight != health.FullWeight {
-		t.Fatalf("contradicted report counted: %+v", v)
+		t.Fatalf("report of bad health lowered the verdict despite recent good outcomes: %+v", v)
 	}
 	if v := tr.Judge(now.Add(time.Minute), slots, health.Peers{}); v.Draws || v.Weight != 0 {
-		t.Fatalf("nothing contradicts the report any more: %+v", v)
+		t.Fatalf("report of bad health ignored one minute after the last outcome: %+v", v)
 	}
 }
 
@@ -85,15 +85,15 @@
 	tr := health.NewTracker(start, 10*time.Second)
 	last := 0
 	for _, after := range []time.Duration{0, 3 * time.Second, 6 * time.Second, 10 * time.Second} {
-		// The steps lie further apart than the grain of weights.
+		// Between these times the weight rises by more than weightStep.
 		w := tr.Judge(start.Add(after), slots, health.Peers{}).Weight
 		if w <= last {
-			t.Fatalf("weight %d after %s, %d before", w, after, last)
+			t.Fatalf("weight %d after %s, want more than the previous %d", w, after, last)
 		}
 		last = w
 	}
 	if last != health.FullWeight {
-		t.Fatalf("weight %d when warm", last)
+		t.Fatalf("weight %d after the slow start, want full weight", last)
 	}
 }
 
@@ -103,7 +103,7 @@
 		tr.Observe(now, health.Outcome{Good: true, Latency: 400 * time.Millisecond})
 	}
 	if w := tr.Judge(now, slots, health.Peers{}).Weight; w > health.FullWeight/2 {
-		t.Fatalf("weight %d of an upstream that got 20 times slower", w)
+		t.Fatalf("weight %d of an upstream with 20 times the latency, want at most half", w)
 	}
 }
 
@@ -111,14 +111,14 @@
 	tr, now := tracker(100, fastError)
 	v := tr.Judge(now, slots, health.Peers{Known: 6, Healthy: 2, PanicThreshold: 0.5})
 	if !v.Panic || !v.Draws || v.Slots != slots {
-		t.Fatalf("most of the service is bad, but %+v", v)
+		t.Fatalf("most upstreams are unhealthy: verdict %+v, want panic with draws and all slots", v)
 	}
 	if v.Weight > 100 {
-		t.Fatalf("weight %d hides from the others that this one is bad", v.Weight)
+		t.Fatalf("weight %d in panic, want <= 100 so that siblings see the upstream as unhealthy", v.Weight)
 	}
 }
 
-// endpoint answers the poll.
+// endpoint is a Runner that answers health checks with a fixed response.
 type endpoint struct {
 	status int
 	body   string
--- a/internal/health/poll.go
+++ b/internal/health/poll.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// defaultInterval holds for services without one.
+	// defaultInterval is the poll interval for services that configure none.
 	defaultInterval = time.Second
-	// maxReport bounds the body of a report in bytes.
+	// maxReport is the maximum number of bytes read from the body of a report.
 	maxReport = 4 << 10
-	// stateDraining is the status by which an upstream announces that it leaves.
+	// stateDraining is the status with which an upstream announces a drain.
 	stateDraining = "draining"
 )
 
-// pollClass is the class under which the endpoint is read.
+// pollClass is the request class of health checks.
 var pollClass = config.Class{Name: "health", Kind: config.KindRequest, Idempotent: true}
 
-// Poll reads the health endpoint until ctx ends and gives each report to hear.
-// The settings are asked before each read, so that they may change.
+// Poll requests the upstream's health endpoint in intervals until ctx ends, and
+// calls report with each result. It calls settings before each request, so that
+// changed settings take effect.
 func Poll(ctx context.Context, r upstream.Runner, settings func() config.Health, report func(Report)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -46,7 +47,8 @@
 	}
 }
 
-// read asks the upstream once; silence is bad health.
+// read requests the health endpoint once. A failure or time-out counts as bad
+// health.
 func read(ctx context.Context, r upstream.Runner, path string, timeout time.Duration) Report {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -66,7 +68,7 @@
 	var body struct {
 		Status string `json:"status"`
 	}
-	// A body of another form says nothing beside the status.
+	// If the body is not of this form, only the status code counts.
 	_ = json.NewDecoder(io.LimitReader(response.Body, maxReport)).Decode(&body)
 	draining := body.Status == stateDraining
 	return Report{Healthy: response.StatusCode < http.StatusMultipleChoices || draining, Draining: draining}
