--- a/internal/sim/balance_test.go
+++ b/internal/sim/balance_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// BenchmarkBalance compares ways to spread lookups with one ideal queue over
-// all slots.
+// BenchmarkBalance compares policies that distribute lookups with the ideal, a
+// single queue for all slots.
 func BenchmarkBalance(b *testing.B) {
 	for _, s := range currentServices() {
 		var loads [][]*work
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -14,16 +14,17 @@
 
 const (
 	meanService = 20 * time.Millisecond
-	// warmUp is left out of the figures.
+	// warmUp is the start of a run, whose requests are left out of the results.
 	warmUp = 2 * time.Second
 	flows  = 400
 )
 
-// service is a service of the size that users run today.
+// service is a simulated service.
 type service struct {
 	name      string
 	upstreams []*upstream
-	// capacity is the work that the service does in a second, in seconds.
+	// capacity is the service time that the service can process per second, in
+	// seconds.
 	capacity float64
 }
 
@@ -37,7 +38,7 @@
 	return s
 }
 
-// withSlow makes the first upstream so many times slower.
+// withSlow makes the first upstream slower by the factor.
 func (s service) withSlow(factor float64) service {
 	s.name += "-slow"
 	s.upstreams[0].slowdown = func(time.Duration) float64 { return factor }
@@ -45,8 +46,8 @@
 	return s
 }
 
-// withCold makes the second upstream start four times slower than it is when
-// it has been warm for 10 s.
+// withCold makes the second upstream start cold: it is four times slower at first
+// and reaches its normal speed after 10 s.
 func (s service) withCold() service {
 	const coldFactor, warmTime = 3, 10 * time.Second
 	s.name += "-cold"
@@ -56,8 +57,8 @@
 	return s
 }
 
-// withLying makes the first upstream answer errors at once while it claims to
-// be healthy.
+// withBroken makes the first upstream answer each request with a fast error while
+// its health endpoint reports it as healthy.
 func (s service) withBroken() service {
 	s.name += "-lying"
 	s.upstreams[0].broken = true
@@ -65,12 +66,13 @@
 	return s
 }
 
-// working returns the upstreams that answer at all.
+// working returns the upstreams that are not broken.
 func (s service) working() []*upstream {
 	return slices.DeleteFunc(slices.Clone(s.upstreams), func(u *upstream) bool { return u.broken })
 }
 
-// arrivals draws a workload at that share of the capacity.
+// arrivals returns a random workload of the given length that uses the fraction
+// load of the service's capacity.
 func arrivals(seed uint64, s service, load float64, length time.Duration, classes []class) []*work {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	rate := load * s.capacity / meanService.Seconds()
@@ -100,22 +102,22 @@
 	return &classes[len(classes)-1]
 }
 
-// chooser says at which node a request arrives.
+// chooser returns the index of the node at which a request arrives.
 type chooser func(k *work, n int) int
 
-// policy is a way to spread requests.
+// policy describes how requests are distributed and scheduled.
 type policy struct {
 	name    string
 	choose  func(rng *rand.Rand) chooser
 	options dispatch.Options
-	// single puts all servers behind one queue.
+	// single puts all servers behind a single queue.
 	single bool
-	// fifo forgets priorities.
+	// ignorePriorities gives all requests the same priority.
 	ignorePriorities bool
 	queue            int
-	// health has agents judge their upstreams by their outcomes.
+	// health makes agents limit their upstreams' work by their health.
 	health bool
-	// endless deadlines are unknown to the scheduler.
+	// hideDeadlines gives the scheduler a deadline of one hour for each request.
 	hideDeadlines bool
 }
 
@@ -131,7 +133,7 @@
 	return func(_ *work, n int) int { return rng.IntN(n) }
 }
 
-// roundRobin has each of four balancers go round on its own.
+// roundRobin simulates four balancers, each with its own round-robin order.
 func roundRobin(rng *rand.Rand) chooser {
 	var next [4]int
 	return func(_ *work, n int) int {
@@ -154,7 +156,7 @@
 	}
 }
 
-// result is what a run showed.
+// result is the result of a run.
 type result struct {
 	works    []*work
 	maxLoad  float64
@@ -192,8 +194,8 @@
 	return result{works: works, maxLoad: w.maxLoad(), messages: float64(w.messages) / float64(len(load))}
 }
 
-// pooled simulates the policy on several workloads at once and puts the
-// results together.
+// pooled simulates the policy with several workloads in parallel and combines the
+// results.
 func pooled(p policy, s service, loads [][]*work, delay time.Duration) result {
 	results := make([]result, len(loads))
 	var wait sync.WaitGroup
@@ -210,7 +212,7 @@
 	return all
 }
 
-// maxLoad is the highest load of a node over the mean.
+// maxLoad returns the ratio of the highest load of a node to the mean load.
 func (w *simulation) maxLoad() float64 {
 	highest, sum := 0.0, 0.0
 	for _, n := range w.nodes {
@@ -220,7 +222,8 @@
 	return highest * float64(len(w.nodes)) / sum
 }
 
-// quantile returns the q-quantile of what value gives for the works it takes.
+// quantile returns the q-quantile of value over the requests for which value
+// returns true.
 func (r result) quantile(q float64, value func(*work) (time.Duration, bool)) time.Duration {
 	var all []time.Duration
 	for _, k := range r.works {
@@ -235,7 +238,8 @@
 	return all[int(q*float64(len(all)-1))]
 }
 
-// failures is the share of requests that an upstream failed.
+// failures returns the fraction of requests that an upstream answered with an
+// error.
 func (r result) failures() float64 {
 	n := 0
 	for _, k := range r.works {
--- a/internal/sim/overload_test.go
+++ b/internal/sim/overload_test.go
@@ -11,18 +11,18 @@
 	overload       = 1.5
 	overloadLength = 30 * time.Second
 	overloadSeeds  = 4
-	// limit is the length of each agent's queue.
+	// queueLimit is the maximum length of each agent's queue.
 	queueLimit = 64
 )
 
-// mixed is 60% of the capacity in lookups, 50% in batches and 40% in reports.
+// mixed offers 60% of the capacity in lookups, 50% in batches and 40% in reports.
 var mixed = []class{
 	{name: "lookup", priority: 0, movable: true, deadline: time.Second, share: 0.6 / overload},
 	{name: "batch", priority: 1, deadline: 2 * time.Second, share: 0.5 / overload},
 	{name: "report", priority: 2, movable: true, deadline: time.Second, share: 0.4 / overload},
 }
 
-// urgent is 130% of the capacity in lookups and 20% in batches.
+// urgent offers 130% of the capacity in lookups and 20% in batches.
 var urgent = []class{
 	{name: "lookup", priority: 0, movable: true, deadline: time.Second, share: 1.3 / overload},
 	{name: "batch", priority: 1, deadline: 2 * time.Second, share: 0.2 / overload},
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkOverload offers one and a half times what the service can do.
+// BenchmarkOverload offers 1.5 times the capacity of the service.
 func BenchmarkOverload(b *testing.B) {
 	s := evenService("7x5", 7, 5)
 	for _, mix := range []struct {
@@ -66,17 +66,18 @@
 	}
 }
 
-// answeredIn gives the time to the answer of a class.
+// answerTime returns a function for the time until the answer to a request of the
+// class.
 func answerTime(name string) func(*work) (time.Duration, bool) {
 	return func(k *work) (time.Duration, bool) {
 		return k.ended - k.arrival, !k.refused && k.class.name == name
 	}
 }
 
-// toldIn gives the time after which a caller was told to come back.
+// refusalTime returns the time until a request was refused.
 func refusalTime(k *work) (time.Duration, bool) { return k.ended - k.arrival, k.refused }
 
-// inTime is the share of a class that was answered by its deadline.
+// inTime returns the fraction of a class that was answered by its deadline.
 func (r result) inTime(name string) float64 {
 	good, all := 0, 0
 	for _, k := range r.works {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -1,6 +1,7 @@
-// Package sim measures the scheduler of internal/dispatch in simulated time:
-// the agents of one service, their slots, and messages that take a while.
-// Everything is drawn from fixed seeds. No process imports it.
+// Package sim measures the scheduler of internal/dispatch by discrete-event
+// simulation: the agents of one service, the slots of their upstreams, and the
+// delay of messages between them. All random numbers come from fixed seeds. The
+// package is used by benchmarks only; the daemon does not import it.
 package sim
 
 import (
@@ -16,13 +17,15 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// work is one request of the workload; policies see the same ones.
+// work is one request of the workload. Each policy is run with copies of the same
+// requests.
 type work struct {
 	class   *class
 	arrival time.Duration
 	service time.Duration
 	flow    int
-	// told is the class as the scheduler sees it.
+	// scheduled is the class that the scheduler is given; some policies hide
+	// priorities or deadlines from it.
 	scheduled class
 
 	started time.Duration
@@ -40,28 +43,28 @@
 	share    float64 // of all arrivals
 }
 
-// server is one slot of an upstream.
+// server is one slot of an upstream, which serves one request at a time.
 type server struct {
 	upstream *upstream
 }
 
-// upstream tells how one upstream treats its requests.
+// upstream describes how one upstream serves its requests.
 type upstream struct {
 	slots int
-	// slow multiplies service times at a time.
+	// slowdown returns the factor of service times at the given time.
 	slowdown func(now time.Duration) float64
-	// broken upstreams answer all requests with an error in a millisecond,
-	// while they claim to be healthy.
+	// A broken upstream answers each request with an error after a millisecond,
+	// while its health endpoint reports it as healthy.
 	broken bool
 }
 
-// node is an agent with its upstream; the ideal queue is one node with the
-// servers of all.
+// node is an agent with its upstream. The ideal policy has a single node with the
+// servers of all upstreams.
 type node struct {
 	addr         netip.AddrPort
 	sched        *dispatch.Scheduler
 	free         []server
-	loadIntegral float64 // requests in hand, integrated over time
+	loadIntegral float64 // running and queued requests, integrated over time
 	since        time.Duration
 	works        map[dispatch.ID]*work
 	wakeAt       time.Duration
@@ -69,7 +72,7 @@
 	limits       dispatch.Limits
 }
 
-// world is one run.
+// simulation is the state of one simulation run.
 type simulation struct {
 	now      time.Duration
 	events   events
@@ -112,6 +115,7 @@
 	return last
 }
 
+// after schedules do to run after the simulated duration d.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now + d, order: w.order, do: do})
@@ -129,7 +133,7 @@
 
 func (w *simulation) node(addr netip.AddrPort) *node { return w.nodes[addr.Port()-1] }
 
-// add makes a node with the servers of the upstreams.
+// add creates a node with the servers of the upstreams.
 func (w *simulation) add(upstreams []*upstream, queue int, o dispatch.Options) *node {
 	n := &node{works: map[dispatch.ID]*work{}}
 	for _, u := range upstreams {
@@ -146,7 +150,7 @@
 	return n
 }
 
-// introduce makes all nodes siblings.
+// connectSiblings makes all nodes siblings of each other.
 func (w *simulation) connectSiblings() {
 	for _, n := range w.nodes {
 		var others []netip.AddrPort
@@ -171,7 +175,7 @@
 	}
 }
 
-// do carries actions out, as the shell would.
+// do performs the scheduler's actions, as the request handler does in an agent.
 func (w *simulation) do(n *node, actions []dispatch.Action) {
 	n.account(w.now)
 	for _, a := range slices.Clone(actions) {
@@ -237,7 +241,8 @@
 	})
 }
 
-// judge has the node judge its upstream, as the shell does.
+// updateHealth updates the health of the node's upstream with an outcome, as the
+// request handler does in an agent.
 func (w *simulation) updateHealth(n *node, o health.Outcome) {
 	if n.tracker == nil {
 		return
@@ -262,7 +267,8 @@
 		to.works[p.ID] = k
 		w.do(to, to.sched.ArriveMoved(w.clock(), request(p.ID, k), p.Reservation, p.Admit))
 		if !k.refused {
-			// The owner's end matters to its bookkeeping alone.
+			// When Settled is called matters only to the bookkeeping of the node
+			// that pushed the request, so the end of the request is not awaited.
 			w.after(w.delay, func() { w.do(from, from.sched.Settled(w.clock(), p.ID)) })
 			return
 		}
@@ -272,7 +278,8 @@
 	})
 }
 
-// account integrates what the node had in hand.
+// account adds the running and queued requests since the last call to the
+// integral.
 func (n *node) account(now time.Duration) {
 	l := n.sched.Load()
 	n.loadIntegral += float64(l.Running+l.Queued) * (now - n.since).Seconds()
