--- a/internal/agent/redirect.go
+++ b/internal/agent/handoff.go
@@ -13,11 +13,11 @@
 	"github.com/saltbend/saltbend/internal/placement"
 )
 
-// redirect selects the agent for a new flow. While this agent drains or is at
+// handOff selects the agent for a new flow. While this agent drains or is at
 // its connection limit, it returns a ready sibling. Otherwise it returns the
 // least loaded sibling if that one is clearly the better choice, and false if
-// the flow stays here.
-func (a *agent) redirect(_ encap.Header, dcid []byte) (netip.AddrPort, bool) {
+// the flow stays at this agent.
+func (a *agent) handOff(_ encap.Header, dcid []byte) (netip.AddrPort, bool) {
 	snapshot := a.node.Snapshot()
 	if snapshot.Self.State == member.StateDraining || a.atConnectionLimit(snapshot) {
 		return chooseSibling(snapshot, dcid)
--- a/internal/agent/path_test.go
+++ b/internal/agent/path_test.go
@@ -30,11 +30,11 @@
 	server *server
 }
 
-func startEndpoint(t testing.TB, data netip.AddrPort, handler http.Handler, redirect flow.RedirectFunc) *endpoint {
+func startEndpoint(t testing.TB, data netip.AddrPort, handler http.Handler, handOff flow.HandOffFunc) *endpoint {
 	g := NewWithT(t)
 	ring := testRing(t)
 	tag := config.TagOf(testService)
-	conn, err := flow.Listen(flow.Options{Data: data, Service: tag, Ring: ring, Redirect: redirect})
+	conn, err := flow.Listen(flow.Options{Data: data, Service: tag, Ring: ring, HandOff: handOff})
 	g.Expect(err).NotTo(HaveOccurred())
 	ids, err := flow.NewIDs(ring, conn.Addr(), tag, uint64(time.Now().UnixNano()))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -125,22 +125,22 @@
 	g.Expect(errors.As(err, &reset)).To(BeTrue(), "%v", err)
 }
 
-func TestNewFlowIsRedirectedWithAllItsInitials(t *testing.T) {
+func TestNewFlowIsHandedOffWithAllItsInitials(t *testing.T) {
 	g := NewWithT(t)
 	sibling := startEndpoint(t, anyPort, respondWith("sibling"), nil)
 	calls := make(chan struct{}, 100)
-	redirect := func(encap.Header, []byte) (netip.AddrPort, bool) {
+	handOff := func(encap.Header, []byte) (netip.AddrPort, bool) {
 		calls <- struct{}{}
 		return sibling.conn.Addr(), true
 	}
-	redirecting := startEndpoint(t, anyPort, respondWith("busy"), redirect)
+	source := startEndpoint(t, anyPort, respondWith("busy"), handOff)
 	f := newFabric(t, 3)
-	f.setNewFlow(redirecting.conn.Addr())
+	f.setNewFlow(source.conn.Addr())
 	for range 5 {
 		caller := newCaller(t, addrOf(f.face))
 		g.Expect(get(g, caller, "https://results/")).To(Equal("sibling"))
 	}
-	g.Expect(calls).To(HaveLen(5), "the redirect function is called once for each connection attempt")
+	g.Expect(calls).To(HaveLen(5), "the hand-off function is called once for each connection attempt")
 }
 
 func TestOneAgentServesTheCallerWhenInitialsReachTwoAgents(t *testing.T) {
@@ -239,7 +239,7 @@
 	g.Expect(e.server.shutdown(expired)).To(Equal(1))
 }
 
-func TestAgentAtItsConnectionLimitRedirectsNewFlowsToASibling(t *testing.T) {
+func TestAgentAtItsConnectionLimitHandsOffNewFlowsToASibling(t *testing.T) {
 	g := NewWithT(t)
 	platform := rolerun.NewStore(t, strings.Replace(configuration, "connections: 4000", "connections: 1", 1))
 	start := func(name string, join ...settings.Address) *rolerun.Role {
@@ -256,7 +256,7 @@
 	f.setNewFlow(first.Addresses.Data)
 	lookup := func() string { return get(g, newCaller(t, addrOf(f.face)), "https://results/runner/1") }
 	g.Expect(lookup()).To(Equal("first"))
-	// The first agent can redirect only after it has received the record of the
-	// second.
+	// The first agent can hand off flows only after it has received the second
+	// agent's membership record.
 	g.Eventually(lookup).WithTimeout(waitTimeout).Should(Equal("second"))
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -1,7 +1,7 @@
 // Package agent assembles the agent role of the daemon. An agent runs beside one
 // upstream, terminates the callers' QUIC connections, and serves their HTTP/3
 // requests from the upstream. The agents of the same service are its siblings;
-// an agent can redirect new flows (callers' connections) to them.
+// an agent can hand off new flows (callers' connections) to them.
 package agent
 
 import (
@@ -121,11 +121,11 @@
 
 func (a *agent) listenFlow(ring *keyring.Ring) error {
 	conn, err := flow.Listen(flow.Options{
-		Data:     a.settings.Data.AddrPort(),
-		Service:  config.TagOf(a.settings.Service),
-		Ring:     ring,
-		Admit:    a.admit,
-		Redirect: a.redirect,
+		Data:    a.settings.Data.AddrPort(),
+		Service: config.TagOf(a.settings.Service),
+		Ring:    ring,
+		Admit:   a.admit,
+		HandOff: a.handOff,
 	})
 	a.flow = conn
 	return err
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -27,19 +27,20 @@
 	Ring    *keyring.Ring
 	// Admit decides whether a new flow is accepted; nil accepts all.
 	Admit AdmitFunc
-	// Redirect may send new flows to siblings; nil keeps all flows here.
-	Redirect RedirectFunc
+	// HandOff selects the siblings to hand off new flows to; nil keeps all flows
+	// at this agent.
+	HandOff HandOffFunc
 }
 
 // Conn is the agent's data socket. It implements net.PacketConn for a QUIC
 // transport. Only one goroutine may read at a time; any number may write.
 type Conn struct {
-	socket   *net.UDPConn
-	service  config.Tag
-	admit    AdmitFunc
-	redirect RedirectFunc
-	writer   *writer
-	once     sync.Once
+	socket  *net.UDPConn
+	service config.Tag
+	admit   AdmitFunc
+	handOff HandOffFunc
+	writer  *writer
+	once    sync.Once
 
 	// The fields up to the next comment are used only by the reading goroutine.
 	batch      *ipv4.PacketConn
@@ -79,7 +80,7 @@
 		socket:     socket,
 		service:    o.Service,
 		admit:      o.Admit,
-		redirect:   o.Redirect,
+		handOff:    o.HandOff,
 		batch:      ipv4.NewPacketConn(socket),
 		messages:   newMessages(),
 		codec:      codec,
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -80,11 +80,11 @@
 	}
 }
 
-func listen(t testing.TB, redirect RedirectFunc) *Conn {
+func listen(t testing.TB, handOff HandOffFunc) *Conn {
 	g := NewWithT(t)
 	c, err := Listen(Options{
 		Data: netip.MustParseAddrPort("127.0.0.1:0"), Service: config.TagOf("results"),
-		Ring: ring(g, oldSecret), Redirect: redirect,
+		Ring: ring(g, oldSecret), HandOff: handOff,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = c.Close() })
@@ -164,7 +164,7 @@
 	return b
 }
 
-func TestOnlyNewFlowsAreRedirectedAndOnlyOnce(t *testing.T) {
+func TestOnlyNewFlowsAreHandedOffAndOnlyOnce(t *testing.T) {
 	g := NewWithT(t)
 	sibling := newPeer(t, ring(g, oldSecret))
 	c := listen(t, func(encap.Header, []byte) (netip.AddrPort, bool) { return sibling.addr(), true })
@@ -267,7 +267,7 @@
 			return
 		}
 		if dcid, ok := longHeaderDCID(b); ok && len(dcid) > quicid.MaxSize {
-			t.Fatal("longer than a connection ID")
+			t.Fatal("the returned ID is longer than a QUIC connection ID may be")
 		}
 	})
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -34,8 +34,8 @@
 // not block.
 type AdmitFunc func(h encap.Header) bool
 
-// RedirectFunc selects a sibling, another agent of the same service, for a new
+// HandOffFunc selects a sibling, another agent of the same service, for a new
 // flow. It receives the header of the Initial packet and its destination
 // connection ID, which it must not retain. It returns the data address of the
 // sibling, or false to keep the flow at this agent. It must not block.
-type RedirectFunc func(h encap.Header, dcid []byte) (to netip.AddrPort, ok bool)
+type HandOffFunc func(h encap.Header, dcid []byte) (to netip.AddrPort, ok bool)
--- a/internal/flow/ids.go
+++ b/internal/flow/ids.go
@@ -22,8 +22,9 @@
 // use; with random nonces, two of them would probably be equal.
 const nonceStep = 0x9E3779
 
-// IDs issues flow tokens as the connection IDs of an agent. It is safe for
-// concurrent use.
+// IDs generates the connection IDs of an agent. Each ID is a flow token, which
+// holds the agent's address and a MAC, so that any balancer can route the flow
+// without having its state. IDs is safe for concurrent use.
 type IDs struct {
 	mu    sync.Mutex
 	codec *token.Codec
@@ -50,7 +51,7 @@
 	}, nil
 }
 
-// SetKeys replaces the key ring that new tokens are sealed with.
+// SetKeys replaces the key ring that authenticates new tokens.
 func (g *IDs) SetKeys(ring *keyring.Ring) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/flow/metrics.go
+++ b/internal/flow/metrics.go
@@ -15,7 +15,7 @@
 var (
 	received       = metrics.GetOrCreateCounter(`saltbend_agent_datagrams_received_total`)
 	sent           = metrics.GetOrCreateCounter(`saltbend_agent_datagrams_sent_total`)
-	redirected     = metrics.GetOrCreateCounter(`saltbend_agent_flows_handed_on_total`)
+	handedOff      = metrics.GetOrCreateCounter(`saltbend_agent_flows_handed_on_total`)
 	probesSent     = metrics.GetOrCreateCounter(`saltbend_agent_probes_sent_total`)
 	probesReceived = metrics.GetOrCreateCounter(`saltbend_agent_balancer_probes_total`)
 	probesAnswered = metrics.GetOrCreateCounter(`saltbend_agent_probes_answered_total`)
--- a/internal/flow/read.go
+++ b/internal/flow/read.go
@@ -136,7 +136,7 @@
 // place returns the sibling to send a new flow to, or the zero AddrPort when the
 // flow stays at this agent. A flow that a sibling sent here always stays.
 func (c *Conn) place(now time.Time, h encap.Header, dcid []byte, size int) netip.AddrPort {
-	if c.redirect == nil {
+	if c.handOff == nil {
 		return netip.AddrPort{}
 	}
 	key := makeDCIDKey(dcid)
@@ -147,11 +147,11 @@
 		c.placements.put(now, key, netip.AddrPort{})
 		return netip.AddrPort{}
 	}
-	to, ok := c.redirect(h, dcid)
+	to, ok := c.handOff(h, dcid)
 	if !ok || to == c.Addr() {
 		to = netip.AddrPort{}
 	} else {
-		redirected.Inc()
+		handedOff.Inc()
 	}
 	c.placements.put(now, key, to)
 	return to
--- a/internal/sim/balance_test.go
+++ b/internal/sim/balance_test.go
@@ -36,7 +36,7 @@
 		for i, delay := range []time.Duration{500 * time.Microsecond, 1500 * time.Microsecond} {
 			for _, p := range policies() {
 				if i > 0 && p.options.Alone {
-					continue // the same at any delay
+					continue // without messages, the delay has no effect
 				}
 				r := pooled(p, s, loads, delay)
 				p99 := r.quantile(0.99, queueTime)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -34,7 +34,7 @@
 	failed  bool
 }
 
-// class is a class of requests.
+// class holds the scheduling parameters of a class of requests.
 type class struct {
 	name     string
 	priority int
--- a/internal/upstream/detach.go
+++ b/internal/upstream/detach.go
@@ -9,10 +9,10 @@
 )
 
 // Detach lets a handler return while its response continues. It sends the header
-// that was written to w, copies the body to the caller in chunks in a new
-// goroutine, closes the body, and calls done. Otherwise, a feed would keep the
-// deep stack of its handler's goroutine for hours. Detach returns false without
-// any effect if w does not support responses that outlive their handler.
+// that was written to w and starts a goroutine that copies the body to the
+// caller in chunks, closes the body, and calls done. Without Detach, a feed would
+// keep the deep stack of its handler's goroutine for hours. Detach returns false
+// without any effect if w does not support responses that outlive their handler.
 //
 // If done is called with an error, the caller has not received the whole body
 // and the response was aborted.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,7 +23,7 @@
 	ErrMayHaveRun = errors.New("upstream: request may have run")
 )
 
-// Runner runs requests at the upstream.
+// Runner sends requests to the upstream.
 type Runner interface {
 	// Run sends r and returns the response after its headers have arrived. Only
 	// the path and the query of r.URL are used. Run sends the deadline of ctx to
