--- a/internal/sim/balance_test.go
+++ b/internal/sim/balance_test.go
@@ -14,6 +14,7 @@
 
 var lookups = []class{{name: "lookup", movable: true, deadline: time.Hour, share: 1}}
 
+// currentServices returns services of the sizes that users run today.
 func currentServices() []service {
 	return []service{
 		evenService("7x5", 7, 5).withBroken(),
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -19,7 +19,8 @@
 	flows  = 400
 )
 
-// service is a simulated service.
+// service is a simulated service. Its size is that of services that users run
+// today.
 type service struct {
 	name      string
 	upstreams []*upstream
