--- a/internal/agent/follow.go
+++ b/internal/agent/snapshot.go
@@ -10,14 +10,16 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// fleet is what follow has made of the last snapshot; it belongs to follow.
-type fleet struct {
+// appliedState is what applySnapshots has applied so far. Only the goroutine of
+// applySnapshots uses it.
+type appliedState struct {
 	ready bool
 	slots int
 }
 
-// follow keeps the agent's parts at what the fleet knows, until ctx ends.
-func (a *agent) follow(ctx context.Context) {
+// applySnapshots updates the agent's components with each snapshot of the
+// fleet's state until ctx ends.
+func (a *agent) applySnapshots(ctx context.Context) {
 	for {
 		changed := a.node.Changed()
 		a.apply(a.node.Snapshot())
@@ -41,30 +43,32 @@
 	a.flow.SetRevision(snapshot.Config.Revision)
 	if service := a.serviceIn(snapshot.Config); service != nil {
 		a.applyService(service)
-	} else if a.fleet.ready {
-		a.leaving.ask() // the configuration no longer has the service
+	} else if a.appliedState.ready {
+		a.drainRequest.trigger() // the service was removed from the configuration
 	}
 }
 
-// judged takes up what the upstream has earned.
-func (a *agent) judged(v health.Verdict) {
+// applyVerdict announces the upstream's weight to the fleet, and starts a drain
+// if the upstream reports that it drains.
+func (a *agent) applyVerdict(v health.Verdict) {
 	a.node.SetLoad(v.Weight)
 	if v.Draining {
-		a.leaving.ask()
+		a.drainRequest.trigger()
 	}
 }
 
-// applyService takes up the configuration of the agent's service. Until there
-// is one, the agent can't tell which requests may repeat, and asks for none.
+// applyService applies the configuration of the agent's service, and makes the
+// agent ready at the first call. Until then the agent receives no requests,
+// because it doesn't know which of them may be repeated.
 func (a *agent) applyService(service *config.Service) {
-	if slots := service.Limits.Slots; slots > 0 && slots != a.fleet.slots {
-		a.fleet.slots = slots
+	if slots := service.Limits.Slots; slots > 0 && slots != a.appliedState.slots {
+		a.appliedState.slots = slots
 		a.node.SetSlots(slots)
 	}
-	if a.fleet.ready {
+	if a.appliedState.ready {
 		return
 	}
-	a.fleet.ready = true
+	a.appliedState.ready = true
 	a.node.SetState(member.StateReady)
 	a.env.Events.Add(part, eventReady, a.settings.Service)
 }
@@ -86,11 +90,12 @@
 	return nil
 }
 
-// unready returns the reasons why new flows should not come here.
-func (a *agent) unready() []string {
+// unreadyReasons returns the reasons why new flows should not be routed to this
+// agent.
+func (a *agent) unreadyReasons() []string {
 	var reasons []string
 	if a.service() == nil {
-		reasons = append(reasons, "no configuration names the service")
+		reasons = append(reasons, "the service is not in the configuration, or there is no configuration yet")
 	}
 	if a.node.Snapshot().Self.State == member.StateDraining {
 		reasons = append(reasons, "draining")
--- a/internal/flow/read.go
+++ b/internal/flow/read.go
@@ -8,8 +8,9 @@
 	"github.com/saltbend/saltbend/internal/encap"
 )
 
-// ReadFrom implements net.PacketConn: it returns the next datagram of a caller
-// and the caller's *Flow. Other datagrams are handled or dropped on the way.
+// ReadFrom implements net.PacketConn. It returns the next datagram from a caller
+// and the caller's *Flow. It handles or drops the datagrams in between that are
+// not for QUIC at this agent.
 func (c *Conn) ReadFrom(p []byte) (int, net.Addr, error) {
 	for {
 		if c.next == c.count {
@@ -20,7 +21,7 @@
 		m := &c.messages[c.next]
 		c.next++
 		received.Inc()
-		payload, f := c.take(m.Buffers[0][:m.N])
+		payload, f := c.handle(m.Buffers[0][:m.N])
 		if f != nil {
 			return copy(p, payload), f, nil
 		}
@@ -40,8 +41,9 @@
 	return nil
 }
 
-// take handles one datagram; the flow is nil when it is not for QUIC here.
-func (c *Conn) take(b []byte) ([]byte, *Flow) {
+// handle processes one datagram. The flow is nil unless the datagram is for QUIC
+// at this agent.
+func (c *Conn) handle(b []byte) ([]byte, *Flow) {
 	h, payload, err := c.codec.Decode(b)
 	if err != nil {
 		countDecode(err)
@@ -54,40 +56,41 @@
 	now := time.Now()
 	switch h.Kind {
 	case encap.KindForward, encap.KindHandOn:
-		return c.takePayload(now, h, payload)
+		return c.handlePayload(now, h, payload)
 	case encap.KindProbeReply:
-		c.answered(now, h)
+		c.handleProbeReply(now, h)
 	case encap.KindProbe:
-		c.answer(h)
+		c.answerProbe(h)
 	default:
 		droppedKind.Inc()
 	}
 	return nil, nil
 }
 
-// answer tells a balancer that asks that the agent lives. A probe that names the
-// agent itself as balancer was meant for one that had the address before.
-func (c *Conn) answer(h encap.Header) {
+// answerProbe answers a balancer's probe. A probe that names the agent's own
+// address as the balancer was meant for a balancer that had the address before,
+// and is dropped.
+func (c *Conn) answerProbe(h encap.Header) {
 	if h.Balancer == c.Addr() || !h.Balancer.Addr().Is4() {
 		droppedKind.Inc()
 		return
 	}
-	d := c.writer.take()
+	d := c.writer.getDatagram()
 	d.to = h.Balancer
 	d.header = h
 	d.header.Kind = encap.KindProbeReply
 	c.writer.send(d, nil)
-	asked.Inc()
+	probesReceived.Inc()
 }
 
-func (c *Conn) answered(now time.Time, h encap.Header) {
+func (c *Conn) handleProbeReply(now time.Time, h encap.Header) {
 	probesAnswered.Inc()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.paths.Answered(now, h.Balancer, h.Revision)
 }
 
-func (c *Conn) takePayload(now time.Time, h encap.Header, payload []byte) ([]byte, *Flow) {
+func (c *Conn) handlePayload(now time.Time, h encap.Header, payload []byte) ([]byte, *Flow) {
 	if len(payload) == 0 {
 		droppedEmpty.Inc()
 		return nil, nil
@@ -98,7 +101,7 @@
 			return nil, nil
 		}
 		if to := c.place(now, h, dcid, len(payload)); to.IsValid() {
-			c.handOn(h, payload, to)
+			c.sendToSibling(h, payload, to)
 			return nil, nil
 		}
 	}
@@ -109,17 +112,18 @@
 	return payload, f
 }
 
-// handOn passes a datagram on to a sibling as it came.
-func (c *Conn) handOn(h encap.Header, payload []byte, to netip.AddrPort) {
-	d := c.writer.take()
+// sendToSibling forwards a datagram unchanged to a sibling.
+func (c *Conn) sendToSibling(h encap.Header, payload []byte, to netip.AddrPort) {
+	d := c.writer.getDatagram()
 	d.to = to
 	d.header = h
 	d.header.Kind = encap.KindHandOn
 	c.writer.send(d, payload)
 }
 
-// opensFlow returns the connection ID that the caller chose, where the payload
-// is of a flow that has no token yet.
+// opensFlow returns the destination connection ID of a long-header packet if the
+// caller chose it, that is, if it is not one of the fleet's flow tokens. ok is
+// false for all other packets.
 func (c *Conn) opensFlow(payload []byte) (dcid []byte, ok bool) {
 	dcid, ok = longHeaderDCID(payload)
 	if !ok {
@@ -129,26 +133,26 @@
 	return dcid, err != nil
 }
 
-// place returns the sibling that takes a new flow, or the zero AddrPort when
-// the datagram is for here. What was handed on to here stays here.
+// place returns the sibling to send a new flow to, or the zero AddrPort when the
+// flow stays at this agent. A flow that a sibling sent here always stays.
 func (c *Conn) place(now time.Time, h encap.Header, dcid []byte, size int) netip.AddrPort {
-	if c.hand == nil {
+	if c.handOff == nil {
 		return netip.AddrPort{}
 	}
 	key := makeDCIDKey(dcid)
-	if to, ok := c.placed.get(now, key); ok {
+	if to, ok := c.placements.get(now, key); ok {
 		return to
 	}
 	if h.Kind == encap.KindHandOn || size < minInitialSize {
-		c.placed.put(now, key, netip.AddrPort{})
+		c.placements.put(now, key, netip.AddrPort{})
 		return netip.AddrPort{}
 	}
-	to, ok := c.hand(h, dcid)
+	to, ok := c.handOff(h, dcid)
 	if !ok || to == c.Addr() {
 		to = netip.AddrPort{}
 	} else {
-		handedOn.Inc()
+		handedOff.Inc()
 	}
-	c.placed.put(now, key, to)
+	c.placements.put(now, key, to)
 	return to
 }
--- a/internal/sim/load.go
+++ b/internal/sim/load.go
@@ -14,66 +14,69 @@
 
 const (
 	meanService = 20 * time.Millisecond
-	// warmUp is left out of the figures.
+	// warmUp is the start of a run, whose requests are left out of the results.
 	warmUp = 2 * time.Second
 	flows  = 400
 )
 
-// service is a service of the size that users run today.
+// service is a simulated service. Its size is that of services that users run
+// today.
 type service struct {
 	name      string
 	upstreams []*upstream
-	// capacity is the work that the service does in a second, in seconds.
+	// capacity is the service time that the service can process per second, in
+	// seconds.
 	capacity float64
 }
 
-func warm(time.Duration) float64 { return 1 }
+func normalSpeed(time.Duration) float64 { return 1 }
 
 func evenService(name string, n, slots int) service {
 	s := service{name: name, capacity: float64(n * slots)}
 	for range n {
-		s.upstreams = append(s.upstreams, &upstream{slots: slots, slow: warm})
+		s.upstreams = append(s.upstreams, &upstream{slots: slots, slowdown: normalSpeed})
 	}
 	return s
 }
 
-// withSlow makes the first upstream so many times slower.
+// withSlow makes the first upstream slower by the factor.
 func (s service) withSlow(factor float64) service {
 	s.name += "-slow"
-	s.upstreams[0].slow = func(time.Duration) float64 { return factor }
+	s.upstreams[0].slowdown = func(time.Duration) float64 { return factor }
 	s.capacity -= float64(s.upstreams[0].slots) * (1 - 1/factor)
 	return s
 }
 
-// withCold makes the second upstream start four times slower than it is when
-// it has been warm for 10 s.
+// withCold makes the second upstream start cold: it is four times slower at first
+// and reaches its normal speed after 10 s.
 func (s service) withCold() service {
 	const coldFactor, warmTime = 3, 10 * time.Second
 	s.name += "-cold"
-	s.upstreams[1].slow = func(now time.Duration) float64 {
+	s.upstreams[1].slowdown = func(now time.Duration) float64 {
 		return 1 + coldFactor*max(0, 1-now.Seconds()/warmTime.Seconds())
 	}
 	return s
 }
 
-// withLying makes the first upstream answer errors at once while it claims to
-// be healthy.
-func (s service) withLying() service {
+// withBroken makes the first upstream answer each request with a fast error while
+// its health endpoint reports it as healthy.
+func (s service) withBroken() service {
 	s.name += "-lying"
 	s.upstreams[0].broken = true
 	s.capacity -= float64(s.upstreams[0].slots)
 	return s
 }
 
-// working returns the upstreams that answer at all.
+// working returns the upstreams that are not broken.
 func (s service) working() []*upstream {
 	return slices.DeleteFunc(slices.Clone(s.upstreams), func(u *upstream) bool { return u.broken })
 }
 
-// arrivals draws a workload at that share of the capacity.
-func arrivals(seed uint64, s service, busy float64, length time.Duration, classes []class) []*work {
+// arrivals returns a random workload of the given length that uses the fraction
+// load of the service's capacity.
+func arrivals(seed uint64, s service, load float64, length time.Duration, classes []class) []*work {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	rate := busy * s.capacity / meanService.Seconds()
+	rate := load * s.capacity / meanService.Seconds()
 	var out []*work
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / rate
@@ -100,23 +103,23 @@
 	return &classes[len(classes)-1]
 }
 
-// chooser says at which node a request arrives.
+// chooser returns the index of the node at which a request arrives.
 type chooser func(k *work, n int) int
 
-// policy is a way to spread requests.
+// policy describes how requests are distributed and scheduled.
 type policy struct {
 	name    string
 	choose  func(rng *rand.Rand) chooser
 	options dispatch.Options
-	// single puts all servers behind one queue.
+	// single puts all servers behind a single queue.
 	single bool
-	// fifo forgets priorities.
-	fifo  bool
-	queue int
-	// health has agents judge their upstreams by their outcomes.
+	// ignorePriorities gives all requests the same priority.
+	ignorePriorities bool
+	queue            int
+	// health makes agents limit their upstreams' work by their health.
 	health bool
-	// endless deadlines are unknown to the scheduler.
-	endless bool
+	// hideDeadlines gives the scheduler a deadline of one hour for each request.
+	hideDeadlines bool
 }
 
 func byHash(*rand.Rand) chooser {
@@ -131,7 +134,7 @@
 	return func(_ *work, n int) int { return rng.IntN(n) }
 }
 
-// roundRobin has each of four balancers go round on its own.
+// roundRobin simulates four balancers, each with its own round-robin order.
 func roundRobin(rng *rand.Rand) chooser {
 	var next [4]int
 	return func(_ *work, n int) int {
@@ -141,20 +144,20 @@
 	}
 }
 
-const endless = 1 << 20
+const unlimitedQueue = 1 << 20
 
 func policies() []policy {
 	alone := dispatch.Options{LocalOnly: true, IgnoreDeadlines: true}
 	return []policy{
-		{name: "ideal", choose: atRandom, options: alone, single: true, queue: endless},
-		{name: "random", choose: atRandom, options: alone, queue: endless},
-		{name: "round-robin", choose: roundRobin, options: alone, queue: endless},
-		{name: "hash", choose: byHash, options: alone, queue: endless},
-		{name: "chosen", choose: byHash, queue: endless, health: true},
+		{name: "ideal", choose: atRandom, options: alone, single: true, queue: unlimitedQueue},
+		{name: "random", choose: atRandom, options: alone, queue: unlimitedQueue},
+		{name: "round-robin", choose: roundRobin, options: alone, queue: unlimitedQueue},
+		{name: "hash", choose: byHash, options: alone, queue: unlimitedQueue},
+		{name: "chosen", choose: byHash, queue: unlimitedQueue, health: true},
 	}
 }
 
-// result is what a run showed.
+// result is the result of a run.
 type result struct {
 	works    []*work
 	maxLoad  float64
@@ -162,7 +165,7 @@
 }
 
 func simulate(p policy, s service, load []*work, delay time.Duration) result {
-	w := &world{rng: rand.New(rand.NewPCG(1, 2)), delay: delay}
+	w := &simulation{rng: rand.New(rand.NewPCG(1, 2)), delay: delay}
 	if p.single {
 		w.add(s.working(), p.queue, p.options)
 	} else {
@@ -173,18 +176,18 @@
 			}
 		}
 	}
-	w.introduce()
+	w.connectSiblings()
 	choose := p.choose(w.rng)
 	works := make([]*work, len(load))
 	for i := range load {
 		k := *load[i]
 		works[i] = &k
-		works[i].told = *k.class
-		if p.fifo {
-			works[i].told.priority = 0
+		works[i].scheduled = *k.class
+		if p.ignorePriorities {
+			works[i].scheduled.priority = 0
 		}
-		if p.endless {
-			works[i].told.deadline = time.Hour
+		if p.hideDeadlines {
+			works[i].scheduled.deadline = time.Hour
 		}
 		w.after(k.arrival, func() { w.arrive(w.nodes[choose(&k, len(w.nodes))], dispatch.ID(i+1), works[i]) })
 	}
@@ -192,8 +195,8 @@
 	return result{works: works, maxLoad: w.maxLoad(), messages: float64(w.messages) / float64(len(load))}
 }
 
-// pooled simulates the policy on several workloads at once and puts the
-// results together.
+// pooled simulates the policy with several workloads in parallel and combines the
+// results.
 func pooled(p policy, s service, loads [][]*work, delay time.Duration) result {
 	results := make([]result, len(loads))
 	var wait sync.WaitGroup
@@ -210,17 +213,18 @@
 	return all
 }
 
-// maxLoad is the highest load of a node over the mean.
-func (w *world) maxLoad() float64 {
+// maxLoad returns the ratio of the highest load of a node to the mean load.
+func (w *simulation) maxLoad() float64 {
 	highest, sum := 0.0, 0.0
 	for _, n := range w.nodes {
-		highest = max(highest, n.inHand)
-		sum += n.inHand
+		highest = max(highest, n.loadIntegral)
+		sum += n.loadIntegral
 	}
 	return highest * float64(len(w.nodes)) / sum
 }
 
-// quantile returns the q-quantile of what value gives for the works it takes.
+// quantile returns the q-quantile of value over the requests for which value
+// returns true.
 func (r result) quantile(q float64, value func(*work) (time.Duration, bool)) time.Duration {
 	var all []time.Duration
 	for _, k := range r.works {
@@ -235,7 +239,8 @@
 	return all[int(q*float64(len(all)-1))]
 }
 
-// failures is the share of requests that an upstream failed.
+// failures returns the fraction of requests that an upstream answered with an
+// error.
 func (r result) failures() float64 {
 	n := 0
 	for _, k := range r.works {
@@ -246,4 +251,4 @@
 	return float64(n) / float64(len(r.works))
 }
 
-func wait(k *work) (time.Duration, bool) { return k.started - k.arrival, !k.refused }
+func queueTime(k *work) (time.Duration, bool) { return k.started - k.arrival, !k.refused }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,53 +8,54 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed refuses to write a request that was already reported as not sent.
-var errSealed = errors.New("upstream: the request was given up before it was sent")
+// errAborted is returned by writes of a request that was already reported as not
+// sent.
+var errAborted = errors.New("upstream: request aborted before its first byte was sent")
 
-// conn is a connection that knows whether the current request's first byte was
-// handed to the kernel.
+// conn is a connection that records whether the first byte of the current
+// request was passed to the kernel.
 type conn struct {
 	net.Conn
 	mu      sync.Mutex
 	written bool
-	sealed  bool
+	aborted bool
 }
 
-// begin starts a request on the connection.
+// begin records the start of a request on the connection.
 func (c *conn) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written = false
 }
 
-// seal keeps a request that has not begun from being written; it reports
-// whether it had begun.
-func (c *conn) seal() (written bool) {
+// abort blocks all writes to the connection if no byte of the current request
+// was written yet. It reports whether a byte was written.
+func (c *conn) abort() (written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = c.sealed || !c.written
+	c.aborted = c.aborted || !c.written
 	return c.written
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.aborted {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errAborted
 	}
 	c.written = true
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// sending follows one request over the connections that it gets.
-type sending struct {
+// sendTracker records the connections that net/http uses for one request.
+type sendTracker struct {
 	mu    sync.Mutex
 	conns []*conn
 }
 
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
+func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return
@@ -65,14 +66,15 @@
 	s.conns = append(s.conns, c)
 }
 
-// seal ends a failed request: nothing of it is written from now on unless it
-// was before. It returns what the failure means.
-func (s *sending) seal() error {
+// abort prevents a failed request from being written to a connection on which no
+// byte of it was sent yet. It returns the request's outcome, ErrNotSent or
+// ErrMayHaveRun.
+func (s *sendTracker) abort() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	outcome := ErrNotSent
 	for _, c := range s.conns {
-		if c.seal() {
+		if c.abort() {
 			outcome = ErrMayHaveRun
 		}
 	}
