--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// Payloads of the call benchmarks: about a heartbeat and a batch of records.
+// Payload sizes of the call benchmarks: roughly a heartbeat and a batch of records.
 const (
 	smallPayload = 100
 	largePayload = 10_000
@@ -44,7 +44,8 @@
 	return p
 }
 
-// BenchmarkHandshake dials and makes one call; both ends run here.
+// BenchmarkHandshake dials and makes one call. Client and server run in this process, so
+// the processor time covers both ends.
 func BenchmarkHandshake(b *testing.B) {
 	server := benchServer(b)
 	ring := benchRing(b)
@@ -67,8 +68,8 @@
 	b.ReportMetric(float64(bytes)/float64(b.N), "wire-B/op")
 }
 
-// cpuTime is the processor time of this process, which says more than the
-// elapsed time on a busy machine.
+// cpuTime returns the processor time of this process. Unlike elapsed time, it hardly
+// depends on the machine's other load.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage unix.Rusage
@@ -83,8 +84,8 @@
 	b.ReportMetric(float64(cpuTime(b)-start)/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkCall calls over one open connection; plain is net/rpc alone over
-// TCP without any authentication, for comparison.
+// BenchmarkCall makes calls over one open connection. For comparison, the "plain" variants
+// use net/rpc over unauthenticated TCP.
 func BenchmarkCall(b *testing.B) {
 	for name, size := range map[string]int{"small": smallPayload, "large": largePayload} {
 		payload := strings.Repeat("x", size)
@@ -117,7 +118,7 @@
 	b.ReportMetric(float64(total)/float64(b.N), "wire-B/op")
 }
 
-// BenchmarkManyCalls has many calls under way on one connection.
+// BenchmarkManyCalls makes concurrent calls over one connection.
 func BenchmarkManyCalls(b *testing.B) {
 	const callersPerThread = 16
 	server := benchServer(b)
@@ -174,28 +175,29 @@
 	reportCPU(b, start)
 }
 
-// BenchmarkIdleConnection reports the heap and stack that both ends of an open
-// connection hold together.
+// BenchmarkIdleConnection reports the heap and stack memory that an open connection uses at
+// both ends together.
 func BenchmarkIdleConnection(b *testing.B) {
 	const connections = 100
 	server := benchServer(b)
 	ring := benchRing(b)
 	var heap, stack uint64
 	for b.Loop() {
-		beforeHeap, beforeStack := inUse()
+		beforeHeap, beforeStack := memoryInUse()
 		for range connections {
 			client, err := peer.NewCaller(ring)
 			if err != nil {
 				b.Fatal(err)
 			}
-			// All stay open, so that none frees memory during a later measurement.
+			// All connections stay open: closing one would free memory during a later
+			// measurement.
 			b.Cleanup(func() { client.Close() })
 			var out string
 			if err := client.Call(context.Background(), server.Addr(), "Test.Echo", "", &out); err != nil {
 				b.Fatal(err)
 			}
 		}
-		afterHeap, afterStack := inUse()
+		afterHeap, afterStack := memoryInUse()
 		heap += afterHeap - beforeHeap
 		stack += afterStack - beforeStack
 	}
@@ -203,8 +205,8 @@
 	b.ReportMetric(float64(stack)/float64(b.N)/connections, "stack-B/conn")
 }
 
-func inUse() (heap, stack uint64) {
-	// The second collection takes what pools held on to during the first.
+func memoryInUse() (heap, stack uint64) {
+	// sync.Pool keeps its objects through the first collection; the second one frees them.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/peer/call_test.go
+++ b/internal/peer/call_test.go
@@ -17,8 +17,8 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// patience bounds each wait; no spec depends on how long one takes.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of a spec. No spec depends on how long a wait takes.
+const waitTimeout = 20 * time.Second
 
 const (
 	secretA = "1:000102030405060708090a0b0c0d0e0f"
@@ -35,7 +35,7 @@
 	return r
 }
 
-// service is a receiver whose methods the specs call.
+// service is the net/rpc receiver that the specs call.
 type service struct {
 	calls   atomic.Int64
 	entered chan struct{}
@@ -58,7 +58,7 @@
 	return rpc.ServerError("no " + in)
 }
 
-// Block returns when the spec releases it.
+// Block sends to entered, then waits until release is closed.
 func (s *service) Block(in string, out *string) error {
 	s.calls.Add(1)
 	s.entered <- struct{}{}
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// serve starts a peer with a service.
+// serve starts a peer that serves a new service under the name "Test".
 func serve(r *keyring.Ring, opts ...peer.Option) (*peer.Peer, *service) {
 	GinkgoHelper()
 	p, err := peer.Listen(loopback, r, opts...)
@@ -79,7 +79,7 @@
 }
 
 func echo(p *peer.Peer, addr netip.AddrPort) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	var out string
 	err := p.Call(ctx, addr, "Test.Echo", "hello", &out)
@@ -89,8 +89,8 @@
 	return err
 }
 
-// background starts a call of Block and returns its result's channel.
-func background(ctx context.Context, p *peer.Peer, addr netip.AddrPort) <-chan error {
+// startBlockingCall calls Block in the background and returns a channel for its result.
+func startBlockingCall(ctx context.Context, p *peer.Peer, addr netip.AddrPort) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		var out string
@@ -100,7 +100,7 @@
 }
 
 var _ = Describe("Call", func() {
-	It("tells a remote error from a lost call", func() {
+	It("returns an error of the method as a server error and a missing method as unreachable", func() {
 		a, _ := serve(ring(secretA))
 		b, _ := serve(ring(secretA))
 		Expect(echo(a, b.Addr())).To(Succeed())
@@ -114,7 +114,7 @@
 		Expect(echo(a, b.Addr())).To(Succeed())
 	})
 
-	It("is unreachable where nobody listens", func() {
+	It("is unreachable if no process listens at the address", func() {
 		a, _ := serve(ring(secretA))
 		b, _ := serve(ring(secretA))
 		addr := b.Addr()
@@ -122,36 +122,36 @@
 		Expect(echo(a, addr)).To(MatchError(peer.ErrUnreachable))
 	})
 
-	It("is unreachable, not interrupted, once the other process has gone while idle", func() {
+	It("is unreachable, not interrupted, if the remote process ended while the connection was idle", func() {
 		a, _ := serve(ring(secretA))
 		b, _ := serve(ring(secretA))
 		addr := b.Addr()
 		Expect(echo(a, addr)).To(Succeed())
 		Expect(b.Close()).To(Succeed())
-		Eventually(func() error { return echo(a, addr) }, patience).Should(MatchError(peer.ErrUnreachable))
-		again, err := peer.Listen(addr, ring(secretA))
+		Eventually(func() error { return echo(a, addr) }, waitTimeout).Should(MatchError(peer.ErrUnreachable))
+		restarted, err := peer.Listen(addr, ring(secretA))
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(again.Close)
-		Expect(again.Register("Test", newService())).To(Succeed())
+		DeferCleanup(restarted.Close)
+		Expect(restarted.Register("Test", newService())).To(Succeed())
 		Expect(echo(a, addr)).To(Succeed())
 	})
 
-	It("returns with its context and leaves the reply alone", func() {
+	It("is interrupted as soon as its context is cancelled", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA))
 		ctx, cancel := context.WithCancel(context.Background())
-		done := background(ctx, a, b.Addr())
-		Eventually(s.entered, patience).Should(Receive())
+		done := startBlockingCall(ctx, a, b.Addr())
+		Eventually(s.entered, waitTimeout).Should(Receive())
 		cancel()
 		var err error
-		Eventually(done, patience).Should(Receive(&err))
+		Eventually(done, waitTimeout).Should(Receive(&err))
 		Expect(err).To(MatchError(peer.ErrInterrupted))
 		Expect(err).To(MatchError(context.Canceled))
 		Expect(echo(a, b.Addr())).To(Succeed())
 		close(s.release)
 	})
 
-	It("never leaves when its context has ended before", func() {
+	It("is not sent if its context is already cancelled", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA))
 		ctx, cancel := context.WithCancel(context.Background())
@@ -162,55 +162,55 @@
 		Expect(s.calls.Load()).To(Equal(int64(1)))
 	})
 
-	It("is interrupted when the other process dies over it", func() {
+	It("is interrupted if the remote process closes while the method runs", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA))
-		done := background(context.Background(), a, b.Addr())
-		Eventually(s.entered, patience).Should(Receive())
+		done := startBlockingCall(context.Background(), a, b.Addr())
+		Eventually(s.entered, waitTimeout).Should(Receive())
 		Expect(b.Close()).To(Succeed())
 		var err error
-		Eventually(done, patience).Should(Receive(&err))
+		Eventually(done, waitTimeout).Should(Receive(&err))
 		Expect(err).To(MatchError(peer.ErrInterrupted))
 		close(s.release)
 	})
 
-	It("lets no slow method hold up others, and bounds those under way", func() {
+	It("runs methods concurrently and bounds the pending calls of a connection", func() {
 		const pending = 4
 		a, _ := serve(ring(secretA), peer.WithPending(pending))
 		b, s := serve(ring(secretA))
 		var blocked []<-chan error
 		for range pending - 1 {
-			blocked = append(blocked, background(context.Background(), a, b.Addr()))
-			Eventually(s.entered, patience).Should(Receive())
+			blocked = append(blocked, startBlockingCall(context.Background(), a, b.Addr()))
+			Eventually(s.entered, waitTimeout).Should(Receive())
 		}
 		Expect(echo(a, b.Addr())).To(Succeed())
-		blocked = append(blocked, background(context.Background(), a, b.Addr()))
-		Eventually(s.entered, patience).Should(Receive())
+		blocked = append(blocked, startBlockingCall(context.Background(), a, b.Addr()))
+		Eventually(s.entered, waitTimeout).Should(Receive())
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		var out string
 		Expect(a.Call(ctx, b.Addr(), "Test.Echo", "x", &out)).To(MatchError(peer.ErrUnreachable))
 		close(s.release)
 		for _, done := range blocked {
-			Eventually(done, patience).Should(Receive(BeNil()))
+			Eventually(done, waitTimeout).Should(Receive(BeNil()))
 		}
 	})
 
-	It("refuses a request that is too large without harm to the others", func() {
+	It("rejects a request that is too large and completes the other pending calls", func() {
 		a, _ := serve(ring(secretA), peer.WithMessageBytes(64<<10))
 		b, s := serve(ring(secretA))
-		done := background(context.Background(), a, b.Addr())
-		Eventually(s.entered, patience).Should(Receive())
+		done := startBlockingCall(context.Background(), a, b.Addr())
+		Eventually(s.entered, waitTimeout).Should(Receive())
 		var out string
 		err := a.Call(context.Background(), b.Addr(), "Test.Echo", strings.Repeat("x", 65<<10), &out)
 		Expect(err).To(MatchError(peer.ErrUnreachable))
 		Expect(err).To(MatchError(peer.ErrTooLarge))
 		Expect(echo(a, b.Addr())).To(Succeed())
 		close(s.release)
-		Eventually(done, patience).Should(Receive(BeNil()))
+		Eventually(done, waitTimeout).Should(Receive(BeNil()))
 	})
 
-	It("refuses a message that exceeds the reader's bound", func() {
+	It("rejects a message that exceeds the receiver's limit", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA), peer.WithMessageBytes(16<<10))
 		var out string
@@ -218,17 +218,17 @@
 		Expect(err).To(BeAssignableToTypeOf(rpc.ServerError("")))
 		Expect(err).To(MatchError(ContainSubstring(peer.ErrTooLarge.Error())))
 		Expect(s.calls.Load()).To(BeZero())
-		Eventually(func() error { return echo(a, b.Addr()) }, patience).Should(Succeed())
+		Eventually(func() error { return echo(a, b.Addr()) }, waitTimeout).Should(Succeed())
 	})
 
-	It("closes idle connections and counts bytes by process", func() {
+	It("closes idle connections and counts bytes per remote process", func() {
 		a, _ := serve(ring(secretA), peer.WithIdle(100*time.Millisecond))
 		b, _ := serve(ring(secretA))
 		Expect(echo(a, b.Addr())).To(Succeed())
 		sent := a.TrafficByPeer()[b.Addr().String()]
 		Expect(sent.Out).To(BeNumerically(">", 0))
 		Expect(sent.In).To(BeNumerically(">", 0))
-		Eventually(a.TrafficByPeer, patience).Should(BeEmpty())
+		Eventually(a.TrafficByPeer, waitTimeout).Should(BeEmpty())
 		var text bytes.Buffer
 		metrics.WritePrometheus(&text, false)
 		Expect(text.String()).To(ContainSubstring(`saltbend_peer_calls_total{method="Test.Echo",outcome="ok"} `))
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -13,22 +13,22 @@
 	"github.com/pkg/errors"
 )
 
-// clientConn is one connection of the pool, from the dialling on.
+// clientConn is one connection of the pool. It is added to the pool before it is dialled.
 type clientConn struct {
 	addr netip.AddrPort
-	// ready is closed when the dialling ended; the fields below it, down to
-	// err, are then fixed.
+	// ready is closed when dialling has succeeded or failed. The fields down to dialErr
+	// don't change after that.
 	ready   chan struct{}
 	tls     *tls.Conn
 	rpc     *rpc.Client
-	proved  string
+	peerKey string
 	dialErr error
 
 	outbox  *outbox
 	pending chan struct{}
 	lastUse atomic.Int64 // nanoseconds since the Unix epoch
-	// retired is set when no more calls can be sent; those that are pending
-	// go on, and the connection closes with the last of them.
+	// retired is set when no more calls can be sent on this connection. Pending calls
+	// complete; the connection is closed after the last of them.
 	retired atomic.Bool
 	ended   chan struct{}
 	once    sync.Once
@@ -52,7 +52,7 @@
 func (c *clientConn) key() string {
 	select {
 	case <-c.ready:
-		return c.proved
+		return c.peerKey
 	default:
 		return ""
 	}
@@ -71,7 +71,7 @@
 	})
 }
 
-// alive reports whether calls can be sent.
+// alive reports whether calls can still be sent on the connection.
 func (c *clientConn) alive() bool {
 	if c.retired.Load() {
 		return false
@@ -84,7 +84,8 @@
 	}
 }
 
-// writer writes the queued requests until the connection ends.
+// writer writes queued requests until the connection ends. bound limits the time of one
+// write.
 func (c *clientConn) writer(bound time.Duration) {
 	for {
 		select {
@@ -103,17 +104,17 @@
 // Call implements Caller.
 func (p *Peer) Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any) error {
 	for {
-		again, err := p.callOnce(ctx, addr, method, args, reply)
-		if !again {
-			p.traffic.called(method, err)
+		retry, err := p.callOnce(ctx, addr, method, args, reply)
+		if !retry {
+			p.traffic.countCall(method, err)
 			return err
 		}
 	}
 }
 
-// callOnce makes one attempt. It asks for another only when the connection
-// from the pool turned out to be dead before the call left.
-func (p *Peer) callOnce(ctx context.Context, addr netip.AddrPort, method string, args, reply any) (again bool, _ error) {
+// callOnce makes one attempt. retry is true only if the connection came from the pool and
+// turned out to be closed before the call was sent.
+func (p *Peer) callOnce(ctx context.Context, addr netip.AddrPort, method string, args, reply any) (retry bool, _ error) {
 	unreachable := func(cause error) error {
 		return &CallError{Outcome: ErrUnreachable, Addr: addr, Method: method, Cause: cause}
 	}
@@ -130,16 +131,17 @@
 	}
 	c.touch()
 	out := &outgoing{args: args}
-	// An own value is filled: after ctx has ended the caller's may be reused.
+	// The reply is decoded into a separate value: once ctx has ended, Call returns and the
+	// caller may reuse its own, while net/rpc may still decode the reply.
 	result := reflect.New(reflect.TypeOf(reply).Elem())
 	call := c.rpc.Go(method, out, result.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		c.finish()
+		c.releaseSlot()
 	case <-ctx.Done():
 		go func() {
 			<-call.Done
-			c.finish()
+			c.releaseSlot()
 		}()
 		return false, &CallError{Outcome: ErrInterrupted, Addr: addr, Method: method, Cause: ctx.Err()}
 	}
@@ -147,32 +149,33 @@
 		reflect.ValueOf(reply).Elem().Set(result.Elem())
 		return false, nil
 	}
-	again, err = failed(call, out, addr)
+	retry, err = classifyError(call, out, addr)
 	if errors.Is(err, ErrInterrupted) {
 		c.close()
 	}
-	return again && !fresh, err
+	return retry && !fresh, err
 }
 
-// failed returns the error of a call that ended with one, and whether another
-// attempt may fare better.
-func failed(call *rpc.Call, out *outgoing, addr netip.AddrPort) (again bool, _ error) {
+// classifyError returns the error of a failed call, and whether another attempt may
+// succeed.
+func classifyError(call *rpc.Call, out *outgoing, addr netip.AddrPort) (retry bool, _ error) {
 	result := &CallError{Outcome: ErrUnreachable, Addr: addr, Method: call.ServiceMethod, Cause: call.Error}
 	var remote rpc.ServerError
 	switch {
-	case errors.As(call.Error, &remote) && isNotServed(remote):
+	case errors.As(call.Error, &remote) && isMethodNotFound(remote):
 		return false, result
 	case errors.As(call.Error, &remote):
 		return false, remote
-	case !out.left.Load():
+	case !out.sent.Load():
 		return errors.Is(call.Error, rpc.ErrShutdown), result
 	}
 	result.Outcome = ErrInterrupted
 	return false, result
 }
 
-// finish gives back the place of a call that has ended.
-func (c *clientConn) finish() {
+// releaseSlot frees the pending slot of a call that has ended, and closes a retired
+// connection that has no other pending calls.
+func (c *clientConn) releaseSlot() {
 	c.touch()
 	<-c.pending
 	if c.retired.Load() && len(c.pending) == 0 {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -13,39 +13,40 @@
 // readBuffer is the size of the read-ahead buffer of a connection.
 const readBuffer = 1 << 10
 
-// keptBytes is the size up to which a connection keeps its buffer for the next
-// message; a configuration that was sent once must not stay for its lifetime.
-const keptBytes = 16 << 10
-
-// limitReader fails when one message takes more than its bound. The bound is
-// renewed at the start of each message; read-ahead counts against the message
-// that is being read, so the bound has that much room to spare.
+// maxRetainedBuffer is the largest encoding buffer that a connection keeps for the next
+// message. Without it, a connection that once sent a configuration would keep a buffer of
+// that size for as long as it is open.
+const maxRetainedBuffer = 16 << 10
+
+// limitReader limits the bytes that are read for one message. The limit is reset at the
+// start of each message. Bytes that the buffered reader reads ahead count against the
+// current message, so the limit is larger by the size of the read-ahead buffer.
 type limitReader struct {
-	r     io.Reader
-	bound int64
-	left  int64
+	r         io.Reader
+	bound     int64
+	remaining int64
 }
 
 func newLimitReader(r io.Reader, bound int64) *limitReader {
 	return &limitReader{r: r, bound: bound + readBuffer}
 }
 
-func (l *limitReader) renew() { l.left = l.bound }
+func (l *limitReader) reset() { l.remaining = l.bound }
 
-// Read implements io.Reader. It fails with ErrTooLarge beyond the bound.
+// Read implements io.Reader. It returns ErrTooLarge once the limit is used up.
 func (l *limitReader) Read(p []byte) (int, error) {
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, ErrTooLarge
 	}
-	if int64(len(p)) > l.left {
-		p = p[:l.left]
+	if int64(len(p)) > l.remaining {
+		p = p[:l.remaining]
 	}
 	n, err := l.r.Read(p)
-	l.left -= int64(n)
+	l.remaining -= int64(n)
 	return n, err
 }
 
-// gobReader decodes a stream of messages of bounded size.
+// gobReader decodes a stream of messages, each a header and a body, of limited size.
 type gobReader struct {
 	limit *limitReader
 	dec   *gob.Decoder
@@ -56,15 +57,17 @@
 	return &gobReader{limit: limit, dec: gob.NewDecoder(bufio.NewReaderSize(limit, readBuffer))}
 }
 
-// header decodes the first value of a message, body the second one.
+// header decodes the header of the next message and resets the size limit.
 func (g *gobReader) header(v any) error {
-	g.limit.renew()
+	g.limit.reset()
 	return g.dec.Decode(v)
 }
 
+// body decodes the body that follows the header.
 func (g *gobReader) body(v any) error { return g.dec.Decode(v) }
 
-// gobWriter encodes messages into byte slices; types are sent once.
+// gobWriter encodes messages into byte slices. Like any gob stream, it sends the definition
+// of a type only once, with its first value.
 type gobWriter struct {
 	buf   bytes.Buffer
 	enc   *gob.Encoder
@@ -77,10 +80,10 @@
 	return w
 }
 
-// message encodes a header and a body. After an error the stream of types is
-// broken and the connection must end.
+// message encodes a header and a body. After an error the connection must be closed: type
+// definitions may be missing from the stream, so that later messages can't be decoded.
 func (w *gobWriter) message(header, body any) ([]byte, error) {
-	defer w.renew()
+	defer w.reset()
 	if err := w.enc.Encode(header); err != nil {
 		return nil, err
 	}
@@ -90,32 +93,31 @@
 	if int64(w.buf.Len()) > w.bound {
 		return nil, ErrTooLarge
 	}
-	if w.buf.Cap() > keptBytes {
-		return w.buf.Bytes(), nil // renew leaves these bytes to the caller
+	if w.buf.Cap() > maxRetainedBuffer {
+		return w.buf.Bytes(), nil // reset allocates a new buffer: no copy needed
 	}
 	return bytes.Clone(w.buf.Bytes()), nil
 }
 
-// renew empties the buffer, and gives up a large one.
-func (w *gobWriter) renew() {
-	if w.buf.Cap() > keptBytes {
+// reset empties the buffer, and replaces one larger than maxRetainedBuffer.
+func (w *gobWriter) reset() {
+	if w.buf.Cap() > maxRetainedBuffer {
 		w.buf = bytes.Buffer{}
 		return
 	}
 	w.buf.Reset()
 }
 
-// outgoing wraps a call's arguments on their way through net/rpc, to learn
-// whether they left.
+// outgoing wraps a call's arguments for net/rpc and records whether they may have been
+// sent.
 type outgoing struct {
 	args any
-	// left is set before the first byte may leave.
-	left atomic.Bool
+	// sent is set before the request is queued for writing.
+	sent atomic.Bool
 }
 
-// clientCodec implements rpc.ClientCodec. It encodes in the caller's goroutine
-// and writes in another, so that a process that doesn't read holds up no
-// caller.
+// clientCodec implements rpc.ClientCodec. It encodes in the caller's goroutine and writes
+// in another, so that a remote process that doesn't read never blocks a caller.
 type clientCodec struct {
 	conn *clientConn
 	read *gobReader
@@ -136,7 +138,7 @@
 		c.conn.retired.Store(true)
 		return err
 	}
-	out.left.Store(true)
+	out.sent.Store(true)
 	c.conn.outbox.put(message)
 	return nil
 }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -9,27 +9,28 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of Call. They are matched with errors.Is; the cause, such as
-// context.DeadlineExceeded, matches too.
+// Errors of Call, to be matched with errors.Is. The underlying cause, such as
+// context.DeadlineExceeded, matches as well.
 var (
-	// ErrUnreachable says that the method has not run and will not: the call
-	// never left this process, or the other one doesn't serve the method, as
-	// while it starts.
+	// ErrUnreachable means that the method has not run and will not run: the call was never
+	// sent, or the remote process doesn't serve the method, for instance because it is
+	// still starting.
 	ErrUnreachable = errors.New("peer: unreachable")
-	// ErrInterrupted says that the call left and its reply didn't come: the
-	// method may have run, or may run yet.
+	// ErrInterrupted means that the call may have been sent and no reply was received: the
+	// method may have run, or may still run.
 	ErrInterrupted = errors.New("peer: interrupted")
-	// ErrTooLarge says that a message exceeded the bound.
+	// ErrTooLarge means that a message exceeded the size limit.
 	ErrTooLarge = errors.New("peer: message too large")
-	// ErrClosed says that this peer was closed.
+	// ErrClosed means that this peer was closed.
 	ErrClosed = errors.New("peer: closed")
-	// ErrUnauthenticated says that the other end holds none of the fleet's keys.
-	ErrUnauthenticated = errors.New("peer: the other end holds no key of the fleet")
-	// ErrProtocol says that the other end speaks another protocol version.
-	ErrProtocol = errors.New("peer: other protocol version")
+	// ErrUnauthenticated means that the remote end proved none of the fleet's keys.
+	ErrUnauthenticated = errors.New("peer: the remote end proved no key of the fleet")
+	// ErrProtocol means that the remote end uses another protocol version.
+	ErrProtocol = errors.New("peer: the remote end uses another protocol version")
 )
 
-// CallError tells which call failed, how far it came and why.
+// CallError describes a failed call: its method and address, whether it may have run, and
+// the cause.
 type CallError struct {
 	// Outcome is ErrUnreachable or ErrInterrupted.
 	Outcome error
@@ -43,14 +44,14 @@
 	return fmt.Sprintf("%v: %s at %s: %v", e.Outcome, e.Method, e.Addr, e.Cause)
 }
 
-// Unwrap lets errors.Is match both the outcome and the cause.
+// Unwrap makes errors.Is match both the outcome and the cause.
 func (e *CallError) Unwrap() []error { return []error{e.Outcome, e.Cause} }
 
-// notServed is how net/rpc's server begins its errors about a service or a
-// method that it doesn't know; the package has no typed error for it.
-const notServed = "rpc: can't find "
+// notFoundPrefix starts the error texts of net/rpc's server for an unknown service or
+// method. net/rpc has no typed error for them.
+const notFoundPrefix = "rpc: can't find "
 
-// isNotServed reports whether the other process doesn't serve the method.
-func isNotServed(remote rpc.ServerError) bool {
-	return strings.HasPrefix(string(remote), notServed)
+// isMethodNotFound reports whether the remote process doesn't serve the method.
+func isMethodNotFound(remote rpc.ServerError) bool {
+	return strings.HasPrefix(string(remote), notFoundPrefix)
 }
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -15,14 +15,15 @@
 	"github.com/saltbend/saltbend/internal/keyring"
 )
 
-// serverName is sent by callers and means nothing: the key is the identity.
+// serverName is the TLS server name and the certificate's common name. Neither is checked:
+// the key alone identifies a process of the fleet.
 const serverName = "saltbend"
 
-// nextProtocol tells a version of this protocol from others during the
-// handshake.
+// nextProtocol is the ALPN protocol name, which includes the protocol's version.
 const nextProtocol = "saltbend-peer/1"
 
-// identity holds the key that this process proves and those that it accepts.
+// identity holds the key pair that this process authenticates with, and the public keys
+// that it accepts from others.
 type identity struct {
 	mu       sync.RWMutex
 	own      *tls.Certificate
@@ -34,7 +35,8 @@
 	return id, id.set(ring)
 }
 
-// set derives the keys of ring: the first is proved, all are accepted.
+// set derives the keys of ring. The process authenticates with the first and accepts all of
+// them.
 func (id *identity) set(ring *keyring.Ring) error {
 	var own *tls.Certificate
 	accepted := make(map[string]struct{})
@@ -59,8 +61,8 @@
 	return nil
 }
 
-// certificate wraps the key in the form that TLS wants. Its fields are never
-// checked: whoever proves the key is a process of the fleet.
+// certificate returns a self-signed certificate for the key, as TLS requires one. Its
+// fields are never checked: any process that proves the key belongs to the fleet.
 func certificate(private ed25519.PrivateKey) (*tls.Certificate, error) {
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
@@ -70,10 +72,10 @@
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	// Without a source of randomness: ed25519 signs deterministically.
+	// No source of randomness is needed: ed25519 signatures are deterministic.
 	der, err := x509.CreateCertificate(bytes.NewReader(nil), template, template, private.Public(), private)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer: make certificate")
+		return nil, errors.Wrap(err, "peer: create certificate")
 	}
 	return &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, nil
 }
@@ -91,10 +93,11 @@
 	return ok
 }
 
-// verify accepts a connection whose other end has proved an accepted key. TLS
-// has checked the proof itself.
+// verify accepts a connection if the remote end has proved an accepted key and uses the
+// same protocol version. TLS has already verified that the remote end holds the private
+// key.
 func (id *identity) verify(state tls.ConnectionState) error {
-	if !id.accepts(provedKey(state)) {
+	if !id.accepts(peerPublicKey(state)) {
 		return ErrUnauthenticated
 	}
 	if state.NegotiatedProtocol != nextProtocol {
@@ -103,8 +106,8 @@
 	return nil
 }
 
-// provedKey returns the public key that the other end proved, or "".
-func provedKey(state tls.ConnectionState) string {
+// peerPublicKey returns the public key that the remote end has proved, or "".
+func peerPublicKey(state tls.ConnectionState) string {
 	if len(state.PeerCertificates) != 1 {
 		return ""
 	}
@@ -115,8 +118,9 @@
 	return string(key)
 }
 
-// config is the same for both ends. Sessions are not resumed: connections are
-// few and long, and a resumed one would outlive the key that it was made with.
+// config returns the TLS configuration of both clients and servers. Session resumption is
+// disabled: connections are few and long-lived, and a resumed session would remain valid
+// after the key that it was established with has been revoked.
 func (id *identity) config() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -124,7 +128,8 @@
 		ServerName:             serverName,
 		ClientAuth:             tls.RequireAnyClientCert,
 		SessionTicketsDisabled: true,
-		// The chain is not verified against authorities: verify does more.
+		// Certificates aren't verified against certificate authorities: verify requires one
+		// of the fleet's keys, which is stricter.
 		InsecureSkipVerify: true,
 		VerifyConnection:   id.verify,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/internal/peer/network_fault_test.go
+++ b/internal/peer/network_fault_test.go
@@ -19,7 +19,7 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// proxy starts a fault-injecting proxy before p.
+// proxy starts a fault-injecting proxy in front of p and returns it with its address.
 func proxy(p *peer.Peer) (*toxiproxy.Proxy, netip.AddrPort) {
 	GinkgoHelper()
 	logrus.SetOutput(io.Discard)
@@ -40,13 +40,13 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// recorder counts how often each call ran.
+// recorder counts how often each call was run.
 type recorder struct {
 	mu  sync.Mutex
 	ran map[int]int
 }
 
-// Run records the call.
+// Run counts one run of the call id.
 func (r *recorder) Run(id int, reply *int) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,16 +61,16 @@
 	return r.ran[id]
 }
 
-var _ = Describe("A cut network", func() {
-	It("interrupts a call under way; calls after it are unreachable", func() {
+var _ = Describe("Call over a faulty network", func() {
+	It("is interrupted if the connection is cut, and unreachable while it stays cut", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA))
 		proxy, addr := proxy(b)
-		done := background(context.Background(), a, addr)
-		Eventually(s.entered, patience).Should(Receive())
+		done := startBlockingCall(context.Background(), a, addr)
+		Eventually(s.entered, waitTimeout).Should(Receive())
 		proxy.Stop()
 		var err error
-		Eventually(done, patience).Should(Receive(&err))
+		Eventually(done, waitTimeout).Should(Receive(&err))
 		Expect(err).To(MatchError(peer.ErrInterrupted))
 		Expect(echo(a, addr)).To(MatchError(peer.ErrUnreachable))
 		Expect(proxy.Start()).To(Succeed())
@@ -78,24 +78,24 @@
 		close(s.release)
 	})
 
-	It("that swallows replies leaves the outcome open", func() {
+	It("is interrupted if the reply is lost", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA))
 		proxy, addr := proxy(b)
 		Expect(echo(a, addr)).To(Succeed())
 		toxic(proxy, "timeout", "downstream", `{"timeout":0}`)
 		ctx, cancel := context.WithCancel(context.Background())
-		done := background(ctx, a, addr)
-		Eventually(s.entered, patience).Should(Receive())
+		done := startBlockingCall(ctx, a, addr)
+		Eventually(s.entered, waitTimeout).Should(Receive())
 		close(s.release)
 		cancel()
 		var err error
-		Eventually(done, patience).Should(Receive(&err))
+		Eventually(done, waitTimeout).Should(Receive(&err))
 		Expect(err).To(MatchError(peer.ErrInterrupted))
 	})
 
-	It("so slow that writes block holds no call past its context", func() {
-		// Together the calls are larger than what sockets buffer on the way.
+	It("returns at the end of its context even if writes block", func() {
+		// Together the calls exceed the socket buffers on the path.
 		const calls, size, firstBytes = 16, 1 << 20, 32 << 10
 		a, _ := serve(ring(secretA))
 		b, _ := serve(ring(secretA))
@@ -111,7 +111,7 @@
 			}()
 		}
 		before := a.Traffic().Out
-		Eventually(func() uint64 { return a.Traffic().Out - before }, patience).Should(BeNumerically(">", firstBytes))
+		Eventually(func() uint64 { return a.Traffic().Out - before }, waitTimeout).Should(BeNumerically(">", firstBytes))
 		cancel()
 		for range calls {
 			var err error
@@ -121,8 +121,8 @@
 		Expect(echo(a, b.Addr())).To(Succeed())
 	})
 
-	It("at any byte never makes an outcome untrue", func() {
-		// The handshake takes some 1500 bytes each way, a call less than 200.
+	It("reports a correct outcome if the connection is cut after any number of bytes", func() {
+		// The handshake takes about 1500 bytes each way, a call fewer than 200.
 		const steps, stepBytes, perStep = 40, 61, 20
 		r := &recorder{ran: make(map[int]int)}
 		b, _ := serve(ring(secretA))
@@ -166,7 +166,7 @@
 				Expect(r.count(id)).To(BeNumerically("<=", 1))
 			default:
 				var remote rpc.ServerError
-				Expect(errors.As(err, &remote)).To(BeTrue(), "untyped error: %v", err)
+				Expect(errors.As(err, &remote)).To(BeTrue(), "neither unreachable, interrupted nor a server error: %v", err)
 			}
 		}
 		GinkgoWriter.Println(kinds)
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -10,32 +10,32 @@
 
 // Default limits.
 const (
-	// DefaultMessageBytes bounds one request or reply: a configuration of the
-	// store's megabyte, encoded, with room to spare.
+	// DefaultMessageBytes is the largest size of one request or reply. It leaves room for
+	// an encoded configuration of the store's maximum size of 1 MiB.
 	DefaultMessageBytes = 2 << 20
-	// DefaultPending bounds the calls under way on one connection, at either
-	// end. More wait.
+	// DefaultPending is the largest number of pending calls of one connection, at either
+	// end. Further calls wait.
 	DefaultPending = 256
-	// DefaultIdle closes a connection that carried no call for so long.
+	// DefaultIdle is the time without calls after which a connection is closed.
 	DefaultIdle = 2 * time.Minute
-	// DefaultDial bounds connecting and the handshake, at either end.
+	// DefaultDial is the timeout of connecting and of the handshake, at either end.
 	DefaultDial = 3 * time.Second
-	// DefaultWrite bounds one write to a process that doesn't read.
+	// DefaultWrite is the timeout of one write, for remote processes that don't read.
 	DefaultWrite = 10 * time.Second
-	// DefaultServed bounds the connections that are served at once, those in
-	// the handshake among them.
+	// DefaultServed is the largest number of connections served at once, including those
+	// that are still in the handshake.
 	DefaultServed = 4096
-	// DefaultHandshakes bounds the handshakes a second that are answered, and
-	// DefaultHandshakeBurst those at once. A handshake costs about a
-	// millisecond of processor time, which processes without a key must not
-	// take from traffic; a restart of the whole fleet brings a process some
-	// dozens.
+	// DefaultHandshakes is the rate limit of answered handshakes, in handshakes per second,
+	// and DefaultHandshakeBurst its burst. A handshake costs about a millisecond of
+	// processor time; without the limit, processes without a key could take processor time
+	// away from traffic. A restart of the whole fleet causes some dozens of handshakes per
+	// process.
 	DefaultHandshakes     = 100
 	DefaultHandshakeBurst = 200
 )
 
-// serverIdleFactor keeps the server's end open for longer than the caller's,
-// so that no call meets a connection that the server is closing for idleness.
+// serverIdleFactor is the server's idle timeout relative to the client's. The server's is
+// longer, so that no call is sent on a connection that the server is closing as idle.
 const serverIdleFactor = 3
 
 type options struct {
@@ -65,47 +65,46 @@
 	}
 }
 
-// Option changes a limit of a peer.
+// Option changes a default of a peer.
 type Option func(*options)
 
-// WithLogger logs refused connections to l.
+// WithLogger logs refused connections and accept errors to l.
 func WithLogger(l *slog.Logger) Option {
 	return func(o *options) { o.logger = l }
 }
 
-// WithAdvertised makes addr the address by which others know the process, in
-// place of the one that it listens at. The zero value changes nothing.
+// WithAdvertised makes addr the address that other processes use for this one, in place of
+// its listen address. The zero value changes nothing.
 func WithAdvertised(addr netip.AddrPort) Option {
 	return func(o *options) { o.advertised = addr }
 }
 
-// WithMessageBytes bounds one request or reply to n bytes.
+// WithMessageBytes limits one request or reply to n bytes.
 func WithMessageBytes(n int64) Option {
 	return func(o *options) { o.messageBytes = n }
 }
 
-// WithPending bounds the calls under way on one connection.
+// WithPending limits the pending calls of one connection to n.
 func WithPending(n int) Option {
 	return func(o *options) { o.pending = n }
 }
 
-// WithIdle closes connections that carried no call for d.
+// WithIdle closes connections that have carried no call for d.
 func WithIdle(d time.Duration) Option {
 	return func(o *options) { o.idle = d }
 }
 
-// WithDial bounds connecting and the handshake to d.
+// WithDial limits the time of connecting and of the handshake to d.
 func WithDial(d time.Duration) Option {
 	return func(o *options) { o.dial = d }
 }
 
-// WithServed bounds the connections that are served at once.
+// WithServed limits the connections that are served at once to n.
 func WithServed(n int) Option {
 	return func(o *options) { o.maxServed = n }
 }
 
-// WithHandshakes bounds the handshakes that are answered to a rate a second,
-// and to burst at once.
+// WithHandshakes limits the answered handshakes to a rate per second with the given burst.
 func WithHandshakes(perSecond rate.Limit, burst int) Option {
 	return func(o *options) { o.handshakes, o.burst = perSecond, burst }
 }
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// outbox holds encoded requests until the writer takes them. It needs no bound
-// of its own: it holds no more than the calls that may be pending.
+// outbox queues encoded requests for the writer. It needs no limit: it never holds more
+// requests than there may be pending calls.
 type outbox struct {
 	mu       sync.Mutex
 	messages [][]byte
-	// filled has a value when there are messages to take.
+	// filled holds a value while there are messages to take.
 	filled chan struct{}
 }
 
@@ -18,7 +18,7 @@
 	return &outbox{filled: make(chan struct{}, 1)}
 }
 
-// put adds a message; it never blocks.
+// put queues a message without blocking.
 func (o *outbox) put(message []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// take returns all messages in their order, as one write.
+// take removes all messages and returns them in order, joined for a single write.
 func (o *outbox) take() []byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries net/rpc between the system's processes over mutually
-// authenticated TLS. A process proves that it holds the fleet's current or
-// previous secret; a process without one can neither call nor read.
+// Package peer carries net/rpc calls between saltbend's processes over mutually
+// authenticated TLS. Each process proves that it holds the fleet's current or previous
+// secret. A process without a secret can neither make calls nor read any.
 package peer
 
 import (
@@ -17,37 +17,37 @@
 	"github.com/saltbend/saltbend/internal/keyring"
 )
 
-// Part is the fixed prefix of this package's logs.
+// Part names this package in log lines.
 const Part = "peer"
 
 // Caller calls methods of other processes.
 type Caller interface {
-	// Call runs method at addr and fills reply. It returns when the reply is
-	// there or ctx ends; in the second case the method may run all the same.
+	// Call runs method at addr and fills reply. It returns when the reply has been received
+	// or ctx ends; in the latter case the method may still run.
 	//
-	// An error is one of: rpc.ServerError, which the method returned;
-	// ErrUnreachable, after which the method has not run and will not; and
-	// ErrInterrupted, after which it may have run or may run yet.
+	// An error is one of: rpc.ServerError, which the method returned; ErrUnreachable if the
+	// method has not run and will not run; ErrInterrupted if it may have run or may still
+	// run.
 	Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any) error
 }
 
-// Registry takes receivers whose methods other processes may call.
+// Registry registers receivers for calls from other processes.
 type Registry interface {
 	// Register adds the methods of receiver under name, as net/rpc does.
 	Register(name string, receiver any) error
 }
 
-// Peer is one process's end of the control traffic: it serves the registered
-// methods and calls those of others. It is safe for concurrent use.
+// Peer is the endpoint of one process for control traffic: it serves the registered methods
+// and calls methods of other processes. It is safe for concurrent use.
 type Peer struct {
-	options  options
-	listener net.Listener
-	identity *identity
-	rpc      *rpc.Server
-	traffic  *traffic
-	slots    chan struct{}
-	refusals *rate.Limiter
-	welcomes *rate.Limiter
+	options         options
+	listener        net.Listener
+	identity        *identity
+	rpc             *rpc.Server
+	traffic         *traffic
+	slots           chan struct{}
+	refusalLogLimit *rate.Limiter
+	handshakeLimit  *rate.Limiter
 
 	mu     sync.Mutex
 	closed bool
@@ -61,7 +61,8 @@
 	_ Registry = (*Peer)(nil)
 )
 
-// Listen serves control traffic at addr, authenticated by the ring's keys.
+// Listen returns a peer that serves control traffic at addr, authenticated by the ring's
+// keys.
 func Listen(addr netip.AddrPort, ring *keyring.Ring, opts ...Option) (*Peer, error) {
 	p, err := newPeer(ring, opts)
 	if err != nil {
@@ -73,17 +74,17 @@
 	}
 	p.listener = listener
 	go p.accept()
-	go p.janitor()
+	go p.closeIdleConnections()
 	return p, nil
 }
 
-// NewCaller returns a peer that only calls, for tools that serve nothing.
+// NewCaller returns a peer that makes calls but serves none, for command-line tools.
 func NewCaller(ring *keyring.Ring, opts ...Option) (*Peer, error) {
 	p, err := newPeer(ring, opts)
 	if err != nil {
 		return nil, err
 	}
-	go p.janitor()
+	go p.closeIdleConnections()
 	return p, nil
 }
 
@@ -97,23 +98,24 @@
 		return nil, err
 	}
 	p := &Peer{
-		options:  o,
-		identity: id,
-		rpc:      rpc.NewServer(),
-		traffic:  newTraffic(),
-		slots:    make(chan struct{}, o.maxServed),
-		refusals: rate.NewLimiter(refusalsPerSecond, refusalBurst),
-		welcomes: rate.NewLimiter(o.handshakes, o.burst),
-		served:   make(map[*serverConn]struct{}),
-		pool:     make(map[netip.AddrPort]*clientConn),
-		done:     make(chan struct{}),
-	}
-	p.traffic.gauges(p)
+		options:         o,
+		identity:        id,
+		rpc:             rpc.NewServer(),
+		traffic:         newTraffic(),
+		slots:           make(chan struct{}, o.maxServed),
+		refusalLogLimit: rate.NewLimiter(refusalsPerSecond, refusalBurst),
+		handshakeLimit:  rate.NewLimiter(o.handshakes, o.burst),
+		served:          make(map[*serverConn]struct{}),
+		pool:            make(map[netip.AddrPort]*clientConn),
+		done:            make(chan struct{}),
+	}
+	p.traffic.registerGauges(p)
 	return p, nil
 }
 
-// Addr returns the address by which others call the process, or the zero value
-// of a peer that only calls.
+// Addr returns the address that other processes use to call this one: the advertised
+// address if there is one, otherwise the listen address. It returns the zero value for a
+// peer without a listener.
 func (p *Peer) Addr() netip.AddrPort {
 	if p.options.advertised.IsValid() {
 		return p.options.advertised
@@ -121,8 +123,8 @@
 	return p.Bound()
 }
 
-// Bound returns the address that is listened at, or the zero value of a peer
-// that only calls.
+// Bound returns the address that the listener is bound to, or the zero value for a peer
+// without a listener.
 func (p *Peer) Bound() netip.AddrPort {
 	if p.listener == nil {
 		return netip.AddrPort{}
@@ -135,8 +137,8 @@
 	return errors.Wrapf(p.rpc.RegisterName(name, receiver), "peer: register %s", name)
 }
 
-// SetRing puts the ring's keys in force. Connections to processes that proved
-// a key which the ring no longer holds are closed; the others go on.
+// SetRing replaces the keys. Connections that were authenticated with a key which is not in
+// the new ring are closed; other connections stay open.
 func (p *Peer) SetRing(ring *keyring.Ring) error {
 	if err := p.identity.set(ring); err != nil {
 		return err
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// Close ends all connections. Calls under way return ErrInterrupted.
+// Close closes the listener and all connections. Pending calls return ErrInterrupted.
 func (p *Peer) Close() error {
 	p.mu.Lock()
 	if p.closed {
@@ -170,9 +172,9 @@
 	return err
 }
 
-// connection is either end of one authenticated connection.
+// connection is the client's or the server's end of an authenticated connection.
 type connection interface {
-	// key is the public key that the other end proved; empty before that.
+	// key returns the public key that the remote end proved, or "" before the handshake.
 	key() string
 	close()
 }
@@ -190,9 +192,9 @@
 	return all
 }
 
-// janitor drops connections that nobody uses.
-func (p *Peer) janitor() {
-	ticker := time.NewTicker(p.options.idle / janitorsPerIdle)
+// closeIdleConnections periodically closes idle connections until the peer is closed.
+func (p *Peer) closeIdleConnections() {
+	ticker := time.NewTicker(p.options.idle / checksPerIdlePeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -204,13 +206,12 @@
 	}
 }
 
-// Refused connections are logged up to this rate, so that processes without a key can't
-// flood the log; the metric counts them all.
+// Refused connections are logged at most at this rate, so that processes without a key
+// can't flood the log. The metric counts all of them.
 const (
 	refusalsPerSecond = 1
 	refusalBurst      = 10
 )
 
-// janitorsPerIdle is how often within the idle time idle connections are
-// looked for.
-const janitorsPerIdle = 4
+// checksPerIdlePeriod is how often idle connections are looked for during one idle timeout.
+const checksPerIdlePeriod = 4
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -12,20 +12,21 @@
 	"github.com/pkg/errors"
 )
 
-// greeting is the first byte that a server sends after it has accepted the
-// caller's key. Without it a caller couldn't tell a refusal from a call that
-// was cut, because a TLS 1.3 client is done before the server has checked it.
-const greeting = 1
+// acceptByte is the first byte that a server sends, once it has accepted the client's key.
+// A TLS 1.3 client completes its handshake before the server has verified the client's
+// certificate. Without this byte, a client couldn't distinguish a refused connection from
+// one that was cut during a call.
+const acceptByte = 1
 
-// connect returns the pool's live connection to addr, dialling it if there is
-// none. fresh tells that the connection was dialled for this call.
+// connect returns the pool's open connection to addr, and dials one if there is none. fresh
+// is true if the connection was dialled for this call.
 func (p *Peer) connect(ctx context.Context, addr netip.AddrPort) (c *clientConn, fresh bool, _ error) {
 	c, fresh, err := p.pooled(addr)
 	if err != nil {
 		return nil, false, err
 	}
 	if fresh {
-		// Not bound to ctx: other calls may wait for the same connection.
+		// Dialling isn't bound to ctx, because other calls may wait for the same connection.
 		go p.dial(c)
 	}
 	select {
@@ -50,25 +51,25 @@
 	return c, true, nil
 }
 
-// dial connects c and starts its goroutines, or records why it can't.
+// dial connects c and starts its goroutines, or sets dialErr.
 func (p *Peer) dial(c *clientConn) {
 	defer close(c.ready)
 	conn, err := p.handshake(c.addr)
 	if err != nil {
 		c.dialErr = err
 		c.close()
-		p.forget(c)
+		p.removeFromPool(c)
 		return
 	}
 	c.tls = conn
-	c.proved = provedKey(conn.ConnectionState())
+	c.peerKey = peerPublicKey(conn.ConnectionState())
 	bound := p.options.messageBytes
 	codec := &clientCodec{conn: c, read: newGobReader(&closingReader{conn, c.close}, bound), w: newGobWriter(bound)}
 	c.rpc = rpc.NewClientWithCodec(codec)
 	go c.writer(p.options.write)
 }
 
-// handshake connects to addr and waits until the other end accepts the key.
+// handshake connects to addr and waits until the remote end has accepted the key.
 func (p *Peer) handshake(addr netip.AddrPort) (*tls.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.dial)
 	defer cancel()
@@ -76,15 +77,15 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := tls.Client(p.traffic.count(raw, addr.String()), p.identity.config())
-	if err := p.greeted(ctx, conn); err != nil {
+	conn := tls.Client(p.traffic.countConn(raw, addr.String()), p.identity.config())
+	if err := p.awaitAcceptance(ctx, conn); err != nil {
 		conn.Close()
 		return nil, errors.Wrap(err, "handshake")
 	}
 	return conn, nil
 }
 
-func (p *Peer) greeted(ctx context.Context, conn *tls.Conn) error {
+func (p *Peer) awaitAcceptance(ctx context.Context, conn *tls.Conn) error {
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return err
 	}
@@ -96,14 +97,14 @@
 	if _, err := io.ReadFull(conn, first[:]); err != nil {
 		return err
 	}
-	if first[0] != greeting {
+	if first[0] != acceptByte {
 		return ErrProtocol
 	}
 	return conn.SetReadDeadline(time.Time{})
 }
 
-// forget takes c out of the pool.
-func (p *Peer) forget(c *clientConn) {
+// removeFromPool removes c unless the pool already holds another connection to its address.
+func (p *Peer) removeFromPool(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.pool[c.addr] == c {
@@ -111,8 +112,8 @@
 	}
 }
 
-// dropIdle closes and forgets the connections without calls, and those that
-// have ended.
+// dropIdle closes connections that have been idle for the idle timeout, and removes them
+// and those that have ended from the pool.
 func (p *Peer) dropIdle() {
 	oldest := time.Now().Add(-p.options.idle).UnixNano()
 	p.mu.Lock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// closingReader marks its connection as ended when a read fails.
+// closingReader calls closed when a read fails.
 type closingReader struct {
 	net.Conn
 	closed func()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,11 +13,12 @@
 	"github.com/pkg/errors"
 )
 
-// acceptPause is the wait after an error of accept, such as too many open
-// files.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, for instance because too many files
+// are open.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// accept serves connections until the listener is closed.
+// accept accepts connections until the listener is closed. It closes a connection at once
+// if the limit of served connections is reached.
 func (p *Peer) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -25,8 +26,8 @@
 			return
 		}
 		if err != nil {
-			p.options.logger.Warn("Accept failed.", slog.String("error", err.Error()))
-			time.Sleep(acceptPause)
+			p.options.logger.Warn("Accepting a connection failed.", slog.String("error", err.Error()))
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
@@ -39,13 +40,13 @@
 	}
 }
 
-// serve answers the calls of one connection until it ends.
+// serve authenticates one connection and answers its calls until it ends.
 func (p *Peer) serve(raw net.Conn) {
 	defer func() { <-p.slots }()
 	remote := raw.RemoteAddr().(*net.TCPAddr).AddrPort()
-	conn := tls.Server(p.traffic.count(raw, remote.Addr().String()), p.identity.config())
+	conn := tls.Server(p.traffic.countConn(raw, remote.Addr().String()), p.identity.config())
 	defer conn.Close()
-	if err := p.welcome(conn); err != nil {
+	if err := p.acceptHandshake(conn); err != nil {
 		p.refuse(remote, err)
 		return
 	}
@@ -57,13 +58,13 @@
 	p.rpc.ServeCodec(c)
 }
 
-// welcome makes the handshake and tells the caller that its key is accepted.
-// Above the rate of handshakes a connection waits, and is refused at once when
-// its turn would come too late.
-func (p *Peer) welcome(conn *tls.Conn) error {
+// acceptHandshake performs the handshake and confirms to the client that its key was
+// accepted. A connection above the rate limit of handshakes waits; it is refused at once if
+// it would have to wait longer than the handshake's timeout.
+func (p *Peer) acceptHandshake(conn *tls.Conn) error {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.dial)
 	defer cancel()
-	if err := p.welcomes.Wait(ctx); err != nil {
+	if err := p.handshakeLimit.Wait(ctx); err != nil {
 		return err
 	}
 	if err := conn.HandshakeContext(ctx); err != nil {
@@ -72,21 +73,21 @@
 	if err := conn.SetWriteDeadline(time.Now().Add(p.options.dial)); err != nil {
 		return err
 	}
-	_, err := conn.Write([]byte{greeting})
+	_, err := conn.Write([]byte{acceptByte})
 	return err
 }
 
 func (p *Peer) refuse(remote netip.AddrPort, err error) {
 	p.traffic.refused.Inc()
-	if !p.refusals.Allow() {
+	if !p.refusalLogLimit.Allow() {
 		return
 	}
 	p.options.logger.Warn("Connection refused.",
 		slog.String("remote", remote.String()), slog.String("error", err.Error()))
 }
 
-// admit registers c, unless the peer was closed or the key was revoked since
-// the handshake.
+// admit registers c, unless the peer has been closed or the key revoked since the
+// handshake.
 func (p *Peer) admit(c *serverConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,9 +107,9 @@
 	delete(p.served, c)
 }
 
-// serverConn implements rpc.ServerCodec. net/rpc runs each call in its own
-// goroutine, so a slow method holds up no other; a caller that has too many
-// under way is read no further.
+// serverConn implements rpc.ServerCodec. net/rpc runs each call in its own goroutine, so a
+// slow method doesn't delay others. No further requests are read from a connection that has
+// reached the limit of pending calls.
 type serverConn struct {
 	tls     *tls.Conn
 	options options
@@ -131,13 +132,13 @@
 }
 
 // key implements connection.
-func (c *serverConn) key() string { return provedKey(c.tls.ConnectionState()) }
+func (c *serverConn) key() string { return peerPublicKey(c.tls.ConnectionState()) }
 
 // close implements connection.
 func (c *serverConn) close() {
 	c.once.Do(func() {
 		close(c.ended)
-		// Closing TLS may wait for a process that doesn't read.
+		// Closing TLS writes an alert, which may block if the remote process doesn't read.
 		go c.tls.Close()
 	})
 }
@@ -162,8 +163,8 @@
 // ReadRequestBody implements rpc.ServerCodec.
 func (c *serverConn) ReadRequestBody(body any) error { return c.read.body(body) }
 
-// WriteResponse implements rpc.ServerCodec; net/rpc calls it once per request,
-// one at a time.
+// WriteResponse implements rpc.ServerCodec. net/rpc calls it once per request and never
+// concurrently.
 func (c *serverConn) WriteResponse(r *rpc.Response, body any) error {
 	defer func() { <-c.pending }()
 	message, err := c.w.message(r, body)
--- a/internal/peer/socket.go
+++ b/internal/peer/socket.go
@@ -10,10 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// deadPeer is the time after which a connection whose other end no longer
-// acknowledges is given up, whether data or keep-alives are under way.
+// Timeouts of unresponsive connections. A connection is closed after deadPeerTimeout without
+// an acknowledgement, whether of data or of keep-alive probes: 4 s idle and 3 probes every
+// 2 s add up to the same 10 s.
 const (
-	deadPeer          = 10 * time.Second
+	deadPeerTimeout   = 10 * time.Second
 	keepAliveIdle     = 4 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
@@ -34,12 +35,12 @@
 	return config.Listen(context.Background(), "tcp", addr.String())
 }
 
-// setUserTimeout bounds the time that sent data may stay unacknowledged; the
-// kernel's own bound is a quarter of an hour. Accepted sockets inherit it.
+// setUserTimeout limits the time that sent data may stay unacknowledged. The kernel's
+// default is about 15 minutes. Accepted sockets inherit the option.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadPeer.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadPeerTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -10,12 +10,12 @@
 	"github.com/pkg/errors"
 )
 
-// Bytes are bytes on the wire above TCP, handshakes among them.
+// Bytes are counts of TCP payload bytes, including TLS handshakes.
 type Bytes struct {
 	In, Out uint64
 }
 
-// traffic counts the bytes of all connections and of each other process.
+// traffic counts bytes in total and per remote process.
 type traffic struct {
 	set     *metrics.Set
 	in, out atomic.Uint64
@@ -25,8 +25,8 @@
 	peers map[string]*peerBytes
 }
 
-// peerBytes are the counters of one other process. Dialled ones are named by
-// address, callers by IP only: their ports mean nothing.
+// peerBytes are the counters of one remote process. A process that was dialled is named by
+// its address; one that called is named by its IP address only, as its port is ephemeral.
 type peerBytes struct {
 	in, out *metrics.Counter
 	conns   int
@@ -43,13 +43,13 @@
 
 func (t *traffic) close() { metrics.UnregisterSet(t.set, true) }
 
-// Traffic returns the bytes of all connections since the start.
+// Traffic returns the bytes of all connections since the peer was created.
 func (p *Peer) Traffic() Bytes {
 	return Bytes{In: p.traffic.in.Load(), Out: p.traffic.out.Load()}
 }
 
-// TrafficByPeer returns the bytes per other process: by address for those that
-// this one called, by IP for those that called it.
+// TrafficByPeer returns the bytes per connected process: by address for those that this
+// process called, by IP address for those that called it.
 func (p *Peer) TrafficByPeer() map[string]Bytes {
 	p.traffic.mu.Lock()
 	defer p.traffic.mu.Unlock()
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("saltbend_peer_bytes_total{peer=%q,direction=%q}", peer, direction)
 }
 
-// Outcomes of calls in metrics.
+// Values of the outcome label of the calls metric.
 const (
 	outcomeOK          = "ok"
 	outcomeRemote      = "remote-error"
@@ -72,9 +72,9 @@
 	outcomeInterrupted = "interrupted"
 )
 
-// called counts a call by its outcome. There are as many methods as the
-// program's code names.
-func (t *traffic) called(method string, err error) {
+// countCall counts a call by method and outcome. The label values are bounded: method names
+// come from the program's code only.
+func (t *traffic) countCall(method string, err error) {
 	outcome := outcomeRemote
 	switch {
 	case err == nil:
@@ -87,21 +87,21 @@
 	t.set.GetOrCreateCounter(fmt.Sprintf("saltbend_peer_calls_total{method=%q,outcome=%q}", method, outcome)).Inc()
 }
 
-// gauges shows the numbers of open connections.
-func (t *traffic) gauges(p *Peer) {
-	show := func(side string, count func() int) {
+// registerGauges registers the gauges of open connections.
+func (t *traffic) registerGauges(p *Peer) {
+	register := func(side string, count func() int) {
 		t.set.NewGauge(fmt.Sprintf("saltbend_peer_connections{side=%q}", side), func() float64 {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return float64(count())
 		})
 	}
-	show("calling", func() int { return len(p.pool) })
-	show("serving", func() int { return len(p.served) })
+	register("calling", func() int { return len(p.pool) })
+	register("serving", func() int { return len(p.served) })
 }
 
-// count wraps conn so that its bytes are counted under the name.
-func (t *traffic) count(conn net.Conn, name string) net.Conn {
+// countConn returns conn wrapped so that its bytes are counted under name.
+func (t *traffic) countConn(conn net.Conn, name string) net.Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := t.peers[name]
@@ -116,9 +116,9 @@
 	return &countedConn{Conn: conn, traffic: t, name: name, bytes: b}
 }
 
-// drop gives up one connection's use of the counters; without any they vanish,
-// so that their number stays that of the processes in touch.
-func (t *traffic) drop(name string) {
+// releaseCounters ends one connection's use of the counters of name. They are unregistered
+// with the last connection, so that there are only counters of connected processes.
+func (t *traffic) releaseCounters(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := t.peers[name]
@@ -161,6 +161,6 @@
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.once.Do(func() { c.traffic.drop(c.name) })
+	c.once.Do(func() { c.traffic.releaseCounters(c.name) })
 	return c.Conn.Close()
 }
--- a/internal/peer/unauthenticated_test.go
+++ b/internal/peer/unauthenticated_test.go
@@ -14,7 +14,7 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// shortDial is the handshake bound of specs that wait for it to pass.
+// shortDial is the handshake timeout of specs that wait for it to expire.
 const shortDial = 200 * time.Millisecond
 
 // connect opens a plain connection to p.
@@ -23,12 +23,12 @@
 	conn, err := net.Dial("tcp", p.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
-	Expect(conn.SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(conn.SetDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	return conn
 }
 
-// expectEnd reads until the other end closes, which must come before the
-// deadline of the connection.
+// expectEnd reads until the remote end closes the connection, which must happen before the
+// connection's deadline. It returns what was read.
 func expectEnd(conn net.Conn) []byte {
 	GinkgoHelper()
 	got, err := io.ReadAll(conn)
@@ -38,7 +38,7 @@
 	return got
 }
 
-var _ = Describe("A stranger", func() {
+var _ = Describe("An unauthenticated process", func() {
 	It("with another key can neither call nor be called", func() {
 		a, ours := serve(ring(secretA))
 		b, theirs := serve(ring(secretB))
@@ -48,18 +48,18 @@
 		Expect(ours.calls.Load() + theirs.calls.Load()).To(BeZero())
 	})
 
-	It("without a key reads nothing", func() {
+	It("without a key receives no data", func() {
 		a, _ := serve(ring(secretA))
 		conn := tls.Client(connect(a), &tls.Config{
 			InsecureSkipVerify: true,
 			NextProtos:         []string{"saltbend-peer/1"},
 		})
-		// The caller's end of the handshake may succeed before its key is asked for.
+		// The client's handshake may succeed before the server has verified the client's key.
 		_ = conn.Handshake()
 		Expect(expectEnd(conn)).To(BeEmpty())
 	})
 
-	It("that sends garbage is closed and disturbs nobody", func() {
+	It("that sends garbage is disconnected without affecting other processes", func() {
 		a, _ := serve(ring(secretA))
 		b, _ := serve(ring(secretA))
 		conn := connect(a)
@@ -69,15 +69,15 @@
 		Expect(echo(b, a.Addr())).To(Succeed())
 	})
 
-	It("that stays silent holds a place only for the handshake's bound", func() {
+	It("that sends nothing occupies a connection slot no longer than the handshake timeout", func() {
 		a, _ := serve(ring(secretA), peer.WithServed(1), peer.WithDial(shortDial))
 		b, _ := serve(ring(secretA))
 		silent := connect(a)
-		Eventually(func() error { return echo(b, a.Addr()) }, patience).Should(Succeed())
+		Eventually(func() error { return echo(b, a.Addr()) }, waitTimeout).Should(Succeed())
 		expectEnd(silent)
 	})
 
-	It("takes no more processor time than the rate of handshakes allows", func() {
+	It("is refused above the rate limit of handshakes, while open connections continue", func() {
 		a, _ := serve(ring(secretA), peer.WithHandshakes(rate.Every(time.Hour), 2))
 		b, _ := serve(ring(secretA))
 		Expect(echo(b, a.Addr())).To(Succeed())
@@ -85,14 +85,14 @@
 		_, err := garbage.Write([]byte("garbage\r\n"))
 		Expect(err).NotTo(HaveOccurred())
 		expectEnd(garbage)
-		late, err := peer.NewCaller(ring(secretA))
+		newcomer, err := peer.NewCaller(ring(secretA))
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(late.Close)
-		Expect(echo(late, a.Addr())).To(MatchError(peer.ErrUnreachable))
+		DeferCleanup(newcomer.Close)
+		Expect(echo(newcomer, a.Addr())).To(MatchError(peer.ErrUnreachable))
 		Expect(echo(b, a.Addr())).To(Succeed())
 	})
 
-	It("that accepts and stays silent is unreachable after the handshake's bound", func() {
+	It("that accepts connections and sends nothing is unreachable after the handshake timeout", func() {
 		listener, err := net.Listen("tcp", loopback.String())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -102,7 +102,7 @@
 })
 
 var _ = Describe("Key rotation", func() {
-	It("goes through the fleet one process at a time without a lost call", func() {
+	It("can be applied to one process after another without a failed call", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA))
 		both := func() {
@@ -111,9 +111,9 @@
 			Expect(echo(b, a.Addr())).To(Succeed())
 		}
 		both()
-		done := background(context.Background(), a, b.Addr())
-		Eventually(s.entered, patience).Should(Receive())
-		// First all accept the new key, then all prove it.
+		done := startBlockingCall(context.Background(), a, b.Addr())
+		Eventually(s.entered, waitTimeout).Should(Receive())
+		// First all processes accept the new key, then all authenticate with it.
 		for _, step := range [][]string{{secretA, secretB}, {secretB, secretA}} {
 			for _, p := range []*peer.Peer{a, b} {
 				Expect(p.SetRing(ring(step...))).To(Succeed())
@@ -126,27 +126,27 @@
 			}
 		}
 		close(s.release)
-		Eventually(done, patience).Should(Receive(BeNil()))
-		// Then the old one goes; connections that proved it are made anew.
+		Eventually(done, waitTimeout).Should(Receive(BeNil()))
+		// Then the old key is removed; connections authenticated with it are replaced.
 		for _, p := range []*peer.Peer{a, b} {
 			Expect(p.SetRing(ring(secretB))).To(Succeed())
-			Eventually(func() error { return echo(a, b.Addr()) }, patience).Should(Succeed())
-			Eventually(func() error { return echo(b, a.Addr()) }, patience).Should(Succeed())
+			Eventually(func() error { return echo(a, b.Addr()) }, waitTimeout).Should(Succeed())
+			Eventually(func() error { return echo(b, a.Addr()) }, waitTimeout).Should(Succeed())
 		}
-		old, err := peer.NewCaller(ring(secretA))
+		revoked, err := peer.NewCaller(ring(secretA))
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(old.Close)
-		Expect(echo(old, a.Addr())).To(MatchError(peer.ErrUnreachable))
+		DeferCleanup(revoked.Close)
+		Expect(echo(revoked, a.Addr())).To(MatchError(peer.ErrUnreachable))
 	})
 
-	It("cuts open connections of a key that was taken away", func() {
+	It("closes open connections that were authenticated with a removed key", func() {
 		a, _ := serve(ring(secretA))
 		b, s := serve(ring(secretA))
-		done := background(context.Background(), a, b.Addr())
-		Eventually(s.entered, patience).Should(Receive())
+		done := startBlockingCall(context.Background(), a, b.Addr())
+		Eventually(s.entered, waitTimeout).Should(Receive())
 		Expect(b.SetRing(ring(secretC))).To(Succeed())
 		var err error
-		Eventually(done, patience).Should(Receive(&err))
+		Eventually(done, waitTimeout).Should(Receive(&err))
 		Expect(err).To(MatchError(peer.ErrInterrupted))
 		Expect(echo(a, b.Addr())).To(MatchError(peer.ErrUnreachable))
 		close(s.release)
