--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -80,8 +80,9 @@
 	return w
 }
 
-// message encodes a header and a body. After an error the connection must be closed: type
-// definitions may be missing from the stream, so that later messages can't be decoded.
+// message encodes a header and a body. After an error no further message may be sent on the
+// connection: type definitions may be missing from the stream, so that the other end
+// couldn't decode it.
 func (w *gobWriter) message(header, body any) ([]byte, error) {
 	defer w.reset()
 	if err := w.enc.Encode(header); err != nil {
