--- a/internal/apply/attempt.go
+++ b/internal/apply/attempt.go
@@ -1,7 +1,7 @@
-// Package apply submits a configuration file: it writes by compare-and-swap
-// against the revision that the file was based on, and finds out what became
-// of a write whose answer was lost. The decisions stand in Attempt, which is
-// pure; Run performs them.
+// Package apply submits a configuration file to the store. It writes by compare-and-swap
+// against the revision that the file is based on, and determines the outcome of a write
+// whose response was lost. Attempt makes the decisions without any input or output; Run
+// performs the store calls.
 package apply
 
 import (
@@ -11,140 +11,143 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Verdict is what became of a change.
+// Verdict is the outcome of a submitted change.
 type Verdict string
 
 // Verdicts.
 const (
-	// Accepted: the store holds the change.
+	// Accepted means that the store holds the change.
 	Accepted Verdict = "accepted"
-	// Replaced: the change was accepted, and another has replaced it since.
+	// Replaced means that the change was accepted and has since been replaced by another.
 	Replaced Verdict = "replaced"
-	// Unchanged: the store held the same file already; nothing was written.
+	// Unchanged means that the store already held the same file; nothing was written.
 	Unchanged Verdict = "unchanged"
-	// Refused: the file has findings; nothing was written.
+	// Refused means that the file has findings; nothing was written.
 	Refused Verdict = "refused"
-	// Conflict: another change won; this one was not and will not be written.
+	// Conflict means that another change was accepted first; this one was not written and
+	// will not be.
 	Conflict Verdict = "conflict"
-	// Unknown: the change may have been or may yet be written.
+	// Unknown means that the change may have been written or may still be written.
 	Unknown Verdict = "unknown"
-	// Unavailable: the store was not reached; nothing was written.
+	// Unavailable means that the store could not be reached; nothing was written.
 	Unavailable Verdict = "unavailable"
 )
 
-// Action is what to do next.
+// Action is the next step of an attempt.
 type Action int
 
 // Actions.
 const (
-	// Write the same value against the same base.
+	// Write means to write the same value against the same base revision.
 	Write Action = iota
-	// Read the key back.
+	// Read means to read the key.
 	Read
-	// Done: the verdict stands.
+	// Done means that the verdict is final.
 	Done
 )
 
-// Held is what the store held at a read.
+// Held is the configuration record that a read of the store returned.
 type Held struct {
 	Revision uint64
 	Record   record.Record
 }
 
-// Attempt follows one change from its first write to its verdict. A write with
-// no answer may still be on its way to the store, so that reading the old
-// revision back proves nothing; writing the same value again does: it either
-// takes effect itself, which shuts the earlier one out, or meets a newer
-// revision, whose record tells.
+// Attempt tracks one change from its first write to its verdict. A write without a response
+// may still be on its way to the store, so reading the base revision doesn't prove that the
+// write has failed. Writing the same value again does: either the second write succeeds, and
+// the first one will then conflict with it, or it conflicts with a newer revision, and the
+// record of that revision lists the changes before it.
 type Attempt struct {
 	id   record.ChangeID
 	base uint64
-	// lost tells that a write had no answer.
-	lost bool
-	// beaten tells that a write met another revision.
-	beaten bool
-	// Verdict, Revision and Winner are set once the action is Done. Revision
-	// is the change's own; Winner is what the store held where that is not it.
+	// responseLost is set when a write got no response.
+	responseLost bool
+	// conflicted is set when a write failed because the key had another revision.
+	conflicted bool
+	// Verdict, Revision and Winner are set once the action is Done. Revision is the
+	// revision of the change; Winner is the record in the store if that is another one.
 	Verdict  Verdict
 	Revision uint64
 	Winner   *Held
 }
 
-// NewAttempt returns the attempt to write the change over the base revision.
-// The first action is Write.
+// NewAttempt returns an attempt to write the change on top of the base revision. Its first
+// action is Write.
 func NewAttempt(id record.ChangeID, base uint64) *Attempt {
 	return &Attempt{id: id, base: base}
 }
 
-// Wrote takes the answer to a write.
-func (a *Attempt) Wrote(revision uint64, err error) Action {
+// HandleWrite processes the result of a write and returns the next action.
+func (a *Attempt) HandleWrite(revision uint64, err error) Action {
 	switch {
 	case err == nil:
-		return a.done(Accepted, revision, nil)
+		return a.finish(Accepted, revision, nil)
 	case errors.Is(err, store.ErrConflict):
-		a.beaten = true
+		a.conflicted = true
 		return Read
 	case errors.Is(err, store.ErrOutcomeUnknown):
-		a.lost = true
+		a.responseLost = true
 		return Read
-	case a.lost:
+	case a.responseLost:
 		return Read
 	}
-	return a.done(Unavailable, 0, nil)
+	return a.finish(Unavailable, 0, nil)
 }
 
-// ReadBack takes the answer to a read; held is nil where the key is missing.
-func (a *Attempt) ReadBack(held *Held, err error) Action {
+// HandleRead processes the result of a read and returns the next action. held is nil if the
+// key doesn't exist.
+func (a *Attempt) HandleRead(held *Held, err error) Action {
 	if err != nil {
 		return Read
 	}
 	if held == nil {
-		return a.missing()
+		return a.handleMissingKey()
 	}
 	if revision, found := held.Record.Find(a.id, held.Revision); found {
-		return a.found(revision, held)
+		return a.handleFound(revision, held)
 	}
 	if held.Revision == a.base {
 		return Write
 	}
-	if a.lost && !held.Record.Covers(a.base) {
-		return a.done(Unknown, 0, held)
+	if a.responseLost && !held.Record.Covers(a.base) {
+		return a.finish(Unknown, 0, held)
 	}
-	return a.done(Conflict, 0, held)
+	return a.finish(Conflict, 0, held)
 }
 
-// missing decides where the key does not exist: before the first change, or
-// after someone removed it together with its record of changes.
-func (a *Attempt) missing() Action {
+// handleMissingKey processes a read that found no key: either there has been no change yet,
+// or the key was deleted together with its list of changes.
+func (a *Attempt) handleMissingKey() Action {
 	if a.base == store.Create {
 		return Write
 	}
-	if a.lost {
-		return a.done(Unknown, 0, nil)
+	if a.responseLost {
+		return a.finish(Unknown, 0, nil)
 	}
-	return a.done(Conflict, 0, nil)
+	return a.finish(Conflict, 0, nil)
 }
 
-func (a *Attempt) found(revision uint64, held *Held) Action {
+func (a *Attempt) handleFound(revision uint64, held *Held) Action {
 	if revision == held.Revision {
-		return a.done(Accepted, revision, nil)
+		return a.finish(Accepted, revision, nil)
 	}
-	return a.done(Replaced, revision, held)
+	return a.finish(Replaced, revision, held)
 }
 
-// GiveUp ends the attempt when time is up.
-func (a *Attempt) GiveUp() {
+// Abandon ends the attempt without further calls, for instance after a time-out, and sets
+// the verdict from the results so far.
+func (a *Attempt) Abandon() {
 	switch {
-	case a.lost:
-		a.done(Unknown, 0, nil)
-	case a.beaten:
-		a.done(Conflict, 0, nil)
+	case a.responseLost:
+		a.finish(Unknown, 0, nil)
+	case a.conflicted:
+		a.finish(Conflict, 0, nil)
 	default:
-		a.done(Unavailable, 0, nil)
+		a.finish(Unavailable, 0, nil)
 	}
 }
 
-func (a *Attempt) done(v Verdict, revision uint64, winner *Held) Action {
+func (a *Attempt) finish(v Verdict, revision uint64, winner *Held) Action {
 	a.Verdict, a.Revision, a.Winner = v, revision, winner
 	return Done
 }
--- a/internal/apply/attempt_test.go
+++ b/internal/apply/attempt_test.go
@@ -12,17 +12,17 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// write is a compare-and-swap on its way to the store.
+// write is a compare-and-swap request.
 type write struct {
 	record   record.Record
 	expected uint64
 }
 
-// storeModel is the store as one key with all that it ever held.
+// storeModel models the store as a single key, and records each accepted change.
 type storeModel struct {
 	held     *apply.Held
 	accepted map[record.ChangeID]uint64
-	// inFlight are writes that may still arrive.
+	// inFlight are delayed writes that the store has not received yet.
 	inFlight []write
 }
 
@@ -30,8 +30,8 @@
 	if s.revision() != w.expected {
 		return 0, store.ErrConflict
 	}
-	if _, twice := s.accepted[w.record.ID]; twice {
-		panic("a change was accepted twice")
+	if _, duplicate := s.accepted[w.record.ID]; duplicate {
+		panic("the store accepted the same change twice")
 	}
 	s.held = &apply.Held{Revision: s.revision() + 2, Record: w.record}
 	s.accepted[w.record.ID] = s.held.Revision
@@ -53,7 +53,7 @@
 	return write{record: s.held.Record.Next(s.held.Revision, d), expected: s.held.Revision}
 }
 
-// operator follows one change at a time.
+// operator submits one change at a time.
 type operator struct {
 	id      record.ChangeID
 	write   write
@@ -61,42 +61,42 @@
 	action  apply.Action
 }
 
-// fleet is the machine that the property test drives.
-type fleet struct {
+// simulation is the state machine of the property test.
+type simulation struct {
 	store     storeModel
 	operators [3]operator
 	finished  []operator
-	drawn     int
+	lastID    int
 }
 
-func (f *fleet) newID() record.ChangeID {
-	f.drawn++
-	return record.ChangeID(fmt.Sprint("change-", f.drawn))
+func (f *simulation) newID() record.ChangeID {
+	f.lastID++
+	return record.ChangeID(fmt.Sprint("change-", f.lastID))
 }
 
-func (f *fleet) begin(o *operator) {
+func (f *simulation) begin(o *operator) {
 	o.id = f.newID()
 	o.write = f.store.next(o.id)
 	o.attempt = apply.NewAttempt(o.id, o.write.expected)
 	o.action = apply.Write
 }
 
-// step performs the next action of an operator with a drawn fault.
-func (f *fleet) step(t *rapid.T, o *operator) {
+// step performs the next action of an operator, with a randomly drawn fault.
+func (f *simulation) step(t *rapid.T, o *operator) {
 	switch {
 	case o.attempt == nil:
 		f.begin(o)
 	case o.action == apply.Write:
-		o.action = o.attempt.Wrote(f.swap(t, o.write))
+		o.action = o.attempt.HandleWrite(f.swap(t, o.write))
 	case rapid.Bool().Draw(t, "read fails"):
-		o.action = o.attempt.ReadBack(nil, store.ErrUnavailable)
+		o.action = o.attempt.HandleRead(nil, store.ErrUnavailable)
 	default:
-		o.action = o.attempt.ReadBack(f.store.held, nil)
+		o.action = o.attempt.HandleRead(f.store.held, nil)
 	}
-	f.retire(o)
+	f.collect(o)
 }
 
-func (f *fleet) swap(t *rapid.T, w write) (uint64, error) {
+func (f *simulation) swap(t *rapid.T, w write) (uint64, error) {
 	switch rapid.SampledFrom([]string{"answered", "answer lost", "request lost", "delayed", "refused"}).Draw(t, "write") {
 	case "answered":
 		return f.store.swap(w)
@@ -110,23 +110,23 @@
 	return 0, store.ErrOutcomeUnknown
 }
 
-func (f *fleet) retire(o *operator) {
+func (f *simulation) collect(o *operator) {
 	if o.action == apply.Done {
 		f.finished = append(f.finished, *o)
 		*o = operator{}
 	}
 }
 
-func (f *fleet) giveUp(o *operator) {
+func (f *simulation) abandon(o *operator) {
 	if o.attempt == nil {
 		return
 	}
-	o.attempt.GiveUp()
+	o.attempt.Abandon()
 	o.action = apply.Done
-	f.retire(o)
+	f.collect(o)
 }
 
-func (f *fleet) arrive(t *rapid.T) {
+func (f *simulation) arrive(t *rapid.T) {
 	if len(f.store.inFlight) == 0 {
 		return
 	}
@@ -135,40 +135,40 @@
 	f.store.inFlight = append(f.store.inFlight[:i], f.store.inFlight[i+1:]...)
 }
 
-// burst accepts more changes than a record remembers.
-func (f *fleet) burst() {
+// burst accepts more changes than a record lists.
+func (f *simulation) burst() {
 	for range record.MaxRecent + 1 {
 		f.store.swap(f.store.next(f.newID()))
 	}
 }
 
-// check compares a verdict with what really became of the change.
-func (f *fleet) check(t *rapid.T, o operator) {
+// check compares the operator's verdict with the changes that the store accepted.
+func (f *simulation) check(t *rapid.T, o operator) {
 	revision, accepted := f.store.accepted[o.id]
 	switch o.attempt.Verdict {
 	case apply.Accepted:
 		if !accepted || revision != o.attempt.Revision {
-			t.Fatalf("%s was told accepted as %d; was %v as %d", o.id, o.attempt.Revision, accepted, revision)
+			t.Fatalf("change %s: verdict accepted at revision %d; store: accepted %v, revision %d", o.id, o.attempt.Revision, accepted, revision)
 		}
 	case apply.Replaced:
 		if !accepted || revision != o.attempt.Revision || o.attempt.Winner.Revision <= revision {
-			t.Fatalf("%s was told replaced as %d; was %v as %d", o.id, o.attempt.Revision, accepted, revision)
+			t.Fatalf("change %s: verdict replaced at revision %d; store: accepted %v, revision %d", o.id, o.attempt.Revision, accepted, revision)
 		}
 	case apply.Conflict, apply.Unavailable:
 		if accepted {
-			t.Fatalf("%s was told %s, but became revision %d", o.id, o.attempt.Verdict, revision)
+			t.Fatalf("change %s: verdict %s, but the store accepted it as revision %d", o.id, o.attempt.Verdict, revision)
 		}
 	case apply.Unknown:
 	default:
-		t.Fatalf("%s ended with verdict %q", o.id, o.attempt.Verdict)
+		t.Fatalf("change %s: unexpected verdict %q", o.id, o.attempt.Verdict)
 	}
 }
 
-// TestVerdictsAreTrue drives operators that race through lost, late and
-// refused writes, and checks each verdict once nothing is under way any more.
-func TestVerdictsAreTrue(t *testing.T) {
+// TestVerdictsMatchStoredChanges simulates concurrent operators with lost, delayed and
+// refused writes, and checks each verdict after all delayed writes have arrived.
+func TestVerdictsMatchStoredChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{store: storeModel{accepted: map[record.ChangeID]uint64{}}}
+		f := &simulation{store: storeModel{accepted: map[record.ChangeID]uint64{}}}
 		pick := func(t *rapid.T) *operator {
 			return &f.operators[rapid.IntRange(0, len(f.operators)-1).Draw(t, "operator")]
 		}
@@ -177,7 +177,7 @@
 			"step2":   func(t *rapid.T) { f.step(t, pick(t)) },
 			"step3":   func(t *rapid.T) { f.step(t, pick(t)) },
 			"arrive":  f.arrive,
-			"give up": func(t *rapid.T) { f.giveUp(pick(t)) },
+			"give up": func(t *rapid.T) { f.abandon(pick(t)) },
 			"burst":   func(t *rapid.T) { f.burst() },
 		})
 		for len(f.store.inFlight) > 0 {
--- a/internal/apply/backoff.go
+++ b/internal/apply/backoff.go
@@ -8,9 +8,9 @@
 	"github.com/saltbend/saltbend/internal/wait"
 )
 
-// Backoff returns a pause for Env that doubles from first to limit and takes a
-// random share between half and all of it, so that operators who lost an
-// answer together do not return together.
+// Backoff returns a function for Env.Pause. The delay doubles from first up to limit, and a
+// random duration between half and all of it is used, so that operators whose writes failed
+// at the same time don't retry at the same time.
 func Backoff(first, limit time.Duration) func(context.Context, int) error {
 	return func(ctx context.Context, n int) error {
 		d := first
--- a/internal/apply/race_test.go
+++ b/internal/apply/race_test.go
@@ -27,15 +27,15 @@
 	callTimeout     = 200 * time.Millisecond
 )
 
-// text returns a valid file that no other change has.
+// text returns a valid file that is unique to this change.
 func text(racer, n int) []byte {
 	return fmt.Appendf(nil, "version: 1\nservices: # change %d of %d\n"+
 		"  - {name: a, faces: ['192.0.2.1:1'], classes: [{name: c, path: /c}]}\n", n, racer)
 }
 
-// proxied returns the address of a TCP proxy in front of the store that does
-// what the toxics say.
-func proxied(t *testing.T, base string, toxics ...string) string {
+// startProxy starts a TCP proxy in front of the store that injects the faults given as
+// toxics, and returns its base URL.
+func startProxy(t *testing.T, base string, toxics ...string) string {
 	t.Helper()
 	u, err := url.Parse(base)
 	if err != nil {
@@ -65,61 +65,61 @@
 	return c
 }
 
-// told is what one operator was told of one change.
-type told struct {
+// submission is a submitted change and the result that its operator got.
+type submission struct {
 	id     record.ChangeID
 	result apply.Result
 }
 
-// race lets the racers apply their changes until each was accepted.
-func race(t *testing.T, base string) []told {
+// race applies the changes of all operators concurrently. Each operator submits a change
+// until it is accepted.
+func race(t *testing.T, base string) []submission {
 	var mu sync.Mutex
-	var all []told
+	var submissions []submission
 	var racing sync.WaitGroup
 	for racer := range racers {
 		racing.Go(func() {
 			for n := 0; n < changesPerRacer && t.Context().Err() == nil; {
-				one := submit(t, base, racer, n)
+				submitted := submit(t, base, racer, n)
 				mu.Lock()
-				all = append(all, one)
+				submissions = append(submissions, submitted)
 				mu.Unlock()
-				switch one.result.Verdict {
+				switch submitted.result.Verdict {
 				case apply.Accepted, apply.Replaced:
 					n++
 				case apply.Conflict, apply.Unavailable:
 				default:
-					return // checkTold reports it
+					return // checkVerdict reports it
 				}
 			}
 		})
 	}
 	racing.Wait()
-	return all
+	return submissions
 }
 
-// submit applies one change over connections of its own, as each run of the
-// tool does.
-func submit(t *testing.T, base string, racer, n int) told {
-	var one told
+// submit applies one change over new connections, as each run of the command-line tool does.
+func submit(t *testing.T, base string, racer, n int) submission {
+	var submitted submission
 	s := open(t, base)
 	env := apply.Env{
 		Store: s, Now: time.Now, Pause: apply.Backoff(time.Millisecond, 20*time.Millisecond), Progress: func(string) {},
 		NewID: func() record.ChangeID {
-			one.id = record.ChangeID(fmt.Sprintf("%d-%d-%d", racer, n, time.Now().UnixNano()))
-			return one.id
+			submitted.id = record.ChangeID(fmt.Sprintf("%d-%d-%d", racer, n, time.Now().UnixNano()))
+			return submitted.id
 		},
 	}
 	res, err := apply.Run(t.Context(), apply.Request{File: "f", Text: text(racer, n), Operator: fmt.Sprint(racer)}, env)
 	if err != nil {
 		t.Error(err)
 	}
-	one.result = res
-	return one
+	submitted.result = res
+	return submitted
 }
 
-// TestRacingOperatorsAreToldTheTruth races operators over connections that
-// break after the store took the write, or before it did.
-func TestRacingOperatorsAreToldTheTruth(t *testing.T) {
+// TestRacingOperatorsGetCorrectVerdicts lets operators write concurrently over connections
+// that break before or after the store has applied the write.
+func TestRacingOperatorsGetCorrectVerdicts(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults storefake.Faults
@@ -140,10 +140,10 @@
 			fake := storefake.New()
 			server := httptest.NewServer(fake.Handler())
 			defer server.Close()
-			// One request a connection: the toxics act on each.
+			// With one request per connection, the toxics apply to every request.
 			server.Config.SetKeepAlivesEnabled(false)
 			fake.SetFaults(tt.faults)
-			all := race(t, proxied(t, server.URL, tt.toxics...))
+			submissions := race(t, startProxy(t, server.URL, tt.toxics...))
 
 			fake.SetFaults(storefake.Faults{})
 			held, err := apply.Current(t.Context(), open(t, server.URL))
@@ -151,35 +151,35 @@
 			g.Expect(held.Record.Covers(0)).To(gomega.BeTrue())
 			g.Expect(held.Record.Sequence).To(gomega.BeEquivalentTo(racers * changesPerRacer))
 			lost := 0
-			for _, one := range all {
-				checkTold(g, held, one)
-				if errors.Is(one.result.Err, store.ErrOutcomeUnknown) {
+			for _, submitted := range submissions {
+				checkVerdict(g, held, submitted)
+				if errors.Is(submitted.result.Err, store.ErrOutcomeUnknown) {
 					lost++
 				}
 			}
-			t.Logf("%d submissions, %d with a lost answer", len(all), lost)
-			g.Expect(lost).To(gomega.BeNumerically(">", 0), "the faults did not show")
+			t.Logf("%d submissions, %d with a lost answer", len(submissions), lost)
+			g.Expect(lost).To(gomega.BeNumerically(">", 0), "no answer was lost, so the faults had no effect")
 		})
 	}
 }
 
-func checkTold(g *gomega.WithT, held *apply.Held, one told) {
-	revision, accepted := held.Record.Find(one.id, held.Revision)
-	switch one.result.Verdict {
+func checkVerdict(g *gomega.WithT, held *apply.Held, submitted submission) {
+	revision, accepted := held.Record.Find(submitted.id, held.Revision)
+	switch submitted.result.Verdict {
 	case apply.Accepted, apply.Replaced:
-		g.Expect(accepted).To(gomega.BeTrue(), "%s was told %s", one.id, one.result.Verdict)
-		g.Expect(one.result.Revision).To(gomega.Equal(revision))
+		g.Expect(accepted).To(gomega.BeTrue(), "change %s: verdict %s, but the store did not accept it", submitted.id, submitted.result.Verdict)
+		g.Expect(submitted.result.Revision).To(gomega.Equal(revision))
 	case apply.Conflict:
-		g.Expect(accepted).To(gomega.BeFalse(), "%s was told it lost", one.id)
-		g.Expect(one.result.Winner).NotTo(gomega.BeNil())
+		g.Expect(accepted).To(gomega.BeFalse(), "change %s: verdict conflict, but the store accepted it", submitted.id)
+		g.Expect(submitted.result.Winner).NotTo(gomega.BeNil())
 	case apply.Unavailable:
-		g.Expect(accepted).To(gomega.BeFalse(), "%s was told that nothing was written", one.id)
+		g.Expect(accepted).To(gomega.BeFalse(), "change %s: verdict unavailable, but the store accepted it", submitted.id)
 	default:
-		g.Expect(one.result.Verdict).To(gomega.BeEmpty(), "%s", one.id)
+		g.Expect(submitted.result.Verdict).To(gomega.BeEmpty(), "%s", submitted.id)
 	}
 }
 
-func TestStoreThatIsDownChangesNothing(t *testing.T) {
+func TestApplyToUnavailableStoreWritesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fake := storefake.New()
 	server := httptest.NewServer(fake.Handler())
@@ -194,7 +194,7 @@
 	g.Expect(held.Record.Text).To(gomega.Equal(string(text(0, 0))))
 }
 
-func TestWhatComesBeforeTheWrite(t *testing.T) {
+func TestVerdictsThatNeedNoWrite(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fake := storefake.New()
 	server := httptest.NewServer(fake.Handler())
@@ -223,9 +223,10 @@
 	g.Expect(fake.Calls().Put).To(gomega.BeEquivalentTo(1))
 }
 
-// TestFaceRestsBetweenTwoServices applies three files in a row: balancers may
-// still be at the first when the third is accepted.
-func TestFaceRestsBetweenTwoServices(t *testing.T) {
+// TestFaceIsHeldBeforeItMovesToAnotherService guards against moving a face to another service
+// in two quick steps, by a file without the face and then a file that adds it elsewhere:
+// balancers may still have the first configuration when the last one is accepted.
+func TestFaceIsHeldBeforeItMovesToAnotherService(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := httptest.NewServer(storefake.New().Handler())
 	defer server.Close()
@@ -242,14 +243,14 @@
 	}
 	g.Expect(file("a", "192.0.2.1").Verdict).To(gomega.Equal(apply.Accepted))
 	g.Expect(file("a", "192.0.2.2").Verdict).To(gomega.Equal(apply.Accepted))
-	now = now.Add(record.RestTime / 2)
+	now = now.Add(record.HoldTime / 2)
 	g.Expect(file("a", "192.0.2.3").Verdict).To(gomega.Equal(apply.Accepted))
-	now = now.Add(record.RestTime/2 - 1)
+	now = now.Add(record.HoldTime/2 - 1)
 	refused := file("b", "192.0.2.1")
 	g.Expect(refused.Findings).To(gomega.HaveLen(1))
 	g.Expect(refused.Findings[0].Code).To(gomega.Equal(config.CodeFaceMoved))
 	now = now.Add(1)
 	g.Expect(file("b", "192.0.2.1").Verdict).To(gomega.Equal(apply.Accepted))
-	g.Expect(file("b", "192.0.2.2").Verdict).To(gomega.Equal(apply.Refused), "the second face still rests")
-	g.Expect(file("a", "192.0.2.2").Verdict).To(gomega.Equal(apply.Accepted), "its own service may have it back")
+	g.Expect(file("b", "192.0.2.2").Verdict).To(gomega.Equal(apply.Refused), "the second face is still held")
+	g.Expect(file("a", "192.0.2.2").Verdict).To(gomega.Equal(apply.Accepted), "a held face may return to the service that it belonged to")
 }
--- a/internal/apply/run.go
+++ b/internal/apply/run.go
@@ -11,50 +11,51 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Request is what an operator submits.
+// Request is a configuration change that an operator submits.
 type Request struct {
-	// File names the source in findings.
+	// File is the file name to show in findings.
 	File     string
 	Text     []byte
 	Operator string
-	// Base is the revision on which the file was based; nil takes the one that
-	// the store holds.
+	// Base is the revision that the file is based on. If it is nil, the store's current
+	// revision is used.
 	Base *uint64
-	// DryRun stops before the write.
+	// DryRun validates and compares the file without writing it.
 	DryRun bool
 }
 
-// Env is what a run needs of its surroundings.
+// Env holds the dependencies of Run.
 type Env struct {
 	Store store.Store
 	Now   func() time.Time
 	NewID func() record.ChangeID
-	// Pause waits before the nth retry, from 1; its error ends the run.
+	// Pause waits before the nth retry, counted from 1. If it returns an error, the run ends.
 	Pause func(ctx context.Context, n int) error
-	// Progress takes short notes for the operator.
+	// Progress is called with short messages to show to the operator.
 	Progress func(note string)
 }
 
-// Result is what became of a request.
+// Result is the outcome of a request.
 type Result struct {
 	Verdict Verdict
-	// Base is the revision that the change was written over.
+	// Base is the revision that the change was based on.
 	Base uint64
-	// Revision is the revision that the change got.
+	// Revision is the revision of the change in the store.
 	Revision uint64
-	// Winner is what the store holds instead of the change, where known.
+	// Winner is the record that the store holds instead of the change, if known.
 	Winner   *Held
 	Findings config.Findings
 	Diff     []config.Difference
-	// Err is the store's error where the verdict is Unavailable.
+	// Err is the last error of a store call, such as the reason for the verdict Unavailable.
 	Err error
 }
 
-// ErrUnreadable says that the store's value is no configuration record.
-var ErrUnreadable = errors.New("the store's value can't be read")
+// ErrUnreadable means that the store's value is not a valid configuration record.
+var ErrUnreadable = errors.New("the value in the store is not a valid configuration record")
 
-// Run validates the file against the configuration in the store and writes it.
-// The error tells of faults that leave no verdict.
+// Run validates the file against the configuration in the store and writes it. It returns an
+// error only for failures that allow no verdict: an unreadable record in the store, or a
+// record that can't be encoded.
 func Run(ctx context.Context, req Request, env Env) (Result, error) {
 	parsed, findings := config.Parse(req.Text, 0)
 	if len(findings) > 0 {
@@ -72,22 +73,22 @@
 		return res, nil
 	}
 	draft := record.Draft{ID: env.NewID(), Operator: req.Operator, Time: env.Now(), Text: req.Text, Config: parsed}
-	value, err := follow(held, draft).Encode()
+	value, err := nextRecord(held, draft).Encode()
 	if err != nil {
 		return Result{}, err
 	}
 	return write(ctx, env, NewAttempt(draft.ID, res.Base), value, res), nil
 }
 
-// follow returns the record of the change after what the store holds.
-func follow(held *Held, d record.Draft) record.Record {
+// nextRecord returns the record of the draft as the successor of the stored record, if any.
+func nextRecord(held *Held, d record.Draft) record.Record {
 	if held == nil {
 		return record.First(d)
 	}
 	return held.Record.Next(held.Revision, d)
 }
 
-// Current reads the configuration in the store, nil where there is none.
+// Current reads the configuration record from the store. It returns nil if there is none.
 func Current(ctx context.Context, s store.Store) (*Held, error) {
 	entry, err := s.Get(ctx, record.Key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -103,19 +104,19 @@
 	return &Held{Revision: entry.Revision, Record: rec}, nil
 }
 
-// prepare compares the file with what the store holds. ready is false where
-// the verdict is already known.
+// prepare compares the file with the stored record. ready is false if the verdict is already
+// known without a write.
 func prepare(req Request, held *Held, now time.Time) (res Result, ready bool) {
 	var current *config.Config
-	var former []config.Former
+	var heldFaces []config.HeldFace
 	if held != nil {
 		res.Base, current = held.Revision, held.Record.Config
-		former = held.Record.Resting(now)
+		heldFaces = held.Record.HeldFaces(now)
 	}
 	if req.Base != nil && *req.Base != res.Base {
 		return Result{Verdict: Conflict, Base: *req.Base, Winner: held}, false
 	}
-	next, findings := config.ParseNext(req.Text, 0, current, former...)
+	next, findings := config.ParseNext(req.Text, 0, current, heldFaces...)
 	if len(findings) > 0 {
 		res.Verdict, res.Findings = Refused, findings.In(req.File)
 		return res, false
@@ -128,12 +129,12 @@
 	return res, true
 }
 
-// write drives the attempt to its verdict or to the end of ctx.
+// write performs the attempt's actions until it has a verdict or Pause returns an error.
 func write(ctx context.Context, env Env, a *Attempt, value []byte, res Result) Result {
 	action := Write
 	for n := 0; action != Done; n++ {
 		if n > 0 && env.Pause(ctx, n) != nil {
-			a.GiveUp()
+			a.Abandon()
 			break
 		}
 		var err error
@@ -147,15 +148,15 @@
 	return res
 }
 
-// step performs one action and returns the next.
+// step performs one action and returns the next one.
 func step(ctx context.Context, env Env, a *Attempt, action Action, value []byte) (Action, error) {
 	if action == Write {
 		entry, err := env.Store.Swap(ctx, record.Key, value, a.base, 0)
 		if errors.Is(err, store.ErrConflict) {
-			return a.Wrote(0, err), nil
+			return a.HandleWrite(0, err), nil
 		}
-		return a.Wrote(entry.Revision, err), err
+		return a.HandleWrite(entry.Revision, err), err
 	}
 	held, err := Current(ctx, env.Store)
-	return a.ReadBack(held, err), err
+	return a.HandleRead(held, err), err
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,8 @@
-// Package config holds the operators' configuration as typed values. A file is
-// parsed and validated as a whole before any of it is used; a Config value is
-// immutable once it was built.
+// Package config parses and validates the operators' configuration file. A file is
+// validated as a whole before any part of it is used. A Config is immutable after parsing.
+//
+// The configuration lists services. A service is a set of upstreams that callers reach at
+// its faces, which are public UDP addresses. Its requests are divided into classes.
 package config
 
 import (
@@ -10,26 +12,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config is one accepted configuration file.
+// Config is a valid configuration.
 type Config struct {
-	// Revision is the store's revision of the file; it only rises.
+	// Revision is the store's revision of the configuration. It never decreases.
 	Revision uint64
-	// Keys names the fleet secrets that sign and that are accepted.
+	// Keys selects the fleet secrets that are used for signing and that are accepted.
 	Keys     Keys
 	Services []Service
 }
 
-// Keys refers to the fleet's secrets by their ids; the secrets themselves are
-// never part of a configuration.
+// Keys refers to the fleet's secrets by their IDs. The secrets themselves are never part of
+// a configuration.
 type Keys struct {
-	// Set is false where the file leaves the choice to each process's settings.
+	// Set is false if the file has no keys, so that each process's own settings apply.
 	Set     bool
 	Current uint8
-	// Previous equals Current where no rotation is under way.
+	// Previous equals Current unless a key rotation is in progress.
 	Previous uint8
 }
 
-// Service is a set of upstreams behind one public face.
+// Service is a set of upstreams that share public addresses and request classes.
 type Service struct {
 	Name string
 	// Faces are the public UDP addresses on which callers reach the service.
@@ -41,89 +43,91 @@
 	Retry   Retry
 }
 
-// Limits bound what one upstream of a service takes on.
+// Limits bounds the load of one upstream of a service.
 type Limits struct {
-	// Slots is the number of requests that run at once.
+	// Slots is the largest number of requests that run concurrently.
 	Slots int
-	// Queue is the number of requests that wait for a slot.
+	// Queue is the largest number of requests that wait for a slot.
 	Queue int
-	// Connections is the number of caller connections (flows).
+	// Connections is the largest number of caller connections (flows).
 	Connections int
-	// BodyBytes bounds the body of a request that may be passed to a sibling.
+	// BodyBytes is the largest body of a request that may be handed over to a sibling,
+	// which is another agent of the same service.
 	BodyBytes int
 }
 
-// Kind tells how a class of requests is carried.
+// Kind determines how the requests of a class are carried.
 type Kind string
 
 // Kinds of classes.
 const (
-	// KindRequest takes a slot until its answer is whole.
+	// KindRequest occupies a slot until its response is complete.
 	KindRequest Kind = "request"
-	// KindFeed takes a connection and no slot, and stays open.
+	// KindFeed is a long-lived response stream. It occupies a connection but no slot.
 	KindFeed Kind = "feed"
-	// KindUpload takes a slot and streams its body with back pressure.
+	// KindUpload occupies a slot and streams its body with back pressure.
 	KindUpload Kind = "upload"
 )
 
-// Class is a kind of request within a service.
+// Class is a group of requests of a service that are handled alike.
 type Class struct {
 	Name string
-	// Methods are HTTP methods; empty matches all.
+	// Methods are the HTTP methods that the class matches. An empty list matches all.
 	Methods []string
-	// Path is a path pattern: exact, or a prefix that ends in "*".
+	// Path is the path pattern: an exact path, or a prefix followed by "*".
 	Path string
 	Kind Kind
-	// Priority orders waiting requests: 0 goes first.
+	// Priority orders waiting requests; 0 is the highest.
 	Priority int
-	// Idempotent requests may be run again, on any upstream of the service.
-	// The others need a ticket and run at most once.
+	// Idempotent requests may be retried on any upstream of the service. Other requests
+	// need a ticket and run at most once.
 	Idempotent bool
-	// Deadline is the time a request has from its arrival to the whole answer.
+	// Deadline is the time from the arrival of a request to its complete response.
 	Deadline time.Duration
-	// Resume tells that a feed may be subscribed to again at another upstream
-	// with the Last-Event-ID of its last event.
+	// Resume allows a feed to be resumed at another upstream, with the Last-Event-ID of its
+	// last event.
 	Resume bool
 }
 
-// Drain bounds a graceful stop.
+// Drain configures a graceful shutdown.
 type Drain struct {
-	// Timeout ends a drain whose feeds do not end by themselves.
+	// Timeout is the time after which a drain ends even if feeds are still open.
 	Timeout time.Duration
 }
 
-// Health tells how an agent judges its upstream.
+// Health configures how an agent checks the health of its upstream.
 type Health struct {
-	// Path and LoadPath are HTTP paths at the upstream.
+	// Path and LoadPath are the HTTP paths at which the upstream reports its health and its
+	// load.
 	Path     string
 	LoadPath string
 	Interval time.Duration
-	// PanicThreshold is the share of a service's upstreams (0 to 1) that must
-	// look healthy; below it, health is ignored and work is spread over all.
+	// PanicThreshold is the fraction of a service's upstreams (0 to 1) that must be
+	// healthy. Below it, health is ignored and requests are spread over all upstreams.
 	PanicThreshold float64
-	// SlowStart is the time over which a cold upstream's share rises to full.
+	// SlowStart is the time over which the share of a cold upstream rises to its full value.
 	SlowStart time.Duration
 }
 
-// Retry bounds how often idempotent requests are run again.
+// Retry limits the retries of idempotent requests.
 type Retry struct {
-	// Attempts is the most times one request is tried, the first included.
+	// Attempts is the largest number of attempts for one request, including the first.
 	Attempts int
-	// Budget is the share of first tries (0 to 1) that may be retried.
+	// Budget is the largest number of retries as a fraction (0 to 1) of first attempts.
 	Budget float64
 }
 
-// Tag is a service's 32-bit identity on the wire: the low half of the xxhash
-// of its name. Validation refuses two services of one tag.
+// Tag identifies a service on the wire in 32 bits: the low half of the xxhash of its name.
+// Validation rejects two services with the same tag.
 type Tag uint32
 
-// TagOf returns the tag of the service called name.
+// TagOf returns the tag of the service with this name.
 func TagOf(name string) Tag {
 	return Tag(xxhash.Sum64String(name))
 }
 
-// Class returns the first class that matches the method and path, in file
-// order; ok is false where none does.
+// Class returns the first class, in file order, that matches the method and path. ok is
+// false if none does.
 func (s *Service) Class(method, path string) (class Class, ok bool) {
 	for i := range s.Classes {
 		if s.Classes[i].Matches(method, path) {
@@ -133,7 +137,7 @@
 	return Class{}, false
 }
 
-// Matches reports whether a request with this method and path is of the class.
+// Matches reports whether a request with this method and path belongs to the class.
 func (c *Class) Matches(method, path string) bool {
 	return c.matchesMethod(method) && c.matchesPath(path)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,12 +22,12 @@
     classes: [{name: batch, methods: [POST], path: /batches}]
 `
 
-// service returns a file with one service and more lines after it.
+// service returns a file with one service, followed by the given lines.
 func service(fields string) string {
 	return "version: 1\nservices:\n  - name: a\n    faces: ['192.0.2.1:1']\n    classes: [{name: c, path: /c}]\n" + fields
 }
 
-// classes returns a file with one service of these classes.
+// classes returns a file with one service that has the given classes.
 func classes(list string) string {
 	return "version: 1\nservices:\n  - name: a\n    faces: ['192.0.2.1:1']\n    classes: [" + list + "]\n"
 }
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			parsed, findings := config.Parse([]byte(tt.text), 3)
-			g.Expect(places(findings)).To(gomega.ConsistOf(tt.want))
+			g.Expect(positions(findings)).To(gomega.ConsistOf(tt.want))
 			g.Expect(parsed == nil).To(gomega.Equal(len(findings) > 0))
 			for _, f := range findings {
 				g.Expect(f.Remedy).NotTo(gomega.BeEmpty())
@@ -90,7 +90,7 @@
 	}
 }
 
-func places(findings config.Findings) []string {
+func positions(findings config.Findings) []string {
 	out := []string{}
 	for _, f := range findings {
 		out = append(out, fmt.Sprintf("%d:%d %s %s", f.Line, f.Column, f.Field, f.Code))
@@ -98,19 +98,19 @@
 	return out
 }
 
-func TestMovedFaceIsRefused(t *testing.T) {
+func TestParseNextRefusesMovedFace(t *testing.T) {
 	g := gomega.NewWithT(t)
 	previous, findings := config.Parse([]byte(valid), 1)
 	g.Expect(findings).To(gomega.BeEmpty())
 
 	swapped := strings.NewReplacer("192.0.2.1:", "192.0.2.2:", "192.0.2.2:", "192.0.2.1:").Replace(valid)
 	_, findings = config.ParseNext([]byte(swapped), 2, previous)
-	g.Expect(places(findings)).To(gomega.ConsistOf("4:13 services[0].faces[0] face-moved", "9:13 services[1].faces[0] face-moved"))
+	g.Expect(positions(findings)).To(gomega.ConsistOf("4:13 services[0].faces[0] face-moved", "9:13 services[1].faces[0] face-moved"))
 
-	elsewhere := strings.Replace(valid, "192.0.2.1:", "192.0.2.3:", 1)
-	next, findings := config.ParseNext([]byte(elsewhere), 2, previous)
+	moved := strings.Replace(valid, "192.0.2.1:", "192.0.2.3:", 1)
+	next, findings := config.ParseNext([]byte(moved), 2, previous)
 	g.Expect(findings).To(gomega.BeEmpty())
-	_, findings = config.ParseNext([]byte(strings.Replace(elsewhere, "192.0.2.2:", "192.0.2.1:", 1)), 3, next)
+	_, findings = config.ParseNext([]byte(strings.Replace(moved, "192.0.2.2:", "192.0.2.1:", 1)), 3, next)
 	g.Expect(findings).To(gomega.BeEmpty())
 }
 
@@ -130,8 +130,8 @@
 	}))
 }
 
-// FuzzParse shows that no file makes the parser panic, and that a file without
-// findings has a configuration with all that the data path relies on.
+// FuzzParse checks that no file makes the parser panic, and that a file without findings
+// gives a configuration with the fields that the data path requires.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte("a: &a [*a]\nservices: *a\n"))
@@ -140,7 +140,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		parsed, findings := config.Parse(data, 1)
 		if (parsed == nil) != (len(findings) > 0) {
-			t.Fatalf("configuration %v with findings %v", parsed, findings)
+			t.Fatalf("got configuration %v with findings %v", parsed, findings)
 		}
 		if parsed == nil {
 			return
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -10,44 +10,44 @@
 	"gopkg.in/yaml.v3"
 )
 
-// place is where a value stands in the file.
-type place struct {
+// position is the place of a value in the file: line, column and field path.
+type position struct {
 	line, column int
 	field        string
 }
 
-// decoder reads YAML nodes into typed values and collects findings; after a
-// finding it goes on with the default, so that all faults are found at once.
+// decoder decodes YAML nodes into typed values and collects findings. After a finding it
+// continues with the default value, so that one run reports all errors of a file.
 type decoder struct {
 	findings Findings
 }
 
-func (d *decoder) report(p place, code Code, message, remedy string) {
+func (d *decoder) report(p position, code Code, message, remedy string) {
 	d.findings = append(d.findings, Finding{
 		Line: p.line, Column: p.column, Field: p.field,
 		Code: code, Message: message, Remedy: remedy,
 	})
 }
 
-// mapping is a YAML mapping whose fields are taken one by one; what is left
-// over is unknown.
+// mapping is a YAML mapping whose fields are requested by name. Fields that were never
+// requested are unknown.
 type mapping struct {
-	d      *decoder
-	place  place
-	fields map[string]field
-	order  []string
-	taken  []string
+	d         *decoder
+	position  position
+	fields    map[string]field
+	order     []string
+	requested []string
 }
 
 type field struct {
 	key, value *yaml.Node
 }
 
-func placeOf(n *yaml.Node, path string) place {
-	return place{line: n.Line, column: n.Column, field: path}
+func positionOf(n *yaml.Node, path string) position {
+	return position{line: n.Line, column: n.Column, field: path}
 }
 
-// resolve follows aliases to the node they stand for.
+// resolve follows aliases to the node that they refer to.
 func resolve(n *yaml.Node) *yaml.Node {
 	for n.Kind == yaml.AliasNode {
 		n = n.Alias
@@ -56,10 +56,10 @@
 }
 
 func (d *decoder) mapping(n *yaml.Node, path string) *mapping {
-	m := &mapping{d: d, place: placeOf(n, path), fields: map[string]field{}}
+	m := &mapping{d: d, position: positionOf(n, path), fields: map[string]field{}}
 	n = resolve(n)
 	if n.Kind != yaml.MappingNode {
-		d.report(m.place, CodeType, "want a mapping, found "+kindName(n), "write it as fields with values")
+		d.report(m.position, CodeType, "expected a mapping, found "+kindName(n), "write it as fields with values")
 		return m
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -70,8 +70,8 @@
 
 func (m *mapping) add(key, value *yaml.Node) {
 	name := key.Value
-	if _, again := m.fields[name]; again {
-		m.d.report(placeOf(key, m.path(name)), CodeRepeatedField, "the field stands twice", "keep one of them")
+	if _, exists := m.fields[name]; exists {
+		m.d.report(positionOf(key, m.path(name)), CodeRepeatedField, "the field occurs twice", "keep one of them")
 		return
 	}
 	m.fields[name] = field{key: key, value: value}
@@ -79,39 +79,40 @@
 }
 
 func (m *mapping) path(name string) string {
-	if m.place.field == "" {
+	if m.position.field == "" {
 		return name
 	}
-	return m.place.field + "." + name
+	return m.position.field + "." + name
 }
 
-// take returns the value of a field, or nil where the file leaves it out.
-func (m *mapping) take(name string) (*yaml.Node, place) {
-	m.taken = append(m.taken, name)
+// take returns the value of a field and its position. The value is nil if the file omits
+// the field.
+func (m *mapping) take(name string) (*yaml.Node, position) {
+	m.requested = append(m.requested, name)
 	f, ok := m.fields[name]
 	if !ok {
-		return nil, place{line: m.place.line, column: m.place.column, field: m.path(name)}
+		return nil, position{line: m.position.line, column: m.position.column, field: m.path(name)}
 	}
-	return f.value, placeOf(f.value, m.path(name))
+	return f.value, positionOf(f.value, m.path(name))
 }
 
-// done reports the fields that nobody took.
-func (m *mapping) done() {
+// reportUnknown reports the fields that were never requested.
+func (m *mapping) reportUnknown() {
 	known := map[string]bool{}
-	for _, name := range m.taken {
+	for _, name := range m.requested {
 		known[name] = true
 	}
 	for _, name := range m.order {
 		if known[name] {
 			continue
 		}
-		m.d.report(placeOf(m.fields[name].key, m.path(name)), CodeUnknownField,
-			"unknown field", "remove it or use one of: "+strings.Join(m.taken, ", "))
+		m.d.report(positionOf(m.fields[name].key, m.path(name)), CodeUnknownField,
+			"unknown field", "remove it or use one of: "+strings.Join(m.requested, ", "))
 	}
 }
 
-// sub takes a field that is a mapping; nil where the file leaves it out.
-func (m *mapping) sub(name string) *mapping {
+// optionalMapping decodes a field as a mapping. It returns nil if the file omits the field.
+func (m *mapping) optionalMapping(name string) *mapping {
 	n, p := m.take(name)
 	if n == nil {
 		return nil
@@ -119,16 +120,16 @@
 	return m.d.mapping(n, p.field)
 }
 
-// list takes a field that is a list of at most limit items; nil where it is
-// left out. The limit also bounds the work that a file of aliases can cause.
-func (m *mapping) list(name string, limit int) ([]*yaml.Node, place) {
+// list decodes a field as a list of at most limit items. It returns nil if the file omits
+// the field. The limit also bounds the work that a file with nested aliases can cause.
+func (m *mapping) list(name string, limit int) ([]*yaml.Node, position) {
 	n, p := m.take(name)
 	if n == nil {
 		return nil, p
 	}
 	n = resolve(n)
 	if n.Kind != yaml.SequenceNode {
-		m.d.report(p, CodeType, "want a list, found "+kindName(n), "write it as a list")
+		m.d.report(p, CodeType, "expected a list, found "+kindName(n), "write it as a list")
 		return nil, p
 	}
 	if len(n.Content) > limit {
@@ -138,8 +139,9 @@
 	return n.Content, p
 }
 
-// scalar returns the text of a plain value of the wanted YAML tags.
-func (d *decoder) scalar(n *yaml.Node, p place, want string, tags ...string) (string, bool) {
+// scalar returns the text of a scalar that has one of the YAML tags. want names the expected
+// type in a finding.
+func (d *decoder) scalar(n *yaml.Node, p position, want string, tags ...string) (string, bool) {
 	n = resolve(n)
 	if n.Kind == yaml.ScalarNode {
 		for _, tag := range tags {
@@ -148,11 +150,11 @@
 			}
 		}
 	}
-	d.report(p, CodeType, fmt.Sprintf("want %s, found %s", want, kindName(n)), "write "+want)
+	d.report(p, CodeType, fmt.Sprintf("expected %s, found %s", want, kindName(n)), "write "+want)
 	return "", false
 }
 
-func (m *mapping) text(name, def string) (string, place) {
+func (m *mapping) text(name, def string) (string, position) {
 	n, p := m.take(name)
 	if n == nil {
 		return def, p
@@ -164,7 +166,7 @@
 	return s, p
 }
 
-func (m *mapping) flag(name string, def bool) (bool, place) {
+func (m *mapping) boolean(name string, def bool) (bool, position) {
 	n, p := m.take(name)
 	if n == nil {
 		return def, p
@@ -176,8 +178,8 @@
 	return strings.EqualFold(s, "true"), p
 }
 
-// whole takes a whole number between low and high.
-func (m *mapping) whole(name string, def, low, high int) int {
+// integer decodes a field as a whole number from low to high.
+func (m *mapping) integer(name string, def, low, high int) int {
 	n, p := m.take(name)
 	if n == nil {
 		return def
@@ -194,8 +196,8 @@
 	return int(v)
 }
 
-// share takes a number between 0 and 1.
-func (m *mapping) share(name string, def float64) float64 {
+// fraction decodes a field as a number from 0 to 1.
+func (m *mapping) fraction(name string, def float64) float64 {
 	n, p := m.take(name)
 	if n == nil {
 		return def
@@ -205,14 +207,14 @@
 		return def
 	}
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(v >= 0 && v <= 1) { // also refuses NaN
+	if err != nil || !(v >= 0 && v <= 1) { // the negation also rejects NaN
 		m.outOfRange(p, s, "0", "1")
 		return def
 	}
 	return v
 }
 
-// duration takes a time such as 250ms between low and high.
+// duration decodes a field as a duration from low to high, such as 250ms.
 func (m *mapping) duration(name string, def, low, high time.Duration) time.Duration {
 	n, p := m.take(name)
 	if n == nil {
@@ -224,7 +226,7 @@
 	}
 	v, err := time.ParseDuration(s)
 	if err != nil {
-		m.d.report(p, CodeType, fmt.Sprintf("%q is no duration", s), "write a number with a unit: ms, s, m or h")
+		m.d.report(p, CodeType, fmt.Sprintf("%q is not a duration", s), "write a number with a unit: ms, s, m or h")
 		return def
 	}
 	if v < low || v > high {
@@ -234,18 +236,18 @@
 	return v
 }
 
-func (m *mapping) outOfRange(p place, value, low, high string) {
+func (m *mapping) outOfRange(p position, value, low, high string) {
 	m.d.report(p, CodeRange, fmt.Sprintf("%s is out of range", value), fmt.Sprintf("choose %s to %s", low, high))
 }
 
-func (d *decoder) address(n *yaml.Node, p place) (netip.AddrPort, bool) {
+func (d *decoder) address(n *yaml.Node, p position) (netip.AddrPort, bool) {
 	s, ok := d.scalar(n, p, "an address with a port", "!!str")
 	if !ok {
 		return netip.AddrPort{}, false
 	}
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || !a.Addr().Is4() || a.Addr().IsUnspecified() || a.Addr().IsMulticast() || a.Port() == 0 {
-		d.report(p, CodeValue, fmt.Sprintf("%q is no address that callers can reach", s),
+		d.report(p, CodeValue, fmt.Sprintf("%q is not an address that callers can reach", s),
 			"write an IPv4 unicast address and a port from 1 to 65535, such as 192.0.2.10:443")
 		return netip.AddrPort{}, false
 	}
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -6,40 +6,40 @@
 	"strings"
 )
 
-// Op tells what happened to a part of the configuration.
+// Op is the kind of a change to a part of the configuration.
 type Op string
 
-// Operations of a difference.
+// Kinds of changes.
 const (
 	OpAdded   Op = "added"
 	OpRemoved Op = "removed"
 	OpChanged Op = "changed"
 )
 
-// Difference is one thing that differs between two configurations.
+// Difference is one difference between two configurations.
 type Difference struct {
 	Op Op `json:"op"`
-	// Service is empty for what concerns the whole fleet.
+	// Service is empty for fields that apply to the whole fleet.
 	Service string `json:"service,omitempty"`
-	// Field is the path within the service; empty for the service as a whole.
+	// Field is the path of the field within the service; empty for a whole service.
 	Field string `json:"field,omitempty"`
 	Old   string `json:"old,omitempty"`
 	New   string `json:"new,omitempty"`
 }
 
-// Diff returns what changes from old to next, in the order of next's services
-// and then the removed ones. Either may be nil, which stands for no service.
+// Diff returns the differences from old to next: first those of next's services in their
+// order, then the removed services. Either may be nil, which stands for no services.
 func Diff(old, next *Config) []Difference {
 	old, next = orEmpty(old), orEmpty(next)
-	diffs := diffFields("", []namedValue{{"keys", old.Keys.String()}}, []namedValue{{"keys", next.Keys.String()}})
+	diffs := diffFields("", []fieldValue{{"keys", old.Keys.String()}}, []fieldValue{{"keys", next.Keys.String()}})
 	for i := range next.Services {
 		s := &next.Services[i]
-		was := old.service(s.Name)
-		if was == nil {
+		previous := old.service(s.Name)
+		if previous == nil {
 			diffs = append(diffs, Difference{Op: OpAdded, Service: s.Name, New: s.summary()})
 			continue
 		}
-		diffs = append(diffs, diffFields(s.Name, was.values(), s.values())...)
+		diffs = append(diffs, diffFields(s.Name, previous.values(), s.values())...)
 	}
 	for i := range old.Services {
 		if s := &old.Services[i]; next.service(s.Name) == nil {
@@ -64,37 +64,37 @@
 	return &c.Services[i]
 }
 
-// namedValue is a field as people read it.
-type namedValue struct {
+// fieldValue is the name and the displayed value of a field.
+type fieldValue struct {
 	name, value string
 }
 
-// diffFields compares two lists of fields with distinct names.
-func diffFields(service string, old, next []namedValue) []Difference {
+// diffFields compares two lists of fields. Names must be unique within a list.
+func diffFields(service string, old, next []fieldValue) []Difference {
 	var diffs []Difference
-	was := map[string]string{}
+	oldValues := map[string]string{}
 	for _, f := range old {
-		was[f.name] = f.value
+		oldValues[f.name] = f.value
 	}
 	for _, f := range next {
-		before, there := was[f.name]
-		delete(was, f.name)
+		oldValue, exists := oldValues[f.name]
+		delete(oldValues, f.name)
 		switch {
-		case !there:
+		case !exists:
 			diffs = append(diffs, Difference{Op: OpAdded, Service: service, Field: f.name, New: f.value})
-		case before != f.value:
-			diffs = append(diffs, Difference{Op: OpChanged, Service: service, Field: f.name, Old: before, New: f.value})
+		case oldValue != f.value:
+			diffs = append(diffs, Difference{Op: OpChanged, Service: service, Field: f.name, Old: oldValue, New: f.value})
 		}
 	}
 	for _, f := range old {
-		if _, left := was[f.name]; left {
+		if _, remaining := oldValues[f.name]; remaining {
 			diffs = append(diffs, Difference{Op: OpRemoved, Service: service, Field: f.name, Old: f.value})
 		}
 	}
 	return diffs
 }
 
-// String returns the references as people read them.
+// String returns the key IDs as shown in a difference, such as "2, previous 1".
 func (k Keys) String() string {
 	switch {
 	case !k.Set:
@@ -117,8 +117,8 @@
 	return strings.Join(names, " ")
 }
 
-func (s *Service) values() []namedValue {
-	values := []namedValue{
+func (s *Service) values() []fieldValue {
+	values := []fieldValue{
 		{"faces", s.faceList()},
 		{"limits.slots", fmt.Sprint(s.Limits.Slots)},
 		{"limits.queue", fmt.Sprint(s.Limits.Queue)},
@@ -135,12 +135,13 @@
 		{"classes", s.classOrder()},
 	}
 	for i := range s.Classes {
-		values = append(values, namedValue{"classes." + s.Classes[i].Name, s.Classes[i].summary()})
+		values = append(values, fieldValue{"classes." + s.Classes[i].Name, s.Classes[i].summary()})
 	}
 	return values
 }
 
-// classOrder lists the classes in file order, which decides what matches.
+// classOrder returns the names of the classes in file order, which decides which class a
+// request gets.
 func (s *Service) classOrder() string {
 	names := make([]string, 0, len(s.Classes))
 	for i := range s.Classes {
--- a/internal/config/finding.go
+++ b/internal/config/finding.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Code names a kind of finding; docs/operations/configuration.md lists them.
+// Code identifies a kind of finding. docs/operations/configuration.md lists the codes.
 type Code string
 
 // Codes of findings.
@@ -30,43 +30,43 @@
 	CodeNoService     Code = "no-service"
 )
 
-// Finding is one fault of a configuration file.
+// Finding is one error in a configuration file.
 type Finding struct {
 	File string `json:"file,omitempty"`
-	// Line and Column count from 1; 0 where the whole file is meant.
+	// Line and Column count from 1. Both are 0 if the finding is about the whole file.
 	Line   int `json:"line"`
 	Column int `json:"column"`
 	// Field is the path of the field, such as services[2].faces[0].
 	Field   string `json:"field"`
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Remedy tells what to change.
+	// Remedy says how to correct the file.
 	Remedy string `json:"remedy"`
 }
 
-// String returns the finding on one line.
+// String returns the finding as one line of text.
 func (f Finding) String() string {
-	place := fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
+	location := fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
 	if f.Field != "" {
-		place += " " + f.Field
+		location += " " + f.Field
 	}
-	return fmt.Sprintf("%s: %s [%s]; %s", place, f.Message, f.Code, f.Remedy)
+	return fmt.Sprintf("%s: %s [%s]; %s", location, f.Message, f.Code, f.Remedy)
 }
 
-// Findings are all faults of one file in the order of their places; none means
-// that the file is valid.
+// Findings are all errors of one file in the order of their positions. A file without
+// findings is valid.
 type Findings []Finding
 
-// Error lists the findings, one a line.
+// Error returns the findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
-	for _, one := range f {
-		lines = append(lines, one.String())
+	for _, finding := range f {
+		lines = append(lines, finding.String())
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the findings as an error, nil where there are none.
+// Err returns the findings as an error, or nil if there are none.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -74,7 +74,7 @@
 	return f
 }
 
-// In returns the findings with the name of their file.
+// In returns a copy of the findings with File set.
 func (f Findings) In(file string) Findings {
 	out := slices.Clone(f)
 	for i := range out {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,14 +13,13 @@
 	"gopkg.in/yaml.v3"
 )
 
-// SchemaVersion is the version of the file format that this package reads.
+// SchemaVersion is the version of the file format that this package supports.
 const SchemaVersion = 1
 
-// MaxFileBytes is the largest file that is accepted: the store's limit on one
-// value.
+// MaxFileBytes is the maximum size of a file, which is the store's limit on one value.
 const MaxFileBytes = 1 << 20
 
-// Bounds of lists.
+// Maximum lengths of lists.
 const (
 	maxServices = 4096
 	maxFaces    = 64
@@ -28,7 +27,8 @@
 	maxMethods  = 16
 )
 
-// Limits of numbers and times; docs/operations/configuration.md repeats them.
+// Limits of numbers and durations. docs/operations/configuration.md documents them; keep
+// both in step.
 const (
 	maxSlots       = 10_000
 	maxQueue       = 100_000
@@ -44,7 +44,7 @@
 	maxSlowStart   = time.Hour
 )
 
-// Defaults of fields that a file may leave out.
+// Defaults of optional fields.
 const (
 	DefaultSlots          = 5
 	DefaultQueue          = 64
@@ -69,22 +69,23 @@
 	linePattern   = regexp.MustCompile(`line (\d+):?\s*`)
 )
 
-// Parse reads a configuration file and validates it as a whole. With findings
-// the configuration is nil.
+// Parse parses and validates a configuration file. If there are findings, the configuration
+// is nil.
 func Parse(data []byte, revision uint64) (*Config, Findings) {
 	return ParseNext(data, revision, nil)
 }
 
-// Former is a face that a service gave up so lately that no other service may
-// have it yet.
-type Former struct {
+// HeldFace is a face that was removed from a service so recently that no other service may
+// use it yet.
+type HeldFace struct {
 	Face    netip.AddrPort
 	Service string
 }
 
-// ParseNext is Parse with the rules for what may follow the previous
-// configuration, which may be nil, and the faces that were given up lately.
-func ParseNext(data []byte, revision uint64, previous *Config, former ...Former) (*Config, Findings) {
+// ParseNext is like Parse and also applies the rules for a change: a face may neither move
+// directly from another service of the previous configuration, which may be nil, nor be
+// one of the held faces of another service.
+func ParseNext(data []byte, revision uint64, previous *Config, held ...HeldFace) (*Config, Findings) {
 	d := &decoder{}
 	root := d.document(data)
 	if root == nil {
@@ -92,8 +93,8 @@
 	}
 	f := d.file(root)
 	f.check(d)
-	f.checkMoved(d, previous)
-	f.checkFormer(d, former)
+	f.checkMovedFaces(d, previous)
+	f.checkHeldFaces(d, held)
 	if len(d.findings) > 0 {
 		d.findings.sort()
 		return nil, d.findings
@@ -102,11 +103,11 @@
 	return f.config, nil
 }
 
-// document returns the one document of the file, nil after a finding.
+// document returns the file's single YAML document, or nil after a finding.
 func (d *decoder) document(data []byte) *yaml.Node {
-	start := place{line: 1, column: 1}
+	start := position{line: 1, column: 1}
 	if len(data) > MaxFileBytes {
-		d.report(place{}, CodeTooLarge, fmt.Sprintf("the file has %d bytes, the store holds %d", len(data), MaxFileBytes),
+		d.report(position{}, CodeTooLarge, fmt.Sprintf("the file has %d bytes, the store accepts at most %d", len(data), MaxFileBytes),
 			"leave out fields that equal their defaults, or comments")
 		return nil
 	}
@@ -118,45 +119,45 @@
 		return nil
 	}
 	if err != nil {
-		d.report(syntaxPlace(err), CodeSyntax, err.Error(), "mend the YAML at this line")
+		d.report(syntaxErrorPosition(err), CodeSyntax, err.Error(), "correct the YAML syntax at this line")
 		return nil
 	}
 	if err := dec.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
-		d.report(start, CodeSyntax, "the file holds more than one YAML document", "keep one document")
+		d.report(start, CodeSyntax, "the file contains more than one YAML document", "keep one document")
 		return nil
 	}
 	return doc.Content[0]
 }
 
-// syntaxPlace reads the line from the library's message, which has it nowhere
-// else.
-func syntaxPlace(err error) place {
-	p := place{line: 1, column: 1}
+// syntaxErrorPosition extracts the line number from the message of a YAML error. The
+// library doesn't provide it in any other form.
+func syntaxErrorPosition(err error) position {
+	p := position{line: 1, column: 1}
 	if m := linePattern.FindStringSubmatch(err.Error()); m != nil {
 		p.line, _ = strconv.Atoi(m[1])
 	}
 	return p
 }
 
-// file is a configuration with the places of what later checks compare.
+// file is a decoded configuration with the positions of the fields that check reports on.
 type file struct {
-	config *Config
-	root   place
-	places []servicePlaces
+	config    *Config
+	root      position
+	positions []servicePositions
 }
 
-type servicePlaces struct {
-	name    place
-	faces   []place
-	classes []classPlaces
+type servicePositions struct {
+	name    position
+	faces   []position
+	classes []classPositions
 }
 
-type classPlaces struct {
-	self, name, path, methods, kind, idempotent place
+type classPositions struct {
+	self, name, path, methods, kind, idempotent position
 }
 
 func (d *decoder) file(root *yaml.Node) *file {
-	f := &file{config: &Config{}, root: placeOf(root, "")}
+	f := &file{config: &Config{}, root: positionOf(root, "")}
 	m := d.mapping(root, "")
 	f.version(m)
 	f.config.Keys = m.keys()
@@ -167,7 +168,7 @@
 	for i, n := range nodes {
 		f.service(d.mapping(n, fmt.Sprintf("%s[%d]", p.field, i)))
 	}
-	m.done()
+	m.reportUnknown()
 	return f
 }
 
@@ -179,27 +180,27 @@
 	}
 	s, ok := m.d.scalar(n, p, "a whole number", "!!int")
 	if ok && s != strconv.Itoa(SchemaVersion) {
-		m.d.report(p, CodeVersion, "version "+s+" is not known here", fmt.Sprintf("use version: %d, or a newer saltbend", SchemaVersion))
+		m.d.report(p, CodeVersion, "version "+s+" is not supported", fmt.Sprintf("use version: %d, or a newer release of saltbend", SchemaVersion))
 	}
 }
 
 func (m *mapping) keys() Keys {
-	sub := m.sub("keys")
+	sub := m.optionalMapping("keys")
 	if sub == nil {
 		return Keys{}
 	}
 	const none, maxID = -1, 255
-	current := sub.whole("current", none, 0, maxID)
-	previous := sub.whole("previous", current, 0, maxID)
-	if _, given := sub.fields["current"]; !given {
-		m.d.report(sub.place, CodeMissing, "the current key is missing", "name the id of the secret that signs")
+	current := sub.integer("current", none, 0, maxID)
+	previous := sub.integer("previous", current, 0, maxID)
+	if _, exists := sub.fields["current"]; !exists {
+		m.d.report(sub.position, CodeMissing, "the current key is missing", "add the id of the secret to sign with")
 	}
-	sub.done()
+	sub.reportUnknown()
 	return Keys{Set: true, Current: uint8(current), Previous: uint8(previous)}
 }
 
-// name takes the required name of a service or class.
-func (m *mapping) name() (string, place) {
+// name decodes the required name of a service or class.
+func (m *mapping) name() (string, position) {
 	n, p := m.take("name")
 	if n == nil {
 		m.d.report(p, CodeMissing, "the name is missing", "give it a name")
@@ -207,17 +208,17 @@
 	}
 	s, ok := m.d.scalar(n, p, "text", "!!str")
 	if ok && !namePattern.MatchString(s) {
-		m.d.report(p, CodeValue, fmt.Sprintf("%q is no valid name", s),
+		m.d.report(p, CodeValue, fmt.Sprintf("%q is not a valid name", s),
 			"use a lower-case letter, then at most 62 lower-case letters, digits or hyphens")
 	}
 	return s, p
 }
 
-// urlPath takes a path without a pattern.
+// urlPath decodes a field as a URL path without a wildcard.
 func (m *mapping) urlPath(name, def string) string {
 	s, p := m.text(name, def)
 	if !pathPattern.MatchString(s) || s[len(s)-1] == '*' {
-		m.d.report(p, CodeValue, fmt.Sprintf("%q is no path", s), "begin with a slash; leave out *, ?, # and blanks")
+		m.d.report(p, CodeValue, fmt.Sprintf("%q is not a path", s), "begin with a slash; leave out *, ?, # and blanks")
 		return def
 	}
 	return s
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// service reads one service with its places.
+// service decodes one service with its positions.
 func (f *file) service(m *mapping) {
 	var s Service
-	var p servicePlaces
+	var p servicePositions
 	s.Name, p.name = m.name()
 	s.Faces, p.faces = m.faces()
 	s.Limits = m.limits()
@@ -18,74 +18,74 @@
 	s.Health = m.health()
 	s.Retry = m.retry()
 	s.Classes, p.classes = m.classes()
-	m.done()
+	m.reportUnknown()
 	f.config.Services = append(f.config.Services, s)
-	f.places = append(f.places, p)
+	f.positions = append(f.positions, p)
 }
 
-func (m *mapping) faces() (faces []netip.AddrPort, places []place) {
+func (m *mapping) faces() (faces []netip.AddrPort, positions []position) {
 	nodes, p := m.list("faces", maxFaces)
 	if len(nodes) == 0 {
 		m.d.report(p, CodeMissing, "the service has no face", "list at least one address with a port")
 	}
 	for i, n := range nodes {
-		at := placeOf(n, fmt.Sprintf("%s[%d]", p.field, i))
+		at := positionOf(n, fmt.Sprintf("%s[%d]", p.field, i))
 		if a, ok := m.d.address(n, at); ok {
 			faces = append(faces, a)
-			places = append(places, at)
+			positions = append(positions, at)
 		}
 	}
-	return faces, places
+	return faces, positions
 }
 
-// section takes a mapping that may be left out; reading from an absent one
-// gives the defaults.
-func (m *mapping) section(name string) *mapping {
-	if sub := m.sub(name); sub != nil {
+// mappingOrEmpty decodes an optional field as a mapping. If the file omits it, it returns an
+// empty mapping, so that all fields take their defaults.
+func (m *mapping) mappingOrEmpty(name string) *mapping {
+	if sub := m.optionalMapping(name); sub != nil {
 		return sub
 	}
-	return &mapping{d: m.d, place: place{line: m.place.line, column: m.place.column, field: m.path(name)}}
+	return &mapping{d: m.d, position: position{line: m.position.line, column: m.position.column, field: m.path(name)}}
 }
 
 func (m *mapping) limits() Limits {
-	sub := m.section("limits")
-	defer sub.done()
+	sub := m.mappingOrEmpty("limits")
+	defer sub.reportUnknown()
 	return Limits{
-		Slots:       sub.whole("slots", DefaultSlots, 1, maxSlots),
-		Queue:       sub.whole("queue", DefaultQueue, 0, maxQueue),
-		Connections: sub.whole("connections", DefaultConnections, 1, maxConnections),
-		BodyBytes:   sub.whole("body-bytes", DefaultBodyBytes, 0, maxBodyBytes),
+		Slots:       sub.integer("slots", DefaultSlots, 1, maxSlots),
+		Queue:       sub.integer("queue", DefaultQueue, 0, maxQueue),
+		Connections: sub.integer("connections", DefaultConnections, 1, maxConnections),
+		BodyBytes:   sub.integer("body-bytes", DefaultBodyBytes, 0, maxBodyBytes),
 	}
 }
 
 func (m *mapping) drain() Drain {
-	sub := m.section("drain")
-	defer sub.done()
+	sub := m.mappingOrEmpty("drain")
+	defer sub.reportUnknown()
 	return Drain{Timeout: sub.duration("timeout", DefaultDrainTimeout, 0, maxDrain)}
 }
 
 func (m *mapping) health() Health {
-	sub := m.section("health")
-	defer sub.done()
+	sub := m.mappingOrEmpty("health")
+	defer sub.reportUnknown()
 	return Health{
 		Path:           sub.urlPath("path", DefaultHealthPath),
 		LoadPath:       sub.urlPath("load-path", DefaultLoadPath),
 		Interval:       sub.duration("interval", DefaultInterval, minInterval, maxInterval),
-		PanicThreshold: sub.share("panic-threshold", DefaultPanicThreshold),
+		PanicThreshold: sub.fraction("panic-threshold", DefaultPanicThreshold),
 		SlowStart:      sub.duration("slow-start", DefaultSlowStart, 0, maxSlowStart),
 	}
 }
 
 func (m *mapping) retry() Retry {
-	sub := m.section("retry")
-	defer sub.done()
+	sub := m.mappingOrEmpty("retry")
+	defer sub.reportUnknown()
 	return Retry{
-		Attempts: sub.whole("attempts", DefaultAttempts, 1, maxAttempts),
-		Budget:   sub.share("budget", DefaultBudget),
+		Attempts: sub.integer("attempts", DefaultAttempts, 1, maxAttempts),
+		Budget:   sub.fraction("budget", DefaultBudget),
 	}
 }
 
-func (m *mapping) classes() (classes []Class, places []classPlaces) {
+func (m *mapping) classes() (classes []Class, positions []classPositions) {
 	nodes, p := m.list("classes", maxClasses)
 	if len(nodes) == 0 {
 		m.d.report(p, CodeMissing, "the service has no class", "list at least one class of requests")
@@ -93,40 +93,40 @@
 	for i, n := range nodes {
 		c, at := m.d.class(m.d.mapping(n, fmt.Sprintf("%s[%d]", p.field, i)))
 		classes = append(classes, c)
-		places = append(places, at)
+		positions = append(positions, at)
 	}
-	return classes, places
+	return classes, positions
 }
 
-func (d *decoder) class(m *mapping) (c Class, p classPlaces) {
-	p.self = m.place
+func (d *decoder) class(m *mapping) (c Class, p classPositions) {
+	p.self = m.position
 	c.Name, p.name = m.name()
 	c.Methods, p.methods = m.methods()
 	c.Path, p.path = m.pattern()
 	c.Kind, p.kind = m.kind()
-	c.Priority = m.whole("priority", DefaultPriority, 0, maxPriority)
-	c.Idempotent, p.idempotent = m.flag("idempotent", c.Kind == KindFeed)
+	c.Priority = m.integer("priority", DefaultPriority, 0, maxPriority)
+	c.Idempotent, p.idempotent = m.boolean("idempotent", c.Kind == KindFeed)
 	c.Deadline = m.duration("deadline", DefaultDeadline, minDeadline, maxDeadline)
-	resume, at := m.flag("resume", false)
+	resume, at := m.boolean("resume", false)
 	if resume && c.Kind != KindFeed {
 		d.report(at, CodeConflict, "only a feed can be resumed", "remove resume, or set kind: feed")
 	}
 	c.Resume = resume
-	m.done()
+	m.reportUnknown()
 	return c, p
 }
 
-func (m *mapping) methods() (methods []string, p place) {
+func (m *mapping) methods() (methods []string, p position) {
 	nodes, p := m.list("methods", maxMethods)
 	for i, n := range nodes {
-		at := placeOf(n, fmt.Sprintf("%s[%d]", p.field, i))
+		at := positionOf(n, fmt.Sprintf("%s[%d]", p.field, i))
 		s, ok := m.d.scalar(n, at, "an HTTP method", "!!str")
 		switch {
 		case !ok:
 		case !methodPattern.MatchString(s):
-			m.d.report(at, CodeValue, fmt.Sprintf("%q is no HTTP method", s), "use upper-case letters, such as GET")
+			m.d.report(at, CodeValue, fmt.Sprintf("%q is not an HTTP method", s), "use upper-case letters, such as GET")
 		case slices.Contains(methods, s):
-			m.d.report(at, CodeDuplicate, "the method "+s+" stands twice", "remove one of them")
+			m.d.report(at, CodeDuplicate, "the method "+s+" occurs twice", "remove one of them")
 		default:
 			methods = append(methods, s)
 		}
@@ -134,27 +134,28 @@
 	return methods, p
 }
 
-// pattern takes a class's path: exact, or a prefix that ends in an asterisk.
-func (m *mapping) pattern() (string, place) {
+// pattern decodes a class's path pattern: an exact path, or a prefix followed by an
+// asterisk.
+func (m *mapping) pattern() (string, position) {
 	const all = "/*"
 	s, p := m.text("path", "")
-	if _, given := m.fields["path"]; !given {
+	if _, exists := m.fields["path"]; !exists {
 		m.d.report(p, CodeMissing, "the path is missing", "write a path, or "+all+" for every path")
 		return all, p
 	}
 	if !pathPattern.MatchString(s) {
-		m.d.report(p, CodeValue, fmt.Sprintf("%q is no path pattern", s),
+		m.d.report(p, CodeValue, fmt.Sprintf("%q is not a path pattern", s),
 			"begin with a slash; an asterisk may stand only at the end")
 		return all, p
 	}
 	return s, p
 }
 
-func (m *mapping) kind() (Kind, place) {
+func (m *mapping) kind() (Kind, position) {
 	s, p := m.text("kind", string(KindRequest))
 	kinds := []string{string(KindRequest), string(KindFeed), string(KindUpload)}
 	if !slices.Contains(kinds, s) {
-		m.d.report(p, CodeValue, fmt.Sprintf("%q is no kind of class", s), "use one of: "+strings.Join(kinds, ", "))
+		m.d.report(p, CodeValue, fmt.Sprintf("%q is not a kind of class", s), "use one of: "+strings.Join(kinds, ", "))
 		return KindRequest, p
 	}
 	return Kind(s), p
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -23,7 +23,7 @@
 	return record.Draft{ID: id, Operator: "ann", Time: now, Text: text, Config: parsed}
 }
 
-func TestRecordKeepsWhatItWasGiven(t *testing.T) {
+func TestEncodeAndDecodeRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := record.First(draft("one", []byte(valid))).Next(7, draft("two", []byte(valid)))
 	value, err := r.Encode()
@@ -31,12 +31,12 @@
 	g.Expect(record.Decode(value)).To(gomega.Equal(r))
 	fromText, findings := config.Parse([]byte(valid), 9)
 	g.Expect(findings).To(gomega.BeEmpty())
-	passedOn, err := record.Text(value)
+	configJSON, err := record.Text(value)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(record.ParseText(passedOn, 9)).To(gomega.Equal(fromText))
+	g.Expect(record.ParseText(configJSON, 9)).To(gomega.Equal(fromText))
 }
 
-func TestRecentChangesAreFoundUpToTheBound(t *testing.T) {
+func TestFindIsLimitedToMaxRecentChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const first, last = 10, 10 + record.MaxRecent + 1
 	r := record.First(draft("c10", nil))
@@ -56,14 +56,14 @@
 	g.Expect(r.Covers(store.Create)).To(gomega.BeFalse())
 }
 
-func TestValuesThatCannotBeHeldAreRefused(t *testing.T) {
+func TestLargestTextFitsAndDamagedValuesAreRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	noise := make([]byte, config.MaxFileBytes)
 	for i := range noise {
 		noise[i] = byte(rand.IntN(127-' ') + ' ')
 	}
 	value, err := record.First(draft("one", noise)).Encode()
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "the largest text of ASCII has to fit")
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "a file of maximum size with random ASCII characters must fit")
 	g.Expect(record.Decode(value)).To(gomega.HaveField("Text", string(noise)))
 	_, err = record.Decode(value[:len(value)/2])
 	g.Expect(err).To(gomega.MatchError(record.ErrDamaged))
--- a/internal/record/retired.go
+++ b/internal/record/retired.go
@@ -7,39 +7,41 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-// RestTime is how long a face rests after a service gave it up, before another
-// may have it: several times the time in which each balancer takes a revision
-// over. It is measured by the clocks of the operators' hosts.
-const RestTime = time.Minute
+// HoldTime is how long a removed face is held before another service may use it. It is
+// several times as long as all balancers need to adopt a revision. It is measured with the
+// clocks of the operators' hosts.
+const HoldTime = time.Minute
 
-// Retired is a face that a service gave up.
+// Retired is a face that was removed from a service at Time.
 type Retired struct {
 	Face    netip.AddrPort `json:"face"`
 	Service string         `json:"service"`
 	Time    time.Time      `json:"time"`
 }
 
-func (r Retired) rests(now time.Time) bool {
+func (r Retired) isHeld(now time.Time) bool {
 	age := now.Sub(r.Time)
-	return age < RestTime && age > -RestTime // a clock far off must not block a face
+	// A time far in the future, set by a wrong clock, must not block a face.
+	return age < HoldTime && age > -HoldTime
 }
 
-// Resting returns the faces that must not go to another service yet.
-func (r Record) Resting(now time.Time) []config.Former {
-	var out []config.Former
+// HeldFaces returns the faces that other services must not use yet.
+func (r Record) HeldFaces(now time.Time) []config.HeldFace {
+	var out []config.HeldFace
 	for _, f := range r.Retired {
-		if f.rests(now) {
-			out = append(out, config.Former{Face: f.Face, Service: f.Service})
+		if f.isHeld(now) {
+			out = append(out, config.HeldFace{Face: f.Face, Service: f.Service})
 		}
 	}
 	return out
 }
 
-// retire returns the faces that rest after the change to next.
-func (r Record) retire(next *config.Config, now time.Time) []Retired {
+// nextRetired returns the retired faces after the change to next: those that are still held
+// and the ones that the change removes. A face that its own service takes back is left out.
+func (r Record) nextRetired(next *config.Config, now time.Time) []Retired {
 	var out []Retired
 	for _, f := range r.Retired {
-		if f.rests(now) && !owns(next, f.Service, f.Face) {
+		if f.isHeld(now) && !owns(next, f.Service, f.Face) {
 			out = append(out, f)
 		}
 	}
