--- a/internal/record/parse.go
+++ b/internal/record/parse.go
@@ -8,9 +8,9 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-// Text returns the parsed form of the configuration in a stored value, as the
-// text that processes pass on to each other. It is kept as its writer wrote it,
-// so that a process of an older version passes on what it doesn't know.
+// Text returns the JSON form of the configuration in a stored value, which is the text that
+// processes send to each other. It is returned byte for byte, so that a process of an older
+// version forwards fields that it doesn't know.
 func Text(value []byte) ([]byte, error) {
 	var e struct {
 		Format int             `json:"format"`
@@ -25,7 +25,7 @@
 	return e.Config, nil
 }
 
-// ParseText returns the configuration that a text says.
+// ParseText parses the JSON form of a configuration, as returned by Text.
 func ParseText(text []byte, revision uint64) (*config.Config, error) {
 	c := &config.Config{}
 	if err := json.Unmarshal(text, c); err != nil {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,7 +1,6 @@
-// Package record is the value under which the store keeps the configuration:
-// the operators' file as it was written, what it says in parsed form, and the
-// ids of the recent changes, by which a writer whose answer was lost learns
-// what became of its change.
+// Package record encodes the value that holds the configuration in the store: the
+// operators' file as written, its parsed form, and the IDs of recent changes. With these IDs
+// a writer that got no response can determine whether its change was accepted.
 package record
 
 import (
@@ -15,45 +14,45 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Key is the store's key of the configuration.
+// Key is the key of the configuration in the store.
 const Key = "saltbend/config"
 
-// MaxRecent bounds the ids of former changes. A writer can be told its outcome
-// until that many later changes were accepted.
+// MaxRecent is the number of previous changes that a record lists. A writer can determine
+// the outcome of its change until that many later changes have been accepted.
 const MaxRecent = 256
 
 // format is the version of the encoding.
 const format = 1
 
-// maxDecodedBytes bounds what a value may unpack to: a file of the largest
-// size whose every byte needs an escape of six, its parsed form, and the ids.
+// maxDecodedBytes limits the decompressed size of a value. It allows for a file of maximum
+// size in which every byte is escaped as six bytes, for its parsed form and for the change IDs.
 const maxDecodedBytes = 16 * store.MaxValueBytes
 
-// ChangeID names one change; its writer draws it at random.
+// ChangeID identifies a change. Its writer generates it at random.
 type ChangeID string
 
-// Change is a former change with the revision that it got.
+// Change is a previous change with its revision.
 type Change struct {
 	ID       ChangeID `json:"id"`
 	Revision uint64   `json:"revision"`
 }
 
-// Record is one accepted change. The revision is not part of it: the store
-// assigns one with the write.
+// Record is one accepted change. It doesn't contain its own revision, because the store
+// assigns that when the record is written.
 type Record struct {
 	ID       ChangeID  `json:"id"`
 	Operator string    `json:"operator"`
 	Time     time.Time `json:"time"`
-	// Sequence counts the changes since the key was made, this one included.
+	// Sequence is the number of changes since the key was created, including this one.
 	Sequence uint64 `json:"sequence"`
-	// Recent are the changes before this one, newest first.
+	// Recent lists the changes before this one, newest first.
 	Recent []Change `json:"recent,omitempty"`
-	// Retired are the faces that services gave up lately.
+	// Retired lists the faces that were recently removed from services.
 	Retired []Retired `json:"retired,omitempty"`
-	// Text is the operators' file.
+	// Text is the content of the operators' file.
 	Text string `json:"text"`
-	// Config is what Text says. Processes adopt it without parsing the text,
-	// which costs several times the work and memory.
+	// Config is the parsed form of Text. Processes use it instead of parsing Text, which
+	// takes several times as much processor time and memory.
 	Config *config.Config `json:"config"`
 }
 
@@ -69,8 +68,8 @@
 	errCodecInit = "zstd: options are constants"
 )
 
-// Encode returns the value to store; store.ErrTooLarge where it exceeds the
-// store's limit.
+// Encode returns the value to write to the store. It returns store.ErrTooLarge if the value
+// exceeds the store's limit.
 func (r Record) Encode() ([]byte, error) {
 	plain, err := json.Marshal(envelope{Format: format, Record: r})
 	if err != nil {
@@ -88,7 +87,7 @@
 	return value, nil
 }
 
-// Decode reads a stored value.
+// Decode decodes a stored value.
 func Decode(value []byte) (Record, error) {
 	var e envelope
 	if err := decode(value, &e); err != nil {
@@ -103,7 +102,7 @@
 	return e.Record, nil
 }
 
-// decode unpacks a stored value into out.
+// decode decompresses a stored value and unmarshals it into out.
 func decode(value []byte, out any) error {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDecodedBytes), zstd.WithDecoderConcurrency(1))
 	if err != nil {
@@ -120,13 +119,13 @@
 	return nil
 }
 
-// Draft is a change that is to be written.
+// Draft is a change to be written.
 type Draft struct {
 	ID       ChangeID
 	Operator string
 	Time     time.Time
 	Text     []byte
-	// Config is what Text says.
+	// Config is the parsed form of Text.
 	Config *config.Config
 }
 
@@ -135,12 +134,11 @@
 	return Record{ID: d.ID, Operator: d.Operator, Time: d.Time.UTC(), Sequence: 1, Text: string(d.Text), Config: d.Config}
 }
 
-// Next returns the record of a change made to this one, which has the given
-// revision.
+// Next returns the record of a change that replaces r. revision is the revision of r.
 func (r Record) Next(revision uint64, d Draft) Record {
 	next := First(d)
 	next.Sequence = r.Sequence + 1
-	next.Retired = r.retire(d.Config, next.Time)
+	next.Retired = r.nextRetired(d.Config, next.Time)
 	next.Recent = append([]Change{{ID: r.ID, Revision: revision}}, r.Recent...)
 	if len(next.Recent) > MaxRecent {
 		next.Recent = next.Recent[:MaxRecent]
@@ -148,11 +146,11 @@
 	return next
 }
 
-// Find returns the revision that a change got, where the record still knows
-// it. own is the revision of the record itself.
-func (r Record) Find(id ChangeID, own uint64) (revision uint64, found bool) {
+// Find returns the revision of a change if r is that change or still lists it. ownRevision
+// is the revision of r.
+func (r Record) Find(id ChangeID, ownRevision uint64) (revision uint64, found bool) {
 	if r.ID == id {
-		return own, true
+		return ownRevision, true
 	}
 	for _, c := range r.Recent {
 		if c.ID == id {
@@ -162,8 +160,8 @@
 	return 0, false
 }
 
-// Covers reports whether the record knows every change since a revision, 0
-// being the time before the first change.
+// Covers reports whether the record lists every change after the base revision;
+// store.Create stands for the time before the first change.
 func (r Record) Covers(base uint64) bool {
 	if base == store.Create {
 		return uint64(len(r.Recent))+1 == r.Sequence
