--- a/internal/store/httpstore/call.go
+++ b/internal/store/httpstore/call.go
@@ -17,7 +17,7 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Names of calls in the metric.
+// Values of the call label of the calls metric.
 const (
 	callGet    = "get"
 	callList   = "list"
@@ -28,7 +28,7 @@
 
 const keyPath = "/v1/kv/"
 
-// call is one request to the service.
+// call is one request to the key-value service.
 type call struct {
 	name   string
 	method string
@@ -36,26 +36,26 @@
 	query  url.Values
 	header http.Header
 	body   []byte
-	// writes tells that the request changes the store once it arrives.
+	// writes is true if the request may change the store.
 	writes bool
 	// extra is added to the timeout.
 	extra time.Duration
-	// limit bounds the answer's body; 0 stands for one value.
+	// limit is the maximum size of the response body; 0 means the size of one value.
 	limit int64
 }
 
-// do tries each base in turn, beginning with the one that answered last, until
-// one was reached.
-func (c *Client) do(ctx context.Context, r call) (*answer, error) {
-	first := c.next.Load()
-	var a *answer
+// do sends the call to one base URL after another, starting with the one that last
+// responded, until one can be reached.
+func (c *Client) do(ctx context.Context, r call) (*response, error) {
+	first := c.lastGood.Load()
+	var a *response
 	var err error
 	for i := range len(c.bases) {
 		at := (first + uint32(i)) % uint32(len(c.bases))
 		a, err = c.try(ctx, c.bases[at], r)
 		c.count(r.name, err)
 		if !errors.Is(err, store.ErrUnavailable) {
-			c.next.Store(at)
+			c.lastGood.Store(at)
 			return a, err
 		}
 		if ctx.Err() != nil {
@@ -65,11 +65,11 @@
 	return nil, err
 }
 
-func (c *Client) try(ctx context.Context, base *url.URL, r call) (*answer, error) {
+func (c *Client) try(ctx context.Context, base *url.URL, r call) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout+r.extra)
 	defer cancel()
-	// A connection is handed out before the first byte is written: without
-	// one, nothing was sent.
+	// The transport reports a connection before it writes the first byte. If it reported
+	// none, nothing was sent.
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req, err := r.request(httptrace.WithClientTrace(ctx, trace), base)
@@ -78,13 +78,13 @@
 	}
 	a, err := c.roundTrip(req, r)
 	if err != nil {
-		return nil, r.failure(connected.Load(), err)
+		return nil, r.transportError(connected.Load(), err)
 	}
 	return a, r.statusError(a)
 }
 
 func (r *call) request(ctx context.Context, base *url.URL) (*http.Request, error) {
-	u := base.JoinPath(keyPath + escape(r.key))
+	u := base.JoinPath(keyPath + escapePath(r.key))
 	u.RawQuery = r.query.Encode()
 	req, err := http.NewRequestWithContext(ctx, r.method, u.String(), bytes.NewReader(r.body))
 	if err != nil {
@@ -96,8 +96,8 @@
 	return req, nil
 }
 
-// escape keeps the slashes of a key, which part its segments.
-func escape(key string) string {
+// escapePath escapes a key for a URL path, except for the slashes between its segments.
+func escapePath(key string) string {
 	segments := strings.Split(key, "/")
 	for i := range segments {
 		segments[i] = url.PathEscape(segments[i])
@@ -105,7 +105,7 @@
 	return strings.Join(segments, "/")
 }
 
-func (c *Client) roundTrip(req *http.Request, r call) (*answer, error) {
+func (c *Client) roundTrip(req *http.Request, r call) (*response, error) {
 	res, err := c.http.Do(req)
 	if err != nil {
 		return nil, err
@@ -120,22 +120,23 @@
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errors.Errorf("the answer exceeds %d bytes", limit)
+		return nil, errors.Errorf("the store's response exceeds %d bytes", limit)
 	}
-	return &answer{status: res.StatusCode, etag: res.Header.Get("ETag"), body: body}, nil
+	return &response{status: res.StatusCode, etag: res.Header.Get("ETag"), body: body}, nil
 }
 
-// failure types an exchange that broke: a write whose request may have been
-// sent may have taken effect.
-func (r *call) failure(sent bool, err error) error {
+// transportError returns the store error for a failed exchange: ErrOutcomeUnknown for a
+// write that may have been sent, because it may have taken effect, otherwise
+// ErrUnavailable.
+func (r *call) transportError(sent bool, err error) error {
 	if r.writes && sent {
 		return errors.Wrap(store.ErrOutcomeUnknown, err.Error())
 	}
 	return errors.Wrap(store.ErrUnavailable, err.Error())
 }
 
-// statusError types the answer's status; nil where it is a success.
-func (r *call) statusError(a *answer) error {
+// statusError returns the store error for the response's status, or nil for a success.
+func (r *call) statusError(a *response) error {
 	switch a.status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent, http.StatusNotModified:
 		return nil
@@ -146,14 +147,15 @@
 	case http.StatusRequestEntityTooLarge:
 		return store.ErrTooLarge
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		// The service itself refused: a write had no effect.
+		// The service itself refused the call, so a write had no effect.
 		return errors.Wrapf(store.ErrUnavailable, "status %d", a.status)
 	}
-	// A gateway's 502 or 504 may hide a write that took effect.
-	return r.failure(a.status >= http.StatusInternalServerError, errors.Errorf("status %d", a.status))
+	// A write may have taken effect even if a gateway responds with 502 or 504.
+	return r.transportError(a.status >= http.StatusInternalServerError, errors.Errorf("status %d", a.status))
 }
 
-// notFound tells a missing key from a write whose expected revision is gone.
+// notFound returns ErrNotFound for a read of a missing key. For a write it returns
+// ErrConflict, because the key with the expected revision no longer exists.
 func (r *call) notFound() error {
 	if r.writes {
 		return store.ErrConflict
@@ -161,7 +163,8 @@
 	return store.ErrNotFound
 }
 
-// count adds to the calls that the platform charges for.
+// count counts a call by name and outcome. The calls count against the platform's rate
+// limits.
 func (c *Client) count(name string, err error) {
 	metric := fmt.Sprintf(`saltbend_store_calls_total{call=%q,outcome=%q}`, name, outcome(err))
 	c.options.Metrics.GetOrCreateCounter(metric).Inc()
--- a/internal/store/httpstore/httpstore.go
+++ b/internal/store/httpstore/httpstore.go
@@ -1,5 +1,5 @@
-// Package httpstore speaks to the platform's key-value service over HTTP: an
-// ETag is a revision, If-Match a compare-and-swap, a long poll a watch.
+// Package httpstore is a client of the platform's key-value service over HTTP. Revisions are
+// sent as ETags, compare-and-swap uses If-Match, and watches use long polling.
 package httpstore
 
 import (
@@ -18,51 +18,51 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Options configure a client; zero values take defaults.
+// Options configures a client. Zero values are replaced by defaults.
 type Options struct {
-	// Timeout bounds one call; a watch may take PollWait longer.
+	// Timeout is the timeout of one call. PollWait is added to it for a watch.
 	Timeout time.Duration
-	// PollWait is how long one long poll waits for a change.
+	// PollWait is how long the service waits for a change before it answers a long poll.
 	PollWait time.Duration
-	// Metrics takes the counters of calls; nil uses the process's default set.
+	// Metrics is the set that the counters of calls are added to; nil means the default set.
 	Metrics *metrics.Set
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultTimeout  = 5 * time.Second
 	DefaultPollWait = 30 * time.Second
 )
 
-// Bounds of the client's connections.
+// Limits of the client's connections and of the size of a list.
 const (
 	maxIdlePerHost = 4
 	idleTimeout    = 90 * time.Second
 	maxListBytes   = 16 << 20
 )
 
-// Client is the store behind one or more base URLs of the same service. It is
-// safe for concurrent use.
+// Client implements store.Store for a service that has one or more base URLs. It is safe for
+// concurrent use.
 type Client struct {
 	bases   []*url.URL
 	options Options
 	http    *http.Client
-	// next is the base that answered last.
-	next atomic.Uint32
+	// lastGood is the index of the base URL that last responded.
+	lastGood atomic.Uint32
 }
 
 var _ store.Store = (*Client)(nil)
 
-// New returns a client of the service at the base URLs.
+// New returns a client of the service at the given base URLs.
 func New(bases []string, options Options) (*Client, error) {
 	if len(bases) == 0 {
-		return nil, errors.New("no base URL of the store is given")
+		return nil, errors.New("no base URL for the store was given")
 	}
 	c := &Client{options: options.withDefaults()}
 	for _, base := range bases {
 		u, err := url.Parse(base)
 		if err != nil || u.Host == "" {
-			return nil, errors.New("a base URL of the store is not an http or https URL")
+			return nil, errors.New("a base URL for the store is not an http or https URL")
 		}
 		c.bases = append(c.bases, u)
 	}
@@ -87,7 +87,7 @@
 	return o
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get implements store.Store.
@@ -99,7 +99,7 @@
 	return a.entry(key)
 }
 
-// item is an entry as the service lists it.
+// item is the JSON form of an entry in a list.
 type item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -115,7 +115,7 @@
 	}
 	var items []item
 	if err := json.Unmarshal(a.body, &items); err != nil {
-		return nil, errors.Wrap(store.ErrUnavailable, "the list is not valid JSON")
+		return nil, errors.Wrap(store.ErrUnavailable, "the store's list response is not valid JSON")
 	}
 	entries := make([]store.Entry, 0, len(items))
 	for _, it := range items {
@@ -129,7 +129,7 @@
 	if len(value) > store.MaxValueBytes {
 		return store.Entry{}, store.ErrTooLarge
 	}
-	header := match(expected)
+	header := conditionHeader(expected)
 	if lease > 0 {
 		header.Set("Lease-Seconds", strconv.FormatFloat(lease.Seconds(), 'f', -1, 64))
 	}
@@ -146,11 +146,11 @@
 
 // Delete implements store.Store.
 func (c *Client) Delete(ctx context.Context, key string, expected uint64) error {
-	_, err := c.do(ctx, call{name: callDelete, method: http.MethodDelete, key: key, header: match(expected), writes: true})
+	_, err := c.do(ctx, call{name: callDelete, method: http.MethodDelete, key: key, header: conditionHeader(expected), writes: true})
 	return err
 }
 
-// Watch implements store.Store. It polls again while nothing changes.
+// Watch implements store.Store. It polls until the key has changed.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (store.Entry, error) {
 	query := url.Values{
 		"after": {strconv.FormatUint(after, 10)},
@@ -168,30 +168,31 @@
 	}
 }
 
-// match returns the header that makes a write conditional.
-func match(expected uint64) http.Header {
+// conditionHeader returns the header that makes a write conditional on the expected
+// revision.
+func conditionHeader(expected uint64) http.Header {
 	if expected == store.Create {
 		return http.Header{"If-None-Match": {"*"}}
 	}
 	return http.Header{"If-Match": {`"` + strconv.FormatUint(expected, 10) + `"`}}
 }
 
-// answer is a response that was read whole.
-type answer struct {
+// response is a response with its complete body.
+type response struct {
 	status int
 	etag   string
 	body   []byte
 }
 
-func (a *answer) revision() (uint64, error) {
+func (a *response) revision() (uint64, error) {
 	revision, err := strconv.ParseUint(strings.Trim(a.etag, `"`), 10, 64)
 	if err != nil {
-		return 0, errors.New("the answer has no ETag with a revision")
+		return 0, errors.New("the store's response has no ETag with a revision")
 	}
 	return revision, nil
 }
 
-func (a *answer) entry(key string) (store.Entry, error) {
+func (a *response) entry(key string) (store.Entry, error) {
 	revision, err := a.revision()
 	if err != nil {
 		return store.Entry{}, errors.Wrap(store.ErrUnavailable, err.Error())
--- a/internal/store/httpstore/httpstore_test.go
+++ b/internal/store/httpstore/httpstore_test.go
@@ -27,8 +27,7 @@
 	return c
 }
 
-// breakAfterRequest reads the whole request, then ends the connection with no
-// answer.
+// breakAfterRequest reads the whole request, then closes the connection without a response.
 func breakAfterRequest(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	conn, _, err := http.NewResponseController(w).Hijack()
@@ -41,7 +40,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 }
 
-func TestErrorsAreTyped(t *testing.T) {
+func TestFailuresMapToStoreErrors(t *testing.T) {
 	tests := []struct {
 		name        string
 		handler     http.HandlerFunc
@@ -69,14 +68,14 @@
 	}
 }
 
-func TestUnreachedStoreIsUnavailable(t *testing.T) {
+func TestUnreachableStoreIsUnavailable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := client(t, "http://"+closedAddress(t))
 	_, err := c.Swap(t.Context(), key, []byte("v"), 7, 0)
 	g.Expect(err).To(gomega.MatchError(store.ErrUnavailable))
 }
 
-func TestNextBaseIsTriedOnlyIfNothingWasSent(t *testing.T) {
+func TestNextBaseURLIsTriedOnlyIfNothingWasSent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("ETag", `"9"`)
@@ -93,25 +92,25 @@
 	g.Expect(err).To(gomega.MatchError(store.ErrOutcomeUnknown))
 }
 
-func TestRequestsOnTheWire(t *testing.T) {
+func TestRequestPathsAndHeaders(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var seen *http.Request
+	var last *http.Request
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		seen = r
+		last = r
 		w.Header().Set("ETag", `"9"`)
 		io.WriteString(w, "[]")
 	}))
 	defer server.Close()
 	c := client(t, server.URL+"/base")
 	c.Swap(t.Context(), key, nil, 7, 1500*time.Millisecond)
-	g.Expect(seen.URL.Path).To(gomega.Equal("/base/v1/kv/saltbend/config"))
-	g.Expect(seen.Header.Get("If-Match")).To(gomega.Equal(`"7"`))
-	g.Expect(seen.Header.Get("Lease-Seconds")).To(gomega.Equal("1.5"))
+	g.Expect(last.URL.Path).To(gomega.Equal("/base/v1/kv/saltbend/config"))
+	g.Expect(last.Header.Get("If-Match")).To(gomega.Equal(`"7"`))
+	g.Expect(last.Header.Get("Lease-Seconds")).To(gomega.Equal("1.5"))
 	c.Swap(t.Context(), "seeds/100% é/a", nil, store.Create, 0)
-	g.Expect(seen.URL.Path).To(gomega.Equal("/base/v1/kv/seeds/100% é/a"))
-	g.Expect(seen.Header.Get("If-None-Match")).To(gomega.Equal("*"))
+	g.Expect(last.URL.Path).To(gomega.Equal("/base/v1/kv/seeds/100% é/a"))
+	g.Expect(last.Header.Get("If-None-Match")).To(gomega.Equal("*"))
 	c.List(t.Context(), "seeds/")
-	g.Expect(seen.URL.RequestURI()).To(gomega.Equal("/base/v1/kv/?prefix=seeds%2F"))
+	g.Expect(last.URL.RequestURI()).To(gomega.Equal("/base/v1/kv/?prefix=seeds%2F"))
 }
 
 func TestWatchPollsUntilAChange(t *testing.T) {
@@ -133,7 +132,7 @@
 	g.Expect(polls).To(gomega.Equal(3))
 }
 
-func TestWatchEndsWithItsContext(t *testing.T) {
+func TestWatchReturnsWhenItsContextIsCancelled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer server.Close()
@@ -143,7 +142,7 @@
 	g.Expect(err).To(gomega.MatchError(store.ErrUnavailable))
 }
 
-// closedAddress returns an address on which nobody listens.
+// closedAddress returns an address that nothing listens on.
 func closedAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/store/position_test.go
+++ b/internal/store/position_test.go
@@ -10,8 +10,9 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// The era is compared before the revision, whatever both are.
-func TestPositionsAreOrderedByTheirEraFirst(t *testing.T) {
+// TestPositionsAreOrderedByEraThenRevision checks the order of positions, also beyond the
+// highest era and revision.
+func TestPositionsAreOrderedByEraThenRevision(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(store.At(2, 48) > store.At(1, 52)).To(BeTrue())
 	g.Expect(store.At(2, 0) > store.At(1, math.MaxUint64)).To(BeTrue())
@@ -23,7 +24,7 @@
 		e1, r1, e2, r2 := era.Draw(t, "era"), revision.Draw(t, "revision"), era.Draw(t, "other era"), revision.Draw(t, "other revision")
 		after := e1 > e2 || e1 == e2 && r1 > r2
 		if a, b := store.At(e1, r1), store.At(e2, r2); (a > b) != after || a.Era() != e1 || a.Revision() != r1 || a.SameEra(b) != (e1 == e2) {
-			t.Fatalf("%s and %s", a, b)
+			t.Fatalf("wrong order or parts of positions %s and %s", a, b)
 		}
 	})
 }
