--- a/internal/confdelta/confdelta.go
+++ b/internal/confdelta/confdelta.go
@@ -1,6 +1,6 @@
-// Package confdelta shortens a configuration on its way to a process that has
-// an earlier one: the new text is compressed with the old text as dictionary.
-// It is pure.
+// Package confdelta encodes a configuration for a process that has an earlier one: the new
+// text is compressed with the earlier text as the dictionary. The package does no input or
+// output.
 package confdelta
 
 import (
@@ -11,29 +11,32 @@
 	"github.com/pkg/errors"
 )
 
-// sumBytes is the length of a checksum in front of a delta: of the text that
-// it starts from, then of the text that it leads to.
-const sumBytes = 8
+// checksumBytes is the length of a checksum. A delta starts with two of them: that of the
+// base text and that of the new text.
+const checksumBytes = 8
 
-const headerBytes = 2 * sumBytes
+const headerBytes = 2 * checksumBytes
 
-// dictionaryID stands in the frame; both sides know which text it means.
+// dictionaryID is the dictionary's ID in the zstd frame. It is always the same, as the
+// dictionary is always the base text.
 const dictionaryID = 1
 
-// minWindow is the least window of the compression. A window spans the text
-// and what may precede it, since a match reaches back into the base.
+// minWindow is the smallest compression window. The window must span both the base and the
+// text, because matches refer back into the base.
 const minWindow = 64 << 10
 
 // Errors of Decode.
 var (
-	// ErrBase says that the delta starts from another text; ask for the whole.
-	ErrBase = errors.New("confdelta: the difference starts from another text")
-	// ErrDamaged says that the delta does not lead to the text it promises.
-	ErrDamaged = errors.New("confdelta: the difference is damaged")
+	// ErrBase means that the delta was made for another base text. The caller should request
+	// the full text.
+	ErrBase = errors.New("confdelta: the delta was made for another base text")
+	// ErrDamaged means that the delta can't be decoded, or that the decoded text doesn't
+	// match its checksum.
+	ErrDamaged = errors.New("confdelta: the delta is damaged")
 )
 
-// Encode returns what leads from base to text. An empty base gives the whole
-// text, compressed.
+// Encode returns the delta from base to text. With an empty base, the delta contains the
+// full text, compressed.
 func Encode(base, text []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1),
@@ -54,7 +57,8 @@
 	return enc.EncodeAll(text, header), nil
 }
 
-// windowFor returns the least power of two that is no less than n bytes.
+// windowFor returns the window size for n bytes: the smallest power of two that is at least
+// n and minWindow.
 func windowFor(n int) int {
 	window := minWindow
 	for window < n {
@@ -63,7 +67,8 @@
 	return window
 }
 
-// Decode applies a delta to the base; the result has at most limit bytes.
+// Decode applies a delta to base and returns the new text. It returns ErrDamaged if the text
+// would exceed limit bytes.
 func Decode(base, delta []byte, limit int) ([]byte, error) {
 	if len(delta) < headerBytes {
 		return nil, ErrDamaged
@@ -84,7 +89,7 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
 	}
-	if binary.BigEndian.Uint64(delta[sumBytes:]) != xxhash.Sum64(text) {
+	if binary.BigEndian.Uint64(delta[checksumBytes:]) != xxhash.Sum64(text) {
 		return nil, ErrDamaged
 	}
 	return text, nil
--- a/internal/confdelta/confdelta_test.go
+++ b/internal/confdelta/confdelta_test.go
@@ -16,9 +16,8 @@
 
 const limit = config.MaxFileBytes
 
-// file returns a configuration of n services that leaves nothing to defaults.
-// Names, paths and notes are random, since compression must not gain by what
-// only a generator repeats.
+// file returns a configuration of n services that sets every field. Names, paths and comments
+// are random: generated ones with a common pattern would compress better than real ones.
 func file(n int) []byte {
 	var b strings.Builder
 	random := rand.New(rand.NewPCG(1, 2))
@@ -41,7 +40,7 @@
 	return []byte(b.String())
 }
 
-func TestDeltaLeadsToTheText(t *testing.T) {
+func TestDecodeRestoresTheEncodedText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := []byte(rapid.StringN(0, 400, -1).Draw(t, "base"))
 		cut := rapid.IntRange(0, len(base)).Draw(t, "cut")
@@ -57,7 +56,7 @@
 	})
 }
 
-func TestDeltaOfAnotherBaseIsRefused(t *testing.T) {
+func TestDecodeRejectsOtherBaseDamageAndExcessSize(t *testing.T) {
 	g := gomega.NewWithT(t)
 	base := file(3)
 	delta, err := confdelta.Encode(base, file(4))
@@ -75,7 +74,7 @@
 	g.Expect(err).To(gomega.MatchError(confdelta.ErrDamaged))
 }
 
-// change is an edit of the kind that operators make.
+// change is a typical edit by an operator.
 type change struct {
 	name string
 	edit func(services int) []byte
@@ -89,9 +88,9 @@
 	{"all", func(n int) []byte { return []byte(strings.ReplaceAll(string(file(n)), "attempts: 2", "attempts: 3")) }},
 }
 
-// BenchmarkSize reports the bytes of one change by the size of the fleet: the
-// file, the stored record, the text that processes pass on, that compressed,
-// and the difference.
+// BenchmarkSize reports the sizes of one change by the number of services: the file, the
+// stored record, the text that processes send to each other, the compressed text, and the
+// delta.
 func BenchmarkSize(b *testing.B) {
 	for _, n := range []int{110, 220, 440, 880} {
 		for _, c := range changes {
@@ -127,8 +126,8 @@
 	return value
 }
 
-// BenchmarkAdopt is the work of a process that takes a change over, beside
-// that of parsing the file.
+// BenchmarkAdopt measures the steps by which a process adopts a change, and parsing the file
+// for comparison.
 func BenchmarkAdopt(b *testing.B) {
 	for _, n := range []int{110, 220, 440, 880} {
 		base, text := file(n), changes[0].edit(n)
@@ -144,14 +143,14 @@
 		})
 		b.Run(fmt.Sprintf("services=%d/step=record", n), func(b *testing.B) {
 			for b.Loop() {
-				passedOn, _ := record.Text(value)
-				record.ParseText(passedOn, 1)
+				configJSON, _ := record.Text(value)
+				record.ParseText(configJSON, 1)
 			}
 		})
-		passedOn, _ := record.Text(value)
+		configJSON, _ := record.Text(value)
 		b.Run(fmt.Sprintf("services=%d/step=text", n), func(b *testing.B) {
 			for b.Loop() {
-				record.ParseText(passedOn, 1)
+				record.ParseText(configJSON, 1)
 			}
 		})
 		b.Run(fmt.Sprintf("services=%d/step=file", n), func(b *testing.B) {
--- a/internal/confdelta/log.go
+++ b/internal/confdelta/log.go
@@ -2,46 +2,47 @@
 
 import "github.com/pkg/errors"
 
-// Bounds of the steps that a log keeps. A peer that is further behind takes the
-// whole text.
+// Limits of the steps that a log keeps, in number and in total size. A process with an older
+// revision than the first step gets the full text.
 const (
 	maxSteps     = 32
 	maxStepBytes = 16 << 10
 )
 
-// ErrFrom says that an update starts from another revision.
-var ErrFrom = errors.New("confdelta: the update starts from another revision")
+// ErrRevision means that an update doesn't start at the log's revision, or doesn't lead to the
+// revision that it states.
+var ErrRevision = errors.New("confdelta: the update does not match the revision")
 
-// Step leads from one revision to a later one. It is passed on as it came, so
-// that only who read the store works it out.
+// Step is the delta from one revision to a later one. Processes forward a step unchanged, so
+// that only the process that read the change from the store has to compute it.
 type Step struct {
 	From, To uint64
 	Delta    []byte
 }
 
-// Update leads a process to a revision: by steps from the one that it has, or
-// by the whole text, compressed. The zero value says that there is none newer.
+// Update brings a process to a revision, either by steps from the revision that it has or by
+// the full text, compressed. The zero value means that there is no newer revision.
 type Update struct {
 	Revision uint64
 	Steps    []Step
 	Whole    []byte
 }
 
-// Log is the text of the newest known revision with the steps that led to it.
-// It is immutable; the zero value knows no revision.
+// Log holds the text of the newest known revision and the most recent steps up to it. It is
+// immutable. The zero value has no revision.
 type Log struct {
 	revision uint64
 	text     []byte
 	steps    []Step
 }
 
-// Revision returns the newest revision, 0 for none.
+// Revision returns the newest revision, or 0 if there is none.
 func (l Log) Revision() uint64 { return l.revision }
 
-// Text returns the text of the newest revision; it must not be changed.
+// Text returns the text of the newest revision. The caller must not modify it.
 func (l Log) Text() []byte { return l.text }
 
-// Advance returns the log with a later text, which was read from the store.
+// Advance returns the log extended by a newer revision that was read from the store.
 func (l Log) Advance(revision uint64, text []byte) (Log, error) {
 	if l.revision == 0 {
 		return Log{revision: revision, text: text}, nil
@@ -53,22 +54,22 @@
 	return l.with(Step{From: l.revision, To: revision, Delta: delta}, text), nil
 }
 
-// with returns the log after a step. Older steps are dropped at the bounds,
-// and all at a step that is too large itself.
+// with returns the log extended by a step to text. The oldest steps are dropped until the
+// limits hold; a step that exceeds the size limit by itself is dropped with all others.
 func (l Log) with(s Step, text []byte) Log {
 	steps := append(append([]Step{}, l.steps...), s)
-	bytes := 0
-	for _, kept := range steps {
-		bytes += len(kept.Delta)
+	size := 0
+	for _, step := range steps {
+		size += len(step.Delta)
 	}
-	for len(steps) > 0 && (len(steps) > maxSteps || bytes > maxStepBytes) {
-		bytes -= len(steps[0].Delta)
+	for len(steps) > 0 && (len(steps) > maxSteps || size > maxStepBytes) {
+		size -= len(steps[0].Delta)
 		steps = steps[1:]
 	}
 	return Log{revision: s.To, text: text, steps: steps}
 }
 
-// Since returns what leads a process that has a revision to the newest one.
+// Since returns the update from the revision that a process has to the newest one.
 func (l Log) Since(have uint64) (Update, error) {
 	if have >= l.revision {
 		return Update{}, nil
@@ -82,8 +83,8 @@
 	return Update{Revision: l.revision, Whole: whole}, err
 }
 
-// Follow returns the log after an update. Where it fails, ask for the whole.
-// A text may have at most limit bytes.
+// Follow returns the log after applying an update. If it fails, the caller should request the
+// full text. A text may have at most limit bytes.
 func (l Log) Follow(u Update, limit int) (Log, error) {
 	if u.Whole != nil {
 		text, err := Decode(nil, u.Whole, limit)
@@ -91,7 +92,7 @@
 	}
 	for _, s := range u.Steps {
 		if s.From != l.revision || s.To <= s.From {
-			return Log{}, ErrFrom
+			return Log{}, ErrRevision
 		}
 		text, err := Decode(l.text, s.Delta, limit)
 		if err != nil {
@@ -100,7 +101,7 @@
 		l = l.with(s, text)
 	}
 	if l.revision != u.Revision {
-		return Log{}, ErrFrom
+		return Log{}, ErrRevision
 	}
 	return l, nil
 }
--- a/internal/confdelta/log_test.go
+++ b/internal/confdelta/log_test.go
@@ -10,9 +10,9 @@
 	"github.com/saltbend/saltbend/internal/confdelta"
 )
 
-// TestAnyPeerLeadsToItsText lets processes advance and follow each other in any
-// order, and checks that a follower has what the one it asked has.
-func TestAnyPeerLeadsToItsText(t *testing.T) {
+// TestUpdateFromAnyProcessRestoresItsText lets processes read revisions from the store and
+// update from each other in any order, and checks that each has the text of its revision.
+func TestUpdateFromAnyProcessRestoresItsText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		logs := make([]confdelta.Log, 4)
 		texts := map[uint64]string{}
@@ -47,7 +47,7 @@
 			"": func(t *rapid.T) {
 				for i, l := range logs {
 					if string(l.Text()) != texts[l.Revision()] {
-						t.Fatalf("process %d has another text than revision %d", i, l.Revision())
+						t.Fatalf("process %d does not have the text of its revision %d", i, l.Revision())
 					}
 				}
 			},
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestUpdatesThatDoNotFitAreRefused(t *testing.T) {
+func TestUpdateFromAnotherRevisionIsRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l confdelta.Log
 	var err error
@@ -63,16 +63,16 @@
 		l, err = l.Advance(revision, fmt.Appendf(nil, "text %d", revision))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
-	near, err := l.Since(59)
+	recent, err := l.Since(59)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(near.Steps).To(gomega.HaveLen(1))
-	far, err := l.Since(1)
+	g.Expect(recent.Steps).To(gomega.HaveLen(1))
+	outdated, err := l.Since(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(far.Steps).To(gomega.BeEmpty(), "a log has to stay bounded")
-	_, err = confdelta.Log{}.Follow(near, limit)
-	g.Expect(err).To(gomega.MatchError(confdelta.ErrFrom))
-	near.Revision++
+	g.Expect(outdated.Steps).To(gomega.BeEmpty(), "a log must not keep more than its maximum number of steps")
+	_, err = confdelta.Log{}.Follow(recent, limit)
+	g.Expect(err).To(gomega.MatchError(confdelta.ErrRevision))
+	recent.Revision++
 	other, _ := confdelta.Log{}.Advance(59, []byte("text 59"))
-	_, err = other.Follow(near, limit)
-	g.Expect(err).To(gomega.MatchError(confdelta.ErrFrom))
+	_, err = other.Follow(recent, limit)
+	g.Expect(err).To(gomega.MatchError(confdelta.ErrRevision))
 }
