--- a/internal/settings/env.go
+++ b/internal/settings/env.go
@@ -7,23 +7,23 @@
 	"github.com/saltbend/saltbend/internal/event"
 )
 
-// Env is what the daemon gives to a role at its start.
+// Env holds what the daemon passes to a role when it starts the role.
 type Env struct {
 	Logger *slog.Logger
 	Events *event.Ring
 	// Version is the version of the program.
 	Version string
-	// Keys holds the fleet secrets and tells of their rotation.
+	// Keys holds the fleet secrets and notifies the role of their rotation.
 	Keys *Keys
-	// Ready is called once, when the role serves; it logs the addresses.
+	// Ready must be called once, when the role is serving. It logs the addresses.
 	Ready func(Addresses)
 }
 
-// Addresses are the addresses that a process serves on, after the kernel has
-// chosen ports.
+// Addresses are the addresses that a process serves on, with the actual ports where the
+// kernel assigned them.
 type Addresses struct {
-	// Control is the address by which others know the process, ControlBound
-	// the one that its control listener is bound to.
+	// Control is the address that other processes use for control traffic. ControlBound is
+	// the address that the control listener is bound to.
 	Control, ControlBound netip.AddrPort
 
 	Data netip.AddrPort
@@ -33,11 +33,11 @@
 	Faces map[netip.AddrPort]netip.AddrPort
 }
 
-// ReadyMessage is the message of the log line that carries the addresses.
-// Harnesses wait for it.
+// ReadyMessage is the message of the log line with the addresses. Test harnesses wait for
+// it.
 const ReadyMessage = "Ready."
 
-// LogReady logs the addresses of a process that serves.
+// LogReady logs the addresses of a process that has started to serve.
 func LogReady(l *slog.Logger, a Addresses) {
 	attrs := []any{
 		slog.String("control", a.Control.String()),
--- a/internal/settings/findings.go
+++ b/internal/settings/findings.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Finding is one thing that is wrong with the settings.
+// Finding is one error in the settings.
 type Finding struct {
 	// Place is the flag and the environment variable, such as
 	// "--control (SALTBEND_CONTROL)".
 	Place string
-	// What says what is wrong.
+	// What describes the error.
 	What string
-	// Remedy says what to do about it.
+	// Remedy says how to correct it.
 	Remedy string
 }
 
@@ -21,11 +21,10 @@
 	return fmt.Sprintf("%s: %s; %s", f.Place, f.What, f.Remedy)
 }
 
-// Findings are all findings of one check, reported together. As an error it
-// lists them one a line.
+// Findings are all findings of one check. The error text has one line per finding.
 type Findings []Finding
 
-// Add appends a finding about the flag, given by its long name.
+// Add appends a finding about a flag, which is given by its long name.
 func (f *Findings) Add(flag, what, remedy string) {
 	*f = append(*f, Finding{Place: Place(flag), What: what, Remedy: remedy})
 }
@@ -39,7 +38,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the findings as an error, or nil when there are none.
+// Err returns the findings as an error, or nil if there are none.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -47,7 +46,8 @@
 	return f
 }
 
-// Place returns the place of a flag: its name and its environment variable.
+// Place returns the name of a flag together with its environment variable, such as
+// "--control (SALTBEND_CONTROL)".
 func Place(flag string) string {
 	return fmt.Sprintf("--%s (%s)", flag, EnvName(flag))
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -9,7 +9,7 @@
 	"github.com/saltbend/saltbend/internal/keyring"
 )
 
-// LoadRing reads the fleet secrets from the flag or from the file.
+// LoadRing returns the key ring of the fleet secrets in the flag or in the file.
 func (c *Common) LoadRing() (*keyring.Ring, error) {
 	switch {
 	case c.Secrets != "" && c.SecretsFile != "":
@@ -22,7 +22,7 @@
 	return nil, errors.New("no fleet secret is given")
 }
 
-// secretsFlag is the flag that a finding about the secrets belongs to.
+// secretsFlag returns the flag that a finding about the secrets refers to.
 func (c *Common) secretsFlag() string {
 	if c.SecretsFile != "" {
 		return "secrets-file"
@@ -38,46 +38,46 @@
 	return keyring.Parse(string(text))
 }
 
-// Keys holds the key ring in force and tells its users when it changes. It is
+// Keys holds the current key ring and calls the registered callbacks when it changes. It is
 // safe for concurrent use.
 type Keys struct {
-	mu    sync.Mutex
-	first *keyring.Ring
-	ring  *keyring.Ring
-	users []func(*keyring.Ring)
+	mu        sync.Mutex
+	initial   *keyring.Ring
+	ring      *keyring.Ring
+	callbacks []func(*keyring.Ring)
 }
 
-// NewKeys returns a holder of ring.
+// NewKeys returns Keys with ring as the current key ring.
 func NewKeys(ring *keyring.Ring) *Keys {
-	return &Keys{first: ring, ring: ring}
+	return &Keys{initial: ring, ring: ring}
 }
 
-// Ring returns the key ring in force.
+// Ring returns the current key ring.
 func (k *Keys) Ring() *keyring.Ring {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ring
 }
 
-// OnChange calls use at each later change, one change at a time. Where the ring
-// has changed since NewKeys, it calls use at once: a part that was started with
-// the first ring must not miss a change while it started. use must not block
-// and must not call Keys.
-func (k *Keys) OnChange(use func(*keyring.Ring)) {
+// OnChange registers callback, which is called at each later change, one change at a time.
+// If the ring has changed since NewKeys, callback is also called at once, so that a component
+// that was created with the initial ring doesn't miss a change during its start. callback
+// must not block and must not call methods of Keys.
+func (k *Keys) OnChange(callback func(*keyring.Ring)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.users = append(k.users, use)
-	if k.ring != k.first {
-		use(k.ring)
+	k.callbacks = append(k.callbacks, callback)
+	if k.ring != k.initial {
+		callback(k.ring)
 	}
 }
 
-// Set puts ring in force and tells all users.
+// Set replaces the key ring and calls all callbacks.
 func (k *Keys) Set(ring *keyring.Ring) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ring = ring
-	for _, use := range k.users {
-		use(ring)
+	for _, callback := range k.callbacks {
+		callback(ring)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds the flags and environment variables that the roles
-// share, and checks them: all findings are reported together, each with its
-// place and a remedy.
+// Package settings defines and checks the flags and environment variables that both roles
+// (balancer and agent) share. A check reports all findings together, each with the flag and a
+// remedy.
 package settings
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// EnvPrefix starts the name of each environment variable.
+// EnvPrefix is the prefix of all environment variables.
 const EnvPrefix = "SALTBEND_"
 
 // Log formats.
@@ -22,11 +22,11 @@
 	FormatText = "text"
 )
 
-// Address is the text of an IP address with a port, as it was given.
+// Address is an IP address with a port, as given by the operator and not yet parsed.
 type Address string
 
-// Parse returns the address, or an error that says what is wrong with it. Host
-// names are refused: a process must not depend on name resolution.
+// Parse returns the parsed address. Host names are rejected: a process must not depend on
+// name resolution.
 func (a Address) Parse() (netip.AddrPort, error) {
 	addr, err := netip.ParseAddrPort(string(a))
 	if err != nil {
@@ -35,17 +35,17 @@
 	return addr, nil
 }
 
-// AddrPort returns the address, or the zero value when it does not parse; Check
-// has reported that.
+// AddrPort returns the parsed address, or the zero value if the address is invalid, which
+// Check reports.
 func (a Address) AddrPort() netip.AddrPort {
 	addr, _ := a.Parse()
 	return addr
 }
 
-// Secret is text that never appears in a log or an error.
+// Secret is text that is redacted wherever it is formatted, logged or marshalled.
 type Secret string
 
-// String implements fmt.Stringer without the secret.
+// String implements fmt.Stringer. It returns a placeholder in place of the secret.
 func (s Secret) String() string {
 	if s == "" {
 		return ""
@@ -53,13 +53,13 @@
 	return "[redacted]"
 }
 
-// GoString implements fmt.GoStringer without the secret.
+// GoString implements fmt.GoStringer. It returns the same placeholder as String.
 func (s Secret) GoString() string { return s.String() }
 
-// LogValue implements slog.LogValuer without the secret.
+// LogValue implements slog.LogValuer. It returns the same placeholder as String.
 func (s Secret) LogValue() slog.Value { return slog.StringValue(s.String()) }
 
-// MarshalText implements encoding.TextMarshaler without the secret.
+// MarshalText implements encoding.TextMarshaler. It returns the same placeholder as String.
 func (s Secret) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // Common are the settings that both roles share.
@@ -79,7 +79,7 @@
 	CheckOnly   bool      `long:"check" env:"SALTBEND_CHECK" description:"check the settings, report all findings and exit"`
 }
 
-// Check returns all findings about the common settings.
+// Check validates the common settings and returns all findings.
 func (c *Common) Check() Findings {
 	var f Findings
 	f = append(f, CheckAddress("control", c.Control)...)
@@ -101,8 +101,8 @@
 	return append(f, c.checkLog()...)
 }
 
-// CheckAddress returns the finding about a listen address, if any. Roles use it
-// for addresses of their own.
+// CheckAddress returns the finding about an address, if any. Roles also use it for the
+// addresses in their own settings.
 func CheckAddress(flag string, a Address) Findings {
 	if _, err := a.Parse(); err != nil {
 		var f Findings
@@ -112,15 +112,15 @@
 	return nil
 }
 
-// checkAdvertise checks that others can call the address which the process
-// gives as its own.
+// checkAdvertise checks that the advertised control address is one that other processes can
+// connect to.
 func (c *Common) checkAdvertise() Findings {
 	if c.Advertise == "" {
 		return nil
 	}
 	f := CheckAddress("control-advertise", c.Advertise)
 	if addr := c.Advertise.AddrPort(); len(f) == 0 && (addr.Port() == 0 || addr.Addr().IsUnspecified()) {
-		f.Add("control-advertise", addr.String()+" can't be called", "give the address and the port that other processes call")
+		f.Add("control-advertise", addr.String()+" is not an address that other processes can connect to", "give the address and the port that other processes connect to")
 	}
 	return f
 }
@@ -128,17 +128,17 @@
 func checkJoin(a Address) Findings {
 	f := CheckAddress("join", a)
 	if len(f) == 0 && a.AddrPort().Port() == 0 {
-		f.Add("join", "port 0 can't be called", "give the control port of the other process")
+		f.Add("join", "port 0 is not a port to connect to", "give the control port of the other process")
 	}
 	return f
 }
 
-// CheckStore returns the finding about a URL of the store, if any.
+// CheckStore returns the finding about a base URL of the store, if any.
 func CheckStore(text string) Findings {
 	var f Findings
 	u, err := url.Parse(text)
 	if err != nil || u.Host == "" || !slices.Contains([]string{"http", "https"}, u.Scheme) {
-		// The text isn't repeated: it may hold a password.
+		// The finding doesn't repeat the text, because it may contain a password.
 		f.Add("store", "an entry is not an http or https URL", "give the base URL, such as http://192.0.2.9:8500")
 	}
 	return f
@@ -155,7 +155,7 @@
 	return f
 }
 
-// Level returns the least level that is logged.
+// Level returns the lowest level that is logged.
 func (c *Common) Level() slog.Level {
 	level, _ := parseLevel(c.LogLevel)
 	return level
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,10 +27,10 @@
 	}
 }
 
-func TestEachWrongSettingIsFoundAtItsPlace(t *testing.T) {
+func TestCheckReportsEachInvalidSetting(t *testing.T) {
 	cases := []struct {
-		place string
-		spoil func(*settings.Common)
+		place      string
+		invalidate func(*settings.Common)
 	}{
 		{"--control (SALTBEND_CONTROL)", func(c *settings.Common) { c.Control = "localhost:1" }},
 		{"--control-advertise (SALTBEND_CONTROL_ADVERTISE)", func(c *settings.Common) { c.Advertise = "192.0.2.1:0" }},
@@ -50,19 +50,19 @@
 	g.Expect(good.Check()).To(BeEmpty())
 	bad := valid()
 	for _, c := range cases {
-		one := valid()
-		c.spoil(&one)
-		f := one.Check()
+		common := valid()
+		c.invalidate(&common)
+		f := common.Check()
 		g.Expect(f).To(HaveLen(1), c.place)
 		g.Expect(f[0].Place).To(Equal(c.place))
 		g.Expect(f[0].Remedy).NotTo(BeEmpty())
-		c.spoil(&bad)
+		c.invalidate(&bad)
 	}
-	// Together: the three findings about secrets are one.
+	// With all settings invalid at once, the three cases of secrets give one finding.
 	g.Expect(bad.Check()).To(HaveLen(len(cases) - 2))
 }
 
-func TestEachFlagHasItsEnvironmentVariable(t *testing.T) {
+func TestEachFlagHasAnEnvironmentVariable(t *testing.T) {
 	g := NewWithT(t)
 	common := reflect.TypeOf(settings.Common{})
 	for i := range common.NumField() {
@@ -72,10 +72,10 @@
 	}
 }
 
-func TestSecretsAreNeverShown(t *testing.T) {
+func TestSecretsAreRedacted(t *testing.T) {
 	g := NewWithT(t)
 	c := valid()
-	c.Secrets = "1:" + secretHex + ",1:" + secretHex // an error that must not repeat it
+	c.Secrets = "1:" + secretHex + ",1:" + secretHex // duplicate id: the error must not repeat the secret
 	var log bytes.Buffer
 	slog.New(slog.NewJSONHandler(&log, nil)).Info("x", "settings", c, "secret", c.Secrets)
 	shown := fmt.Sprintf("%v %+v %#v %s %q %x", c, c, c, c.Secrets, c.Secrets, c.Secrets)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestKeysTellTheirUsersOfARotation(t *testing.T) {
+func TestKeysNotifyCallbacksOfARotation(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "secrets")
 	g.Expect(os.WriteFile(path, []byte("1:"+secretHex+"\n"), 0o600)).To(Succeed())
@@ -94,18 +94,18 @@
 	ring, err := c.LoadRing()
 	g.Expect(err).NotTo(HaveOccurred())
 	keys := settings.NewKeys(ring)
-	var told *keyring.Ring
-	keys.OnChange(func(r *keyring.Ring) { told = r })
+	var notified *keyring.Ring
+	keys.OnChange(func(r *keyring.Ring) { notified = r })
 
 	next := "2:" + strings.Repeat("ff", keyring.MinSecretBytes) + ",1:" + secretHex
 	g.Expect(os.WriteFile(path, []byte(next), 0o600)).To(Succeed())
 	ring, err = c.LoadRing()
 	g.Expect(err).NotTo(HaveOccurred())
 	keys.Set(ring)
-	g.Expect(told).To(BeIdenticalTo(ring))
+	g.Expect(notified).To(BeIdenticalTo(ring))
 	g.Expect(keys.Ring()).To(BeIdenticalTo(ring))
 
-	var late *keyring.Ring
-	keys.OnChange(func(r *keyring.Ring) { late = r })
-	g.Expect(late).To(BeIdenticalTo(ring), "a part that starts during a rotation must not miss it")
+	var lateNotified *keyring.Ring
+	keys.OnChange(func(r *keyring.Ring) { lateNotified = r })
+	g.Expect(lateNotified).To(BeIdenticalTo(ring), "a callback that is registered after a rotation must get the new ring")
 }
