--- a/internal/confdelta/log.go
+++ b/internal/confdelta/log.go
@@ -69,7 +69,8 @@
 	return Log{revision: s.To, text: text, steps: steps}
 }
 
-// Since returns the update from the revision that a process has to the newest one.
+// Since returns the update from the revision that a process has to the newest one: by steps if
+// the log still has all of them, otherwise the full text.
 func (l Log) Since(have uint64) (Update, error) {
 	if have >= l.revision {
 		return Update{}, nil
