--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -23,15 +23,15 @@
 )
 
 var noticeKinds = map[gossip.NoticeKind]event.Kind{
-	gossip.NoticeJoined:    EventJoined,
-	gossip.NoticeState:     EventState,
-	gossip.NoticeSuspected: EventSuspected,
-	gossip.NoticeDeclared:  EventDeclared,
-	gossip.NoticeReturned:  EventReturned,
-	gossip.NoticeRefuted:   EventRefuted,
-	gossip.NoticeKept:      EventKept,
-	gossip.NoticeKeptEnd:   EventKeptEnd,
-	gossip.NoticeLearned:   EventLearned,
+	gossip.NoticeJoined:       EventJoined,
+	gossip.NoticeState:        EventState,
+	gossip.NoticeSuspected:    EventSuspected,
+	gossip.NoticeDeclared:     EventDeclared,
+	gossip.NoticeReturned:     EventReturned,
+	gossip.NoticeRefuted:      EventRefuted,
+	gossip.NoticeRetained:     EventKept,
+	gossip.NoticeRetainedEnd:  EventKeptEnd,
+	gossip.NoticeTableFetched: EventLearned,
 }
 
 // messages are what the log says of events.
@@ -65,7 +65,7 @@
 // notice puts what the engine noticed on the time line.
 func (n *Node) notice(a gossip.Notice) {
 	switch a.Kind {
-	case gossip.NoticeKept, gossip.NoticeKeptEnd, gossip.NoticeLearned:
+	case gossip.NoticeRetained, gossip.NoticeRetainedEnd, gossip.NoticeTableFetched:
 		n.event(noticeKinds[a.Kind], fmt.Sprintf("%d members", a.Count))
 		return
 	}
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -31,7 +31,7 @@
 	t := gossip.DefaultTiming()
 	t.Renew = 300 * time.Millisecond
 	t.Digest = 300 * time.Millisecond
-	t.Avoid = 600 * time.Millisecond
+	t.Backoff = 600 * time.Millisecond
 	return t
 }
 
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -8,11 +8,12 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// findInterval is the least time between two searches for peers.
+// findInterval is the minimum time between two searches for peers, and the period
+// of digest attempts while the process knows no peer.
 const findInterval = time.Second
 
-// announce renews at the witnesses when the period is over or the process's
-// own record has changed.
+// announce sends a renewal to the witnesses when the renewal period has elapsed
+// or the process's own record has changed.
 func (e *Engine) announce(now time.Time) {
 	if now.Before(e.nextAnnounce) {
 		return
@@ -21,104 +22,112 @@
 	e.chooseWitnesses(now)
 	for _, w := range e.witnesses {
 		c := e.cursors[w]
-		e.do(SendAnnounce{To: w, Message: Announce{Self: e.self, Epoch: c.epoch, Cursor: c.seq}})
+		e.emit(SendAnnounce{To: w, Message: Announce{Self: e.self, Epoch: c.epoch, Cursor: c.seq}})
 	}
 }
 
-// chooseWitnesses settles where the process renews.
+// chooseWitnesses selects the balancers at which the process renews. Without a
+// candidate it asks for peers and falls back to the join addresses.
 func (e *Engine) chooseWitnesses(now time.Time) {
 	next := e.candidates(now)
 	if len(next) == 0 {
 		e.findPeers(now)
 		next = slices.DeleteFunc(slices.Clone(e.join), func(a netip.AddrPort) bool { return a == e.self.Control })
 	} else {
-		next = append(next, e.unjoined(now, next)...)
+		next = append(next, e.unansweredJoins(now, next)...)
 	}
-	e.witnesses = e.keepInTouch(now, next)
+	e.witnesses = e.withAnsweringWitness(now, next)
 }
 
-// unjoined returns the addresses to join at that have not answered yet, without
-// the chosen ones. Others may announce themselves first; who then gave up its
-// own addresses could stay apart from the rest of the fleet with them.
-func (e *Engine) unjoined(now time.Time, chosen []netip.AddrPort) []netip.AddrPort {
+// unansweredJoins returns the join addresses that have not answered yet, except
+// those already chosen. The process keeps announcing to them even when other
+// balancers have announced themselves to it first: if it stopped, it and those
+// balancers could remain a separate group from the rest of the fleet.
+func (e *Engine) unansweredJoins(now time.Time, chosen []netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(e.join), func(a netip.AddrPort) bool {
 		_, answered := e.cursors[a]
-		return a == e.self.Control || answered || now.Before(e.avoid[a].until) || slices.Contains(chosen, a)
+		return a == e.self.Control || answered || now.Before(e.backoffs[a].until) || slices.Contains(chosen, a)
 	})
 }
 
-// keepInTouch adds one of the former witnesses when none of the chosen has
-// answered yet: they may all be behind a cut.
-func (e *Engine) keepInTouch(now time.Time, next []netip.AddrPort) []netip.AddrPort {
-	touched := func(a netip.AddrPort) bool { return now.Sub(e.cursors[a].at) < e.silence() }
-	if slices.ContainsFunc(next, touched) {
+// withAnsweringWitness adds one of the previous witnesses when none of the newly
+// chosen ones has answered recently, because a network partition may hide all the
+// new ones.
+func (e *Engine) withAnsweringWitness(now time.Time, next []netip.AddrPort) []netip.AddrPort {
+	answered := func(a netip.AddrPort) bool { return now.Sub(e.cursors[a].at) < e.renewalTimeout() }
+	if slices.ContainsFunc(next, answered) {
 		return next
 	}
-	if i := slices.IndexFunc(e.witnesses, touched); i >= 0 {
+	if i := slices.IndexFunc(e.witnesses, answered); i >= 0 {
 		next = append(next, e.witnesses[i])
 	}
 	return next
 }
 
-// shunned says until when a balancer that did not answer is passed over.
-type shunned struct {
-	until time.Time
-	times int
+// backoff records until when a balancer that did not answer is skipped, and how
+// often that time has been doubled.
+type backoff struct {
+	until     time.Time
+	doublings int
 }
 
-// maxShuns bounds how often the time doubles for which a balancer is passed
-// over.
-const maxShuns = 3
-
-// shun passes over a balancer that did not answer, ever longer. A probe from
-// it, or news of it, ends that at once.
-func (e *Engine) shun(now time.Time, addr netip.AddrPort) {
-	s := e.avoid[addr]
-	s.until = now.Add(e.timing.Avoid << s.times)
-	s.times = min(s.times+1, maxShuns)
-	e.avoid[addr] = s
+// maxBackoffDoublings limits how often the time doubles for which a balancer is
+// skipped.
+const maxBackoffDoublings = 3
+
+// backOff skips a balancer that did not answer, for twice as long after each
+// failure. A probe from the balancer, or a merged record that says it is live,
+// ends the back-off.
+func (e *Engine) backOff(now time.Time, addr netip.AddrPort) {
+	s := e.backoffs[addr]
+	s.until = now.Add(e.timing.Backoff << s.doublings)
+	s.doublings = min(s.doublings+1, maxBackoffDoublings)
+	e.backoffs[addr] = s
 }
 
-// candidates returns the chosen witnesses among the balancers that answer.
+// candidates returns the witnesses chosen among the balancers that are not backed
+// off.
 func (e *Engine) candidates(now time.Time) []netip.AddrPort {
 	return e.balancers().Choose(e.self.Control, member.Witnesses, func(b netip.AddrPort) bool {
-		return now.Before(e.avoid[b].until)
+		return now.Before(e.backoffs[b].until)
 	})
 }
 
+// findPeers emits FindPeers, at most once per findInterval.
 func (e *Engine) findPeers(now time.Time) {
 	if now.Before(e.nextFind) {
 		return
 	}
 	e.nextFind = now.Add(e.jitter(findInterval))
-	e.do(FindPeers{})
+	e.emit(FindPeers{})
 }
 
-// AnnounceDone takes in a balancer's answer to the renewal sent.
+// AnnounceDone processes a balancer's reply to the renewal sent.
 func (e *Engine) AnnounceDone(now time.Time, from netip.AddrPort, sent Announce, r AnnounceReply) {
-	delete(e.avoid, from)
+	delete(e.backoffs, from)
 	e.cursors[from] = cursor{r.Epoch, r.Cursor, now}
 	for _, m := range r.Members {
 		e.merge(now, m)
 	}
 	if r.Suspected && sent.Self.Version == e.self.Version && e.self.State != member.StateGone {
-		e.outbid(now, e.self)
+		e.supersede(now, e.self)
 	}
 }
 
-// AnnounceFailed notes that a balancer did not answer. Another one takes its
-// place at once.
+// AnnounceFailed records that a balancer did not answer a renewal. If it is a
+// witness and another candidate exists, the next renewal is due at once and goes
+// to the replacement.
 func (e *Engine) AnnounceFailed(now time.Time, to netip.AddrPort) {
-	e.shun(now, to)
+	e.backOff(now, to)
 	if slices.Contains(e.witnesses, to) && len(e.candidates(now)) > 0 {
 		e.nextAnnounce = now
 	}
 }
 
-// HandleAnnounce answers a renewal.
+// HandleAnnounce processes a renewal and returns the reply.
 func (e *Engine) HandleAnnounce(now time.Time, a Announce) AnnounceReply {
 	from := a.Self.Control
-	e.heardFrom(now, a.Self)
+	e.noteRenewal(now, a.Self)
 	e.merge(now, a.Self)
 	e.table.NoteRevision(from, a.Self.Incarnation, a.Self.Revision)
 	reply := AnnounceReply{Epoch: e.self.Incarnation, Cursor: e.table.Seq()}
@@ -126,12 +135,15 @@
 		reply.Members = append(reply.Members, known)
 	}
 	reply.Suspected = e.suspects.Suspected(a.Self)
-	reply.Members = append(reply.Members, e.news(a)...)
+	reply.Members = append(reply.Members, e.updatesFor(a)...)
 	return reply
 }
 
-// news returns what changed for the sender of a renewal since its cursor.
-func (e *Engine) news(a Announce) []member.Member {
+// updatesFor returns the records that the sender of a renewal needs: for an
+// agent, the changes to its service since its cursor; for any sender, if a
+// balancer has changed since then, the gone balancers and a sample of the live
+// ones.
+func (e *Engine) updatesFor(a Announce) []member.Member {
 	since := a.Cursor
 	if a.Epoch != e.self.Incarnation {
 		since = 0
@@ -148,7 +160,7 @@
 			out = append(out, b)
 		}
 	}
-	for _, addr := range e.balancers().Choose(a.Self.Control, balancerSample, nil) {
+	for _, addr := range e.balancers().Choose(a.Self.Control, balancerSampleSize, nil) {
 		if b, ok := e.table.Get(addr); ok {
 			out = append(out, b)
 		}
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -14,12 +14,12 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// sizes are numbers of members; the last is the target: 780 balancers, 6,100
-// agents.
+// sizes are numbers of members. The last one is the target size: 780 balancers
+// and 6,100 agents.
 var sizes = []int{860, 1720, 3440, 6880}
 
-// balancersAmong returns the number of balancers in a fleet of n members.
-func balancersAmong(n int) int { return n * 780 / 6880 }
+// balancerCount returns the number of balancers in a fleet of n members.
+func balancerCount(n int) int { return n * 780 / 6880 }
 
 func forSizes(b *testing.B, run func(b *testing.B, members int)) {
 	for _, n := range sizes {
@@ -27,7 +27,7 @@
 	}
 }
 
-// fleetMember is the i-th of n members: balancers first.
+// fleetMember returns the i-th of n members; balancers come first.
 func fleetMember(i, n int) member.Member {
 	m := member.Member{
 		Control:     at(i),
@@ -41,14 +41,15 @@
 		Weight:      1000,
 		Revision:    40_000,
 	}
-	if i >= balancersAmong(n) {
+	if i >= balancerCount(n) {
 		m.Role, m.Service, m.Slots = member.RoleAgent, fmt.Sprintf("service-%03d", i%(n/7)), 5
 	}
 	return m
 }
 
-// full returns a balancer's engine that knows n members and has settled.
-func full(n int) *gossip.Engine {
+// newLoadedEngine returns the engine of a balancer that has n members in its
+// table and no actions pending.
+func newLoadedEngine(n int) *gossip.Engine {
 	e := gossip.New(fleetMember(0, n), gossip.DefaultTiming(), rand.New(rand.NewPCG(1, 1)))
 	var all []member.Member
 	for i := 1; i < n; i++ {
@@ -59,23 +60,23 @@
 	return e
 }
 
-// wire measures what messages of one connection take, descriptions of types
-// sent before.
-type wire struct {
+// gobStream measures the encoded size of messages on a connection on which the
+// type descriptions have already been sent.
+type gobStream struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
 }
 
-func newWire() *wire {
-	w := &wire{}
+func newGobStream() *gobStream {
+	w := &gobStream{}
 	w.encoder = gob.NewEncoder(&w.buffer)
 	return w
 }
 
-func (w *wire) size(b *testing.B, values ...any) float64 {
+func (w *gobStream) size(b *testing.B, values ...any) float64 {
 	b.Helper()
 	var size int
-	for range 2 { // the first carries the descriptions
+	for range 2 { // the first round carries the type descriptions
 		w.buffer.Reset()
 		for _, v := range values {
 			if err := w.encoder.Encode(v); err != nil {
@@ -87,11 +88,11 @@
 	return float64(size)
 }
 
-// callBytes returns the bytes of a request and its reply.
+// callBytes returns the encoded size of a request and its reply.
 func callBytes(b *testing.B, method string, args, reply any) float64 {
 	b.Helper()
-	return newWire().size(b, &rpc.Request{ServiceMethod: method, Seq: 70_000}, args) +
-		newWire().size(b, &rpc.Response{ServiceMethod: method, Seq: 70_000}, reply)
+	return newGobStream().size(b, &rpc.Request{ServiceMethod: method, Seq: 70_000}, args) +
+		newGobStream().size(b, &rpc.Response{ServiceMethod: method, Seq: 70_000}, reply)
 }
 
 func claim() gossip.Claim { return gossip.Claim{Revision: 40_000, Serving: true, Balancers: 779} }
@@ -103,7 +104,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range engines {
-			engines[i] = full(n)
+			engines[i] = newLoadedEngine(n)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -114,7 +115,7 @@
 
 func BenchmarkCapacityRenewal(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		e := full(n)
+		e := newLoadedEngine(n)
 		self := fleetMember(n-1, n)
 		first := e.HandleAnnounce(begin, gossip.Announce{Self: self})
 		a := gossip.Announce{Self: self, Epoch: first.Epoch, Cursor: first.Cursor, Claim: claim()}
@@ -131,7 +132,7 @@
 
 func BenchmarkCapacityTransition(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		e := full(n)
+		e := newLoadedEngine(n)
 		m := fleetMember(n-1, n)
 		now := begin
 		p := gossip.Push{From: at(1), Claim: claim(), Members: []member.Member{m}}
@@ -149,7 +150,7 @@
 	p := gossip.Push{From: at(1), Claim: claim(), Suspicions: []member.Suspicion{{
 		Control: at(9), Incarnation: uint64(begin.UnixNano()), Version: 3, Witness: at(2), Evidence: member.Refused,
 	}}}
-	e := full(sizes[0])
+	e := newLoadedEngine(sizes[0])
 	for b.Loop() {
 		e.HandlePush(begin, p)
 	}
@@ -158,7 +159,7 @@
 
 func BenchmarkCapacityDigest(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		e := full(n)
+		e := newLoadedEngine(n)
 		d := gossip.Digest{From: at(1), Claim: claim(), Root: e.Table().Digest().Root()}
 		var r gossip.DigestReply
 		for b.Loop() {
@@ -177,7 +178,7 @@
 // BenchmarkCapacityJoin measures what a new balancer fetches: the whole table.
 func BenchmarkCapacityJoin(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		e := full(n)
+		e := newLoadedEngine(n)
 		all := make([]int, member.DigestBuckets)
 		for i := range all {
 			all[i] = i
@@ -190,10 +191,11 @@
 	})
 }
 
-// BenchmarkCapacityBalancerChange measures choosing the witnesses of all members anew.
+// BenchmarkCapacityBalancerChange measures recomputing the witnesses of all
+// members after a balancer has left and returned.
 func BenchmarkCapacityBalancerChange(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		e := full(n)
+		e := newLoadedEngine(n)
 		m := fleetMember(1, n)
 		now := begin
 		for b.Loop() {
@@ -210,20 +212,21 @@
 	})
 }
 
-// BenchmarkCapacityTick measures a call of Actions when little is due.
+// BenchmarkCapacityTick measures a call of Actions when nothing or little is due.
 func BenchmarkCapacityTick(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		e := full(n)
+		e := newLoadedEngine(n)
 		for b.Loop() {
 			e.Actions(begin)
 		}
 	})
 }
 
-// BenchmarkCapacitySnapshot measures listing the members anew after one has changed.
+// BenchmarkCapacitySnapshot measures rebuilding the member lists after one record
+// has changed.
 func BenchmarkCapacitySnapshot(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		e := full(n)
+		e := newLoadedEngine(n)
 		m := fleetMember(n-1, n)
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/gossip/budget_test.go
+++ b/internal/gossip/budget_test.go
@@ -9,9 +9,10 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Deaths by the hundred use the budget up; what a process says of itself goes
-// out all the same, and so does the notice of a configuration.
-func TestBulkHoldsUpNoAnnouncement(t *testing.T) {
+// Hundreds of declarations exhaust the byte budget. A record that a process
+// announces about itself, and the push that carries a new configuration revision,
+// must be sent immediately all the same.
+func TestBulkRecordsDoNotDelayAnnouncements(t *testing.T) {
 	timing := gossip.DefaultTiming()
 	timing.BurstBytes = 8 << 10
 	e := gossip.New(fleetMember(0, 6880), timing, rand.New(rand.NewPCG(1, 1)))
@@ -34,14 +35,14 @@
 	}
 	const copies = 4
 	if records == 0 || records >= copies*len(dead) {
-		t.Fatalf("%d records went out at once, want some of %d", records, copies*len(dead))
+		t.Fatalf("%d records sent at once, want more than 0 and less than %d", records, copies*len(dead))
 	}
 	leaving := fleetMember(5, 6880)
 	leaving.Version++
 	leaving.State = member.StateDraining
 	e.HandlePush(now, gossip.Push{From: at(1), Members: []member.Member{leaving}})
 	if n := pushed(e.Actions(now), func(m member.Member) bool { return m == leaving }); n != copies {
-		t.Errorf("%d copies of the draining process went out, want %d", n, copies)
+		t.Errorf("%d copies of the draining process's record sent, want %d", n, copies)
 	}
 	e.SetRevision(50_000)
 	notices := 0
@@ -51,18 +52,18 @@
 		}
 	}
 	if notices != copies {
-		t.Errorf("%d notices of the revision, want %d", notices, copies)
+		t.Errorf("%d pushes carry the new revision, want %d", notices, copies)
 	}
 	for range 20_000 {
 		now = now.Add(tick)
 		records += pushed(e.Actions(now), func(m member.Member) bool { return m.Declared })
 	}
 	if records < copies*len(dead) {
-		t.Errorf("%d of %d records went out in time", records, copies*len(dead))
+		t.Errorf("%d records sent, want at least %d", records, copies*len(dead))
 	}
 }
 
-// pushed counts the records in pushes for which want holds.
+// pushed counts the records in pushes for which want returns true.
 func pushed(actions []gossip.Action, want func(member.Member) bool) int {
 	count := 0
 	for _, a := range actions {
--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -12,21 +12,26 @@
 )
 
 const (
-	// fanOut is the number of balancers to which a balancer passes transitions.
+	// fanOut is the number of balancers to which a balancer forwards transitions.
 	fanOut = 4
-	// balancerSample is the number of balancers that an agent is told of.
-	balancerSample = 16
-	// jitterShare is the part of a period by which it may be shorter or longer.
-	jitterShare = 5
+	// balancerSampleSize is the number of live balancers in the reply to a
+	// renewal.
+	balancerSampleSize = 16
+	// jitterDivisor sets the jitter of a period: up to one fifth of it, either
+	// way.
+	jitterDivisor = 5
 )
 
-// cursor says up to where a balancer's table is known.
+// cursor records up to which change this process has received a balancer's table
+// (epoch is the balancer's incarnation, seq its change number), and when the
+// balancer last answered.
 type cursor struct {
 	epoch, seq uint64
 	at         time.Time
 }
 
-// Engine decides for one process. It belongs to one goroutine.
+// Engine runs the membership protocol of one process. It is not safe for
+// concurrent use: one goroutine owns it.
 type Engine struct {
 	self   member.Member
 	table  *member.Table
@@ -34,29 +39,36 @@
 	rand   *rand.Rand
 	budget *rate.Limiter
 
-	// join are addresses to announce to while no balancer is known.
+	// join holds the addresses to announce to while no balancer is known, and
+	// until each of them has answered.
 	join []netip.AddrPort
-	// cursors are kept per balancer that the process renews at.
+	// cursors has one entry per balancer that has answered a renewal of this
+	// process.
 	cursors map[netip.AddrPort]cursor
 	// witnesses are the balancers at which the process renews.
 	witnesses []netip.AddrPort
-	// avoid holds the balancers that failed to answer.
-	avoid    map[netip.AddrPort]shunned
+	// backoffs holds the balancers that failed to answer.
+	backoffs map[netip.AddrPort]backoff
 	outbox   outbox
 	suspects *member.Suspects
-	// watched are the members that this balancer is a witness of.
+	// watched holds the members for which this balancer is a witness.
 	watched map[netip.AddrPort]*watch
-	// watchedSet identifies the balancers that watched was worked out from.
-	watchedSet uint64
-	able       *member.Candidates
-	// all are the live balancers, of the set allSet.
-	all       *member.Candidates
-	allSet    uint64
-	kept      int
+	// eligibleSet identifies the set of eligible balancers from which watched was
+	// last computed.
+	eligibleSet uint64
+	// eligible are the live balancers that nobody suspects: they can be
+	// witnesses.
+	eligible *member.Candidates
+	// live are the live balancers; liveSet identifies the set they were built
+	// from.
+	live    *member.Candidates
+	liveSet uint64
+	// retained is the number of members that the panic threshold retains.
+	retained  int
 	lastWatch time.Time
-	// joined tells that the table of another balancer was fetched.
-	joined bool
-	// deferred counts the messages that the budget has put off.
+	// tableFetched is set once the table of another balancer has been fetched.
+	tableFetched bool
+	// deferred counts the messages that the byte budget has delayed.
 	deferred uint64
 
 	nextAnnounce time.Time
@@ -66,21 +78,21 @@
 	actions      []Action
 }
 
-// New returns an engine of the process self.
+// New returns an engine for the process with the record self.
 func New(self member.Member, timing Timing, random *rand.Rand) *Engine {
 	e := &Engine{
-		self:    self,
-		table:   member.NewTable(timing.Tombstone),
-		timing:  timing,
-		rand:    random,
-		budget:  rate.NewLimiter(rate.Limit(timing.BytesPerSecond), timing.BurstBytes),
-		cursors: make(map[netip.AddrPort]cursor),
-		avoid:   make(map[netip.AddrPort]shunned),
-		watched: make(map[netip.AddrPort]*watch),
+		self:     self,
+		table:    member.NewTable(timing.Tombstone),
+		timing:   timing,
+		rand:     random,
+		budget:   rate.NewLimiter(rate.Limit(timing.BytesPerSecond), timing.BurstBytes),
+		cursors:  make(map[netip.AddrPort]cursor),
+		backoffs: make(map[netip.AddrPort]backoff),
+		watched:  make(map[netip.AddrPort]*watch),
 	}
 	e.suspects = member.NewSuspects(e.table)
-	e.able = member.NewCandidates(nil)
-	e.all = member.NewCandidates(nil)
+	e.eligible = member.NewCandidates(nil)
+	e.live = member.NewCandidates(nil)
 	e.table.Merge(self, time.Time{})
 	return e
 }
@@ -88,18 +100,19 @@
 // Self returns the process's own record.
 func (e *Engine) Self() member.Member { return e.self }
 
-// Table returns the members the process knows. The caller must not change it.
+// Table returns the table of the known members. The caller must not change it.
 func (e *Engine) Table() *member.Table { return e.table }
 
-// SetJoin sets the addresses to announce to while no balancer is known.
+// SetJoin sets the addresses to announce to while no balancer is known, and until
+// each of them has answered.
 func (e *Engine) SetJoin(addrs []netip.AddrPort) { e.join = addrs }
 
-// SetRevision notes the configuration revision in force and tells the
-// neighbours at once.
+// SetRevision records the configuration revision in force. On a balancer, the
+// next call of Actions sends it to the neighbours.
 func (e *Engine) SetRevision(revision uint64) {
 	e.self.Revision = revision
 	e.table.NoteRevision(e.self.Control, e.self.Incarnation, revision)
-	e.outbox.notify = e.isBalancer()
+	e.outbox.sendClaim = e.isBalancer()
 }
 
 // Update changes the process's own record and announces the change at once.
@@ -113,13 +126,13 @@
 	e.publishSelf(now, next)
 }
 
-// Leave marks the process gone and returns the calls that tell its witnesses
-// and neighbours so. It does nothing after that.
+// Leave marks the process gone and returns the calls that inform its witnesses
+// and neighbours. After Leave, Actions returns nothing.
 func (e *Engine) Leave(now time.Time) []Action {
 	e.Update(now, func(m *member.Member) { m.State = member.StateGone })
 	e.chooseWitnesses(now)
 	for _, w := range e.witnesses {
-		e.do(SendAnnounce{To: w, Message: Announce{Self: e.self}})
+		e.emit(SendAnnounce{To: w, Message: Announce{Self: e.self}})
 	}
 	e.push(now)
 	out := e.actions
@@ -127,16 +140,16 @@
 	return out
 }
 
-// publishSelf puts a new version of the process's own record in force.
+// publishSelf replaces the process's own record by next and announces it.
 func (e *Engine) publishSelf(now time.Time, next member.Member) {
 	before := e.self
 	e.self = next
 	e.table.Merge(next, now)
-	e.spread(next, before)
+	e.enqueue(next, before)
 	e.nextAnnounce = now
 }
 
-// Actions returns what is to be done at now. It is to be called after each
+// Actions returns the actions due at now. The caller must call it after each
 // message and every few hundred milliseconds.
 func (e *Engine) Actions(now time.Time) []Action {
 	if e.self.State == member.StateGone {
@@ -152,26 +165,26 @@
 	return out
 }
 
-func (e *Engine) do(a Action) { e.actions = append(e.actions, a) }
+func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// balancers returns the live balancers as candidates for a choice.
+// balancers returns the live balancers as candidates for rendezvous hashing.
 func (e *Engine) balancers() *member.Candidates {
-	if set := e.table.BalancerSet(); set != e.allSet {
-		e.all, e.allSet = member.NewCandidates(e.table.Balancers()), set
+	if set := e.table.BalancerSet(); set != e.liveSet {
+		e.live, e.liveSet = member.NewCandidates(e.table.Balancers()), set
 	}
-	return e.all
+	return e.live
 }
 
 func (e *Engine) isBalancer() bool { return e.self.Role == member.RoleBalancer }
 
-// merge takes a record in, passes it on where it is news, and reports whether
-// it was.
+// merge adds a record to the table, forwards it if it is newer than the known
+// record, and reports whether it was newer.
 func (e *Engine) merge(now time.Time, m member.Member) bool {
 	if m.Control == e.self.Control {
 		e.refute(now, m)
 		return false
 	}
-	if e.knowsBetter(now, m) {
+	if e.rejectsDeclaration(now, m) {
 		return false
 	}
 	before, known := e.table.Get(m.Control)
@@ -179,56 +192,59 @@
 		return false
 	}
 	if m.State != member.StateGone {
-		delete(e.avoid, m.Control)
+		delete(e.backoffs, m.Control)
 	}
-	e.note(before, known, m)
-	e.spread(m, before)
-	e.watchRecord(now, m, before)
+	e.emitNotice(before, known, m)
+	e.enqueue(m, before)
+	e.updateWatch(now, m, before)
 	return true
 }
 
-// knowsBetter reports whether the record declares a member gone that this
-// process is in touch with. The member settles it with its next renewal.
-func (e *Engine) knowsBetter(now time.Time, m member.Member) bool {
+// rejectsDeclaration reports whether the record declares a member gone that has
+// exchanged a renewal with this process recently. Such a record is not merged; it
+// becomes a suspicion, which the member refutes with its next renewal.
+func (e *Engine) rejectsDeclaration(now time.Time, m member.Member) bool {
 	known, ok := e.table.Get(m.Control)
-	if !ok || !m.Declared || known.State == member.StateGone || !m.Supersedes(known) || !e.inTouch(now, m.Control) {
+	if !ok || !m.Declared || known.State == member.StateGone || !m.Supersedes(known) || !e.recentlyAnswered(now, m.Control) {
 		return false
 	}
 	e.suspects.Add(suspicionOf(known, e.self.Control, member.Unreachable), now)
 	return true
 }
 
-// note tells the time line what a merged record changed.
-func (e *Engine) note(before member.Member, known bool, m member.Member) {
+// emitNotice emits a notice for the timeline of what a merged record changed.
+func (e *Engine) emitNotice(before member.Member, known bool, m member.Member) {
 	switch {
 	case !known || before.Incarnation != m.Incarnation:
-		e.do(Notice{Kind: NoticeJoined, Member: m})
+		e.emit(Notice{Kind: NoticeJoined, Member: m})
 	case m.Declared:
-		e.do(Notice{Kind: NoticeDeclared, Member: m})
+		e.emit(Notice{Kind: NoticeDeclared, Member: m})
 	case before.Declared:
-		e.do(Notice{Kind: NoticeReturned, Member: m})
+		e.emit(Notice{Kind: NoticeReturned, Member: m})
 	case before.State != m.State:
-		e.do(Notice{Kind: NoticeState, Member: m})
+		e.emit(Notice{Kind: NoticeState, Member: m})
 	}
 }
 
-// refute answers a record of the process itself that supersedes its own. The
-// process lives, so it outbids the record, unless it has said that it leaves.
+// refute handles a record of this process that supersedes its own, such as a
+// false declaration that it is gone. Unless the process is leaving, it publishes
+// a record that supersedes the received one.
 func (e *Engine) refute(now time.Time, m member.Member) {
 	if m.Supersedes(e.self) && e.self.State != member.StateGone {
-		e.outbid(now, m)
+		e.supersede(now, m)
 	}
 }
 
-// outbid raises the process's own record above m.
-func (e *Engine) outbid(now time.Time, m member.Member) {
+// supersede raises the version, and if needed the incarnation, of the process's
+// own record above that of m and publishes it.
+func (e *Engine) supersede(now time.Time, m member.Member) {
 	next := e.self
 	if m.Incarnation > next.Incarnation {
 		next.Incarnation = m.Incarnation + 1
 	}
 	next.Version = max(next.Version, m.Version) + 1
 	e.publishSelf(now, next)
-	e.do(Notice{Kind: NoticeRefuted, Member: next})
+	e.emit(Notice{Kind: NoticeRefuted, Member: next})
 }
 
 func (e *Engine) expire(now time.Time) {
@@ -237,9 +253,9 @@
 	}
 	e.nextExpire = now.Add(time.Minute)
 	e.table.Expire(now)
-	for addr, s := range e.avoid {
+	for addr, s := range e.backoffs {
 		if now.Sub(s.until) > time.Minute {
-			delete(e.avoid, addr)
+			delete(e.backoffs, addr)
 		}
 	}
 	for addr, c := range e.cursors {
@@ -250,8 +266,9 @@
 	}
 }
 
-// jitter spreads a period evenly over its neighbourhood.
+// jitter returns a random duration, evenly distributed within a fifth of d either
+// way.
 func (e *Engine) jitter(d time.Duration) time.Duration {
-	span := int64(d) / jitterShare
+	span := int64(d) / jitterDivisor
 	return d - time.Duration(span) + time.Duration(e.rand.Int64N(2*span+1))
 }
--- a/internal/gossip/engine_test.go
+++ b/internal/gossip/engine_test.go
@@ -38,9 +38,11 @@
 	}
 }
 
-// Whatever is lost, doubled, reordered, crashed, restarted or cut: once it is
-// over, all balancers hold the living for what they are and nobody else.
-func TestTablesConvergeOnTheTruth(t *testing.T) {
+// Messages are lost, duplicated and reordered; processes crash, restart and
+// leave; partitions come and go. Two minutes after the faults have ended, the
+// tables of all balancers must hold exactly the live members with their current
+// records.
+func TestTablesConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := simfleet.New(rapid.Uint64().Draw(t, "seed"))
 		balancers := rapid.IntRange(2, 6).Draw(t, "balancers")
@@ -60,8 +62,9 @@
 	})
 }
 
+// disturb applies one random fault or change.
 func disturb(t *rapid.T, w *simfleet.Fleet, balancers, agents int) {
-	// The first balancer stays, so that the others have one to join at.
+	// The first balancer is never the victim, so that the others can join at it.
 	victim := at(rapid.IntRange(1, balancers-1).Draw(t, "balancer"))
 	if agents > 0 && rapid.Bool().Draw(t, "of agents") {
 		victim = at(100 + rapid.IntRange(0, agents-1).Draw(t, "agent"))
@@ -72,7 +75,7 @@
 	case "restart":
 		m := balancer(0)
 		if victim.Addr().As4()[3] >= 100 {
-			m = agent(0, "service-1") // may have been of another service
+			m = agent(0, "service-1") // the agent may have had another service before
 		}
 		m.Control = victim
 		w.Start(m, at(0))
@@ -95,9 +98,10 @@
 	}
 }
 
-// A cut that hides a minority leads to declarations; when it heals, the hidden
-// are back and nobody is declared gone again.
-func TestCutHealsWithoutFlapping(t *testing.T) {
+// A partition that hides a minority causes declarations. When it heals, the
+// hidden members must be back within 30 s, and no member may be declared gone
+// again.
+func TestNoFlappingAfterPartitionHeals(t *testing.T) {
 	for seed := range uint64(20) {
 		w := simfleet.New(seed)
 		populate(w, 8, 12)
@@ -106,22 +110,22 @@
 		w.Cut = func(a, b netip.AddrPort) bool { return hidden(a) != hidden(b) }
 		w.Run(time.Minute)
 		if e := w.Engines[at(0)]; e.Table().Live() != 17 {
-			t.Errorf("seed %d: %d live during the cut, want 17", seed, e.Table().Live())
+			t.Errorf("seed %d: %d members live during the partition, want 17", seed, e.Table().Live())
 		}
 		w.Cut = nil
 		declared := w.Notices[gossip.NoticeDeclared]
 		w.Run(30 * time.Second)
 		if d := w.Differences(); len(d) > 0 {
-			t.Errorf("seed %d: %v", seed, d)
+			t.Errorf("seed %d: tables differ from the live members after the partition: %v", seed, d)
 		}
 		if again := w.Notices[gossip.NoticeDeclared] - declared; again > 0 {
-			t.Errorf("seed %d: %d declarations after the cut", seed, again)
+			t.Errorf("seed %d: %d members declared gone after the partition, want 0", seed, again)
 		}
 	}
 }
 
-// One witness alone that cannot hear a member does not get it declared gone.
-func TestOneWitnessDeclaresNobody(t *testing.T) {
+// A member that only one of its witnesses cannot reach must not be declared gone.
+func TestMemberUnreachableForOneWitnessStaysLive(t *testing.T) {
 	for i := range 5 {
 		w := simfleet.New(1)
 		populate(w, 5, 3)
@@ -129,16 +133,17 @@
 		w.Cut = func(a, b netip.AddrPort) bool { return a == at(i) && b == at(100) }
 		w.Run(3 * time.Minute)
 		if n := w.Notices[gossip.NoticeDeclared]; n > 0 {
-			t.Errorf("balancer %d: %d declarations", i, n)
+			t.Errorf("balancer %d cannot reach the member: %d declarations, want 0", i, n)
 		}
 		if d := w.Differences(); len(d) > 0 {
-			t.Errorf("balancer %d: %v", i, d)
+			t.Errorf("balancer %d cannot reach the member: tables differ from the live members: %v", i, d)
 		}
 	}
 }
 
-// Two parts that have declared each other gone meet again.
-func TestPartsThatDeclaredEachOtherGoneMeetAgain(t *testing.T) {
+// After ten minutes, the two sides of a partition have declared each other gone.
+// Once it heals, they must still find each other and converge.
+func TestPartitionsMergeAfterDeclaringEachOtherGone(t *testing.T) {
 	for seed := range uint64(10) {
 		w := simfleet.New(seed)
 		populate(w, 5, 0)
@@ -147,7 +152,7 @@
 		w.Cut = func(a, b netip.AddrPort) bool { return low(a) != low(b) }
 		w.Run(10 * time.Minute)
 		if live := w.Engines[at(0)].Table().Live(); live != 2 {
-			t.Fatalf("seed %d: %d live on one side after ten minutes, want 2", seed, live)
+			t.Fatalf("seed %d: %d members live on one side after ten minutes of partition, want 2", seed, live)
 		}
 		w.Cut = nil
 		w.Run(2 * time.Minute)
@@ -157,7 +162,8 @@
 	}
 }
 
-// The witnesses of a member may die with it.
+// A member crashes together with its witnesses. Other balancers must take over as
+// its witnesses and declare it gone.
 func TestDeadWitnessesAreReplaced(t *testing.T) {
 	for seed := range uint64(10) {
 		w := simfleet.New(seed)
@@ -173,8 +179,9 @@
 	}
 }
 
-// The times that docs/design/control.md promises, on the engine's own clock.
-func TestChangesAreKnownInTime(t *testing.T) {
+// Checks the propagation times stated in docs/design/control.md, on simulated
+// time.
+func TestChangesReachAllBalancersInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*simfleet.Fleet)
 		within time.Duration
--- a/internal/gossip/join_test.go
+++ b/internal/gossip/join_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// announcedTo returns the balancers to which the engine renews at now.
+// announcedTo returns the balancers to which the engine sends renewals at now.
 func announcedTo(e *Engine, now time.Time) (to []netip.AddrPort) {
 	for _, a := range e.Actions(now) {
 		if s, ok := a.(SendAnnounce); ok {
@@ -28,9 +28,10 @@
 	return to
 }
 
-// Two groups would never meet if a process gave up its join addresses as soon
-// as somebody else announced itself.
-func TestJoinAddressIsUsedThoughSomebodyCameFirst(t *testing.T) {
+// If a process stopped announcing to its join addresses as soon as another
+// balancer announced itself, the two could form a group that never meets the rest
+// of the fleet.
+func TestJoinAddressIsAnnouncedToAfterAnotherBalancerAppears(t *testing.T) {
 	g := NewWithT(t)
 	self, early, join := joinBalancer(1), joinBalancer(2), joinBalancer(3)
 	e := New(self, DefaultTiming(), rand.New(rand.NewPCG(1, 1)))
@@ -41,9 +42,9 @@
 
 	e.AnnounceFailed(now, join.Control)
 	now = now.Add(2 * DefaultTiming().Renew)
-	g.Expect(announcedTo(e, now)).To(ConsistOf(early.Control), "an address that does not answer is passed over for a while")
+	g.Expect(announcedTo(e, now)).To(ConsistOf(early.Control), "a join address that does not answer is skipped during its back-off")
 
-	now = now.Add(DefaultTiming().Avoid)
+	now = now.Add(DefaultTiming().Backoff)
 	g.Expect(announcedTo(e, now)).To(ContainElement(join.Control))
 	e.AnnounceDone(now, join.Control, Announce{Self: self}, AnnounceReply{Epoch: 1, Members: []member.Member{join}})
 	now = now.Add(2 * DefaultTiming().Renew)
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -1,7 +1,13 @@
-// Package gossip decides how knowledge of members spreads between processes:
-// announcements to a few balancers, transitions flooded over a sparse graph of
-// balancers, digests that repair what was lost. It is pure: time, randomness
-// and messages come in, actions go out.
+// Package gossip implements the membership protocol. A process announces itself
+// regularly (it renews) at a few balancers, its witnesses; balancers flood
+// transitions of members over a sparse graph of balancers, and compare digests of
+// their tables to repair what messages lost. Witnesses probe silent members,
+// exchange suspicions, and declare a member gone when enough of them suspect it. If
+// much of the fleet becomes unreachable at once, a network partition is the likelier
+// cause: the panic threshold then retains the unreachable members for a while.
+//
+// The package does no I/O and reads no clock: the caller passes in time,
+// randomness and messages, and carries out the returned actions.
 package gossip
 
 import (
@@ -11,42 +17,46 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Claim is what a process says of its configuration in each message. The
-// engine leaves it to the caller, which fills and reads it.
+// Claim is what a process states about its configuration in each message. The
+// engine does not use it; the caller fills it in and reads it.
 type Claim struct {
 	// Revision is the adopted revision, 0 for none.
 	Revision uint64
-	// Serving tells that the process is a balancer and serves on it. An agent
-	// vouches for nothing: it learns a revision after the balancers.
+	// Serving is set if the process is a balancer and serves the revision. An
+	// agent never sets it, because an agent receives a revision only after the
+	// balancers.
 	Serving bool
-	// Reading is the newest reading of the store that the process knows of.
+	// Reading is the newest reading of the store known to the process.
 	Reading *adopt.Reading
-	// Balancers is the number of live balancers that the process knows, without
-	// the one it speaks to.
+	// Balancers is the number of live balancers known to the process, without the
+	// receiver of the message.
 	Balancers int
 }
 
-// Announce tells a balancer that its sender lives, and asks for news.
+// Announce is a renewal: it tells a balancer that the sender is live, and asks
+// for the records that have changed.
 type Announce struct {
 	Self member.Member
-	// Epoch and Cursor say up to where the sender knows the balancer's table:
-	// the balancer's incarnation and the change number of its last reply.
+	// Epoch and Cursor say up to which change the sender has received the
+	// balancer's table: the balancer's incarnation and the change number of its
+	// last reply.
 	Epoch, Cursor uint64
 	Claim         Claim
 }
 
-// AnnounceReply carries what changed since the sender's cursor.
+// AnnounceReply carries the records that changed after the sender's cursor.
 type AnnounceReply struct {
 	Epoch, Cursor uint64
-	// Suspected says that some balancer takes the sender for dead.
+	// Suspected is set if a balancer suspects the sender of being dead.
 	Suspected bool
 	Claim     Claim
-	// Members are records the sender needs: for an agent its siblings and a
-	// sample of balancers, for anyone a newer record of itself.
+	// Members are the records the sender needs: for an agent the other agents of
+	// its service, for any sender a sample of balancers and a newer record of
+	// itself if there is one.
 	Members []member.Member
 }
 
-// Push passes transitions on.
+// Push forwards transitions and suspicions.
 type Push struct {
 	From       netip.AddrPort
 	Claim      Claim
@@ -59,66 +69,72 @@
 	Claim Claim
 }
 
-// Digest asks whether two balancers know the same live members.
+// Digest asks whether two balancers have the same live members.
 type Digest struct {
 	From  netip.AddrPort
 	Claim Claim
 	Root  uint64
 }
 
-// DigestReply carries the buckets of the answering side where roots differ.
+// DigestReply carries the receiver's bucket hashes if the root hashes differ.
 type DigestReply struct {
 	Claim   Claim
 	Equal   bool
 	Buckets []uint32
 }
 
-// Exchange carries the sender's records of the buckets that differ and asks
-// for those of the receiver; the reply has the same type.
+// Exchange carries the sender's records of the buckets that differ and asks for
+// those of the receiver. The reply has the same type.
 type Exchange struct {
 	From    netip.AddrPort
 	Buckets []int
 	Members []member.Member
-	// Suspicions concern members that the receiver holds for live and the
-	// sender for dead: the member itself is to settle it.
+	// Suspicions concern members that are live in the receiver's table and declared
+	// gone in the sender's. The receiver probes such a member; if it is live, it
+	// refutes the suspicion.
 	Suspicions []member.Suspicion
 }
 
-// Action is what the caller of the engine has to do next.
+// Action is a step that the engine asks its caller to carry out.
 type Action interface{ action() }
 
-// SendAnnounce calls a balancer; the outcome goes to Engine.AnnounceDone.
+// SendAnnounce asks the caller to send a renewal; the outcome goes to
+// Engine.AnnounceDone or Engine.AnnounceFailed.
 type SendAnnounce struct {
 	To      netip.AddrPort
 	Message Announce
 }
 
-// SendPush calls a balancer; a failure goes to Engine.PushFailed.
+// SendPush asks the caller to send a push. The engine does not need the outcome:
+// digests repair what a lost push would have carried.
 type SendPush struct {
 	To      netip.AddrPort
 	Message Push
 }
 
-// SendDigest calls a balancer; the reply goes to Engine.DigestDone.
+// SendDigest asks the caller to send a digest; the reply goes to
+// Engine.DigestDone.
 type SendDigest struct {
 	To      netip.AddrPort
 	Message Digest
 }
 
-// SendExchange calls a balancer; the reply goes to Engine.ExchangeDone.
+// SendExchange asks the caller to send an exchange; the reply goes to
+// Engine.ExchangeDone.
 type SendExchange struct {
 	To      netip.AddrPort
 	Message Exchange
 }
 
-// Probe asks a member whether it lives; the outcome goes to Engine.ProbeDone.
+// Probe asks the caller to check whether a member answers; the outcome goes to
+// Engine.ProbeDone.
 type Probe struct {
 	To netip.AddrPort
-	// Suspicion tells the member that it is suspected; nil if it is not.
+	// Suspicion informs the member that it is suspected; nil if it is not.
 	Suspicion *member.Suspicion
 }
 
-// NoticeKind tells what an engine decided or noticed.
+// NoticeKind is the kind of event that an engine reports.
 type NoticeKind uint8
 
 // Kinds of notices.
@@ -131,27 +147,31 @@
 	NoticeSuspected
 	// NoticeDeclared: a member was declared gone.
 	NoticeDeclared
-	// NoticeReturned: a member that had been declared gone lives.
+	// NoticeReturned: a member that had been declared gone is live.
 	NoticeReturned
-	// NoticeRefuted: this process was taken for dead and answered.
+	// NoticeRefuted: this process was suspected or declared gone, and refuted it.
 	NoticeRefuted
-	// NoticeKept: the panic threshold keeps unreachable members.
-	NoticeKept
-	// NoticeKeptEnd: it keeps none any more.
-	NoticeKeptEnd
-	// NoticeLearned: many records came at once, as when a process joins.
-	NoticeLearned
+	// NoticeRetained: the panic threshold retains unreachable members, which
+	// would otherwise be declared gone.
+	NoticeRetained
+	// NoticeRetainedEnd: the panic threshold no longer retains any member.
+	NoticeRetainedEnd
+	// NoticeTableFetched: an exchange brought many records at once, as when the
+	// process joins.
+	NoticeTableFetched
 )
 
-// Notice is for the time line: nothing has to be done.
+// Notice reports an event for the timeline. It requires no action.
 type Notice struct {
 	Kind   NoticeKind
 	Member member.Member
-	// Count is the number of members that are kept, or were learned.
+	// Count is the number of members that are retained, or of records that were
+	// fetched.
 	Count int
 }
 
-// FindPeers looks for addresses to join at: no known balancer answers.
+// FindPeers asks the caller for addresses to join at, because no known balancer
+// answers.
 type FindPeers struct{}
 
 func (SendAnnounce) action() {}
--- a/internal/gossip/reconcile.go
+++ b/internal/gossip/reconcile.go
@@ -8,17 +8,18 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// passOnLimit is the number of records of one exchange up to which they are
-// passed on as transitions.
-const passOnLimit = 32
+// forwardLimit is the largest number of new records of one exchange that are
+// forwarded as transitions.
+const forwardLimit = 32
 
-// isMemberNews reports whether the action notes one member's joining or change.
-func isMemberNews(a Action) bool {
+// isMemberNotice reports whether the action is a notice that one member joined or
+// changed its state.
+func isMemberNotice(a Action) bool {
 	n, ok := a.(Notice)
 	return ok && (n.Kind == NoticeJoined || n.Kind == NoticeState)
 }
 
-// reconcile compares tables with a random balancer once a period.
+// reconcile sends a digest to one random balancer per digest period.
 func (e *Engine) reconcile(now time.Time) {
 	if !e.isBalancer() || now.Before(e.nextDigest) {
 		return
@@ -26,36 +27,40 @@
 	e.nextDigest = now.Add(e.jitter(e.timing.Digest))
 	to, found := e.randomPeer(now)
 	if !found {
-		// Alone: try again soon, so that a joining process learns quickly.
+		// No peer is known. Retry soon, so that a joining process fetches the
+		// table quickly.
 		e.nextDigest = now.Add(e.jitter(findInterval))
 		return
 	}
-	e.do(SendDigest{To: to, Message: Digest{From: e.self.Control, Root: e.table.Digest().Root()}})
+	e.emit(SendDigest{To: to, Message: Digest{From: e.self.Control, Root: e.table.Digest().Root()}})
 }
 
 const (
-	// recentDeath is the time for which a balancer that was declared gone is
-	// tried often; later it is tried rarely.
-	recentDeath = 15 * time.Minute
-	// anyShare, recentShare and rareShare: one in so many digests goes to any
-	// balancer, to one lately declared gone, to one declared gone at all.
-	anyShare    = 4
-	recentShare = 2
-	rareShare   = 8
+	// recentlyGone is the time for which a balancer that was declared gone often
+	// gets a digest; after that it rarely does.
+	recentlyGone = 15 * time.Minute
+	// Odds in the choice of a peer: one in recentlyGoneOneIn digests goes to a
+	// balancer declared gone within recentlyGone, one in goneOneIn of the others to
+	// any balancer declared gone, and one in anyBalancerOneIn of the rest to any
+	// balancer instead of a neighbour.
+	anyBalancerOneIn  = 4
+	recentlyGoneOneIn = 2
+	goneOneIn         = 8
 )
 
-// randomPeer mostly returns a neighbour, with which a connection is open; now
-// and then any balancer, which heals what a sparse graph cannot; and now and
-// then one that was declared gone, without which two halves that declared each
-// other gone would never meet again.
+// randomPeer returns the balancer for the next digest. Mostly this is a
+// neighbour, to which a connection is already open. Sometimes it is any balancer,
+// which repairs differences that do not spread over the sparse graph. Sometimes
+// it is one that was declared gone: two halves of a fleet that have declared each
+// other gone would otherwise never merge.
 func (e *Engine) randomPeer(now time.Time) (netip.AddrPort, bool) {
-	if gone, ok := e.pick(e.table.DeclaredBalancers(now.Add(-recentDeath))); ok && e.rand.IntN(recentShare) == 0 {
+	if gone, ok := e.pick(e.table.DeclaredBalancers(now.Add(-recentlyGone))); ok && e.rand.IntN(recentlyGoneOneIn) == 0 {
 		return gone, true
 	}
-	if gone, ok := e.pick(e.table.DeclaredBalancers(time.Time{})); ok && e.rand.IntN(rareShare) == 0 {
+	if gone, ok := e.pick(e.table.DeclaredBalancers(time.Time{})); ok && e.rand.IntN(goneOneIn) == 0 {
 		return gone, true
 	}
-	if near := e.neighbours(); len(near) > 0 && e.rand.IntN(anyShare) != 0 {
+	if near := e.neighbours(); len(near) > 0 && e.rand.IntN(anyBalancerOneIn) != 0 {
 		return near[e.rand.IntN(len(near))], true
 	}
 	if peer, ok := e.pick(e.table.Balancers()); ok {
@@ -67,7 +72,7 @@
 	return e.join[e.rand.IntN(len(e.join))], true
 }
 
-// pick returns one of the members at random, but not the process itself.
+// pick returns a random one of the members, never the process itself.
 func (e *Engine) pick(members []member.Member) (netip.AddrPort, bool) {
 	members = slices.DeleteFunc(slices.Clone(members), func(m member.Member) bool { return m.Control == e.self.Control })
 	if len(members) == 0 {
@@ -76,7 +81,8 @@
 	return members[e.rand.IntN(len(members))].Control, true
 }
 
-// HandleDigest answers whether both sides know the same live members.
+// HandleDigest compares the sender's digest with the table's and returns the
+// bucket hashes if they differ.
 func (e *Engine) HandleDigest(_ time.Time, d Digest) DigestReply {
 	reply := DigestReply{Equal: d.Root == e.table.Digest().Root()}
 	if !reply.Equal {
@@ -85,8 +91,9 @@
 	return reply
 }
 
-// DigestDone takes in the answer to a digest and exchanges the records of the
-// buckets that differ, as many as the budget allows.
+// DigestDone processes the reply to a digest. It starts an exchange of the
+// buckets that differ, as many as one message should carry, if the byte budget
+// allows it.
 func (e *Engine) DigestDone(now time.Time, from netip.AddrPort, r DigestReply) {
 	if r.Equal {
 		return
@@ -97,20 +104,20 @@
 	}
 	part := e.firstBuckets(differ)
 	records := e.table.InBuckets(part)
-	if !e.afford(now, messageBytes+recordBytes*len(records)) {
+	if !e.tryCharge(now, messageBytes+recordBytes*len(records)) {
 		return
 	}
 	if len(part) < len(differ) {
 		e.nextDigest = now.Add(findInterval)
 	}
-	e.do(SendExchange{To: from, Message: Exchange{From: e.self.Control, Buckets: part, Members: records}})
+	e.emit(SendExchange{To: from, Message: Exchange{From: e.self.Control, Buckets: part, Members: records}})
 }
 
-// firstBuckets returns as many of the buckets as one message should carry, at
-// random. A process that has just joined takes all: without the table it can
-// place no new flow.
+// firstBuckets returns the buckets to exchange first: as many as one message
+// should carry, chosen at random. A process that has just joined requests all of
+// them, because it cannot place new flows without the table.
 func (e *Engine) firstBuckets(differ []int) []int {
-	if !e.joined {
+	if !e.tableFetched {
 		return differ
 	}
 	e.rand.Shuffle(len(differ), func(i, j int) { differ[i], differ[j] = differ[j], differ[i] })
@@ -118,39 +125,40 @@
 	return differ[:min(len(differ), max(1, maxBatch/perBucket))]
 }
 
-// HandleExchange merges the sender's records and returns its own of the same
-// buckets that the sender lacks.
+// HandleExchange merges the sender's records and returns the records of the same
+// buckets that the sender lacks or has in an older version.
 func (e *Engine) HandleExchange(now time.Time, x Exchange) Exchange {
 	sent := make(map[netip.AddrPort]member.Member, len(x.Members))
 	for _, m := range x.Members {
 		sent[m.Control] = m
 	}
-	reply := e.objections(x.Members)
+	reply := e.corrections(x.Members)
 	for _, m := range e.table.InBuckets(x.Buckets) {
 		if theirs, ok := sent[m.Control]; !ok || m.Supersedes(theirs) {
 			reply.Members = append(reply.Members, m)
 		}
 	}
-	e.learn(now, x)
+	e.mergeExchange(now, x)
 	e.charge(now, messageBytes+recordBytes*len(reply.Members))
 	return reply
 }
 
-// ExchangeDone merges the other side's records and tells it which of them are
-// out of date.
+// ExchangeDone merges the records in the reply, and sends corrections for those
+// that are out of date.
 func (e *Engine) ExchangeDone(now time.Time, x Exchange) {
-	o := e.objections(x.Members)
-	e.learn(now, x)
-	e.joined = true
+	o := e.corrections(x.Members)
+	e.mergeExchange(now, x)
+	e.tableFetched = true
 	if len(o.Members)+len(o.Suspicions) > 0 {
-		e.do(SendExchange{To: x.From, Message: o})
+		e.emit(SendExchange{To: x.From, Message: o})
 	}
 }
 
-// objections returns what the other side has to know of members that it holds
-// for live and this process for gone. Who announced its end is gone; who was
-// declared gone here lives perhaps, and gets the chance to refute.
-func (e *Engine) objections(records []member.Member) Exchange {
+// corrections returns corrections of records that the other side has as live and
+// this process as gone. A member that announced its own departure is gone: the
+// reply carries its record. A member that was declared gone may in fact be live:
+// the reply carries a suspicion, so that the member is probed and can refute.
+func (e *Engine) corrections(records []member.Member) Exchange {
 	out := Exchange{From: e.self.Control}
 	for _, m := range records {
 		known, ok := e.table.Get(m.Control)
@@ -165,20 +173,21 @@
 	return out
 }
 
-// learn merges the records of an exchange. A few are passed on at once; many
-// are left to the exchanges of the others, which are likely to know them.
-func (e *Engine) learn(now time.Time, x Exchange) {
+// mergeExchange merges the records of an exchange. Up to forwardLimit new records
+// are forwarded at once. More are not forwarded, because the other balancers
+// probably have them already or get them by their own exchanges.
+func (e *Engine) mergeExchange(now time.Time, x Exchange) {
 	queued := e.outbox
 	for _, m := range x.Members {
 		e.merge(now, m)
 	}
-	if news := e.outbox.waiting() - queued.waiting(); news > passOnLimit {
+	if added := e.outbox.waiting() - queued.waiting(); added > forwardLimit {
 		e.outbox = queued
-		e.actions = slices.DeleteFunc(e.actions, isMemberNews)
-		e.do(Notice{Kind: NoticeLearned, Count: news})
+		e.actions = slices.DeleteFunc(e.actions, isMemberNotice)
+		e.emit(Notice{Kind: NoticeTableFetched, Count: added})
 	}
 	for _, s := range x.Suspicions {
-		e.takeSuspicion(now, s)
-		e.checkLater(now, s)
+		e.mergeSuspicion(now, s)
+		e.scheduleProbe(now, s)
 	}
 }
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -8,33 +8,36 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Sizes of messages on the wire, for the budget. They are upper estimates; the
-// bytes that were really carried are counted by the transport.
+// Upper estimates of message sizes on the wire, for the byte budget. The
+// transport counts the bytes actually sent.
 const (
 	messageBytes   = 200
 	recordBytes    = 90
 	suspicionBytes = 50
-	// maxBatch bounds the records of one message.
+	// maxBatch is the maximum number of records in one message.
 	maxBatch = 256
 )
 
-// outbox holds what waits for the next push.
+// outbox holds the records and suspicions queued for the next push.
 type outbox struct {
-	// urgent is what processes say of themselves: few, and not held back.
+	// urgent holds the changes that processes announce about themselves. They are
+	// few, and the byte budget does not delay them.
 	urgent []member.Member
-	// bulk is what a cut or its healing brings by the hundred: declarations and
-	// refutations. It waits for the budget, as suspicions do.
+	// bulk holds declarations and refutations, which come by the hundred when a
+	// network partition begins or heals. Like suspicions, they wait for the byte
+	// budget.
 	bulk       []member.Member
 	suspicions []member.Suspicion
-	// notify asks for a push even if it carries nothing: the claim in it tells
-	// of a new configuration.
-	notify bool
+	// sendClaim requests a push even without records: the claim in it carries a
+	// new configuration revision.
+	sendClaim bool
 }
 
 func (o *outbox) waiting() int { return len(o.urgent) + len(o.bulk) + len(o.suspicions) }
 
-// spread queues a record, which replaced before, for the next push.
-func (e *Engine) spread(m, before member.Member) {
+// enqueue queues a record for the next push; before is the record that it
+// replaced.
+func (e *Engine) enqueue(m, before member.Member) {
 	switch {
 	case !e.isBalancer():
 	case isBulk(m, before):
@@ -44,8 +47,8 @@
 	}
 }
 
-// isBulk reports whether the record is a declaration or a refutation: apart
-// from its version, nothing that the process itself decides has changed.
+// isBulk reports whether the record is a declaration or a refutation: apart from
+// the version, nothing that the process itself decides has changed.
 func isBulk(m, before member.Member) bool {
 	if m.Declared || before.Declared && before.Incarnation == m.Incarnation {
 		return true
@@ -54,11 +57,11 @@
 	return before == m
 }
 
-// push sends what waits to the neighbours: announcements and notices at once,
-// the rest as far as the budget allows.
+// push sends the queued records to the neighbours: urgent records and claims at
+// once, the others as far as the byte budget allows.
 func (e *Engine) push(now time.Time) {
 	o := &e.outbox
-	if o.waiting() == 0 && !o.notify {
+	if o.waiting() == 0 && !o.sendClaim {
 		return
 	}
 	to := e.neighbours()
@@ -76,13 +79,13 @@
 	if o.waiting() > 0 {
 		e.deferred++
 	}
-	if len(p.Members)+len(p.Suspicions) == 0 && !o.notify {
+	if len(p.Members)+len(p.Suspicions) == 0 && !o.sendClaim {
 		return
 	}
-	o.notify = false
+	o.sendClaim = false
 	e.charge(now, len(to)*(messageBytes+recordBytes*len(p.Members)+suspicionBytes*len(p.Suspicions)))
 	for _, addr := range to {
-		e.do(SendPush{To: addr, Message: p})
+		e.emit(SendPush{To: addr, Message: p})
 	}
 }
 
@@ -94,9 +97,9 @@
 	return out
 }
 
-// afford takes size bytes from the budget if they are there. What is put off
-// is counted.
-func (e *Engine) afford(now time.Time, size int) bool {
+// tryCharge takes size bytes from the byte budget and reports whether they were
+// available. It counts a failed attempt as deferred.
+func (e *Engine) tryCharge(now time.Time, size int) bool {
 	if e.budget.AllowN(now, min(size, e.timing.BurstBytes)) {
 		return true
 	}
@@ -104,21 +107,21 @@
 	return false
 }
 
-// charge takes the bytes of what is sent in any case from the budget for what
-// follows.
+// charge takes the bytes of a message that is sent regardless of the budget,
+// which leaves less for later messages.
 func (e *Engine) charge(now time.Time, size int) {
 	e.budget.ReserveN(now, min(size, e.timing.BurstBytes))
 }
 
-// Budget tells how the byte budget stands: the bytes that may be sent at once
-// (negative when answers have overdrawn it), the transitions that wait, and
-// how often a message was put off.
+// Budget returns the state of the byte budget: the bytes that may be sent at once
+// (negative when replies have overdrawn it), the number of queued records and
+// suspicions, and how often a message was deferred.
 func (e *Engine) Budget(now time.Time) (tokens float64, waiting int, deferred uint64) {
 	return e.budget.TokensAt(now), e.outbox.waiting(), e.deferred
 }
 
-// neighbours returns the balancers to push to. One that does not answer stays
-// among them, so that a push finds out when it is back.
+// neighbours returns the balancers to push to. A balancer that does not answer
+// stays a neighbour, so that a push reaches it as soon as it is back.
 func (e *Engine) neighbours() []netip.AddrPort {
 	if !e.isBalancer() {
 		return nil
@@ -126,13 +129,14 @@
 	return e.balancers().Neighbours(e.self.Control, fanOut)
 }
 
-// HandlePush takes transitions in and passes on what is news.
+// HandlePush merges the records and suspicions of a push and forwards the new
+// ones.
 func (e *Engine) HandlePush(now time.Time, p Push) PushReply {
 	for _, m := range p.Members {
 		e.merge(now, m)
 	}
 	for _, x := range p.Suspicions {
-		e.takeSuspicion(now, x)
+		e.mergeSuspicion(now, x)
 	}
 	return PushReply{}
 }
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -8,7 +8,7 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// ProbeDone takes in the outcome of a probe; evidence is zero when the member
+// ProbeDone processes the outcome of a probe. evidence is zero if the member
 // answered.
 func (e *Engine) ProbeDone(now time.Time, addr netip.AddrPort, evidence member.Evidence) {
 	w := e.watched[addr]
@@ -21,17 +21,17 @@
 		delete(e.watched, addr)
 		return
 	}
-	if evidence == 0 && w.once {
+	if evidence == 0 && w.temporary {
 		delete(e.watched, addr)
 		return
 	}
 	if evidence == 0 {
 		w.failed, w.suspecting = 0, false
-		w.probeAt = now.Add(e.silence())
+		w.probeAt = now.Add(e.renewalTimeout())
 		return
 	}
 	if now.Before(w.probeAt) {
-		return // it renewed meanwhile
+		return // the member renewed while the probe was under way
 	}
 	w.failed++
 	w.failedAt = now
@@ -39,17 +39,19 @@
 	e.suspect(now, m, evidence)
 }
 
-// suspect spreads that this witness takes the member for dead.
+// suspect records and spreads that this witness suspects the member of being
+// dead.
 func (e *Engine) suspect(now time.Time, m member.Member, evidence member.Evidence) {
 	x := suspicionOf(m, e.self.Control, evidence)
 	w := e.watched[m.Control]
 	w.suspecting = true
-	news := e.suspects.Add(x, now)
-	if news {
-		e.do(Notice{Kind: NoticeSuspected, Member: m})
+	added := e.suspects.Add(x, now)
+	if added {
+		e.emit(Notice{Kind: NoticeSuspected, Member: m})
 	}
-	// Repeated ever more rarely, for those who have missed it.
-	if news || bits.OnesCount(uint(w.failed)) == 1 {
+	// Repeat the suspicion after 2, 4, 8 and so on failed probes, for balancers that
+	// have missed it.
+	if added || bits.OnesCount(uint(w.failed)) == 1 {
 		e.outbox.suspicions = append(e.outbox.suspicions, x)
 	}
 }
@@ -64,9 +66,9 @@
 	}
 }
 
-// takeSuspicion merges another witness's suspicion and passes news on. A
-// suspicion of this process itself is refuted.
-func (e *Engine) takeSuspicion(now time.Time, x member.Suspicion) {
+// mergeSuspicion adds another witness's suspicion and forwards it if it is new.
+// If the suspicion concerns this process, the process refutes it.
+func (e *Engine) mergeSuspicion(now time.Time, x member.Suspicion) {
 	if x.Control == e.self.Control {
 		e.HandleProbe(now, x.Witness, &x)
 		return
@@ -76,50 +78,51 @@
 	}
 }
 
-// HandleProbe takes a balancer's probe in: the way to it is open again, and a
-// suspicion that it brings is refuted.
+// HandleProbe processes a balancer's probe. The probe shows that the network path
+// between the two is open, so the back-off of that balancer ends. If the probe
+// carries a suspicion of this process, the process refutes it.
 func (e *Engine) HandleProbe(now time.Time, from netip.AddrPort, x *member.Suspicion) {
-	delete(e.avoid, from)
+	delete(e.backoffs, from)
 	if x == nil || e.self.State == member.StateGone {
 		return
 	}
 	if x.Control == e.self.Control && x.Incarnation == e.self.Incarnation && x.Version == e.self.Version {
-		e.outbid(now, e.self)
+		e.supersede(now, e.self)
 	}
 }
 
-// declare declares members gone that enough witnesses suspect. Only a witness
-// that itself suspects the member does so, and none that the panic threshold
-// keeps is declared.
+// declare declares the members gone that enough witnesses suspect. This process
+// must itself be a witness that suspects the member, and the panic threshold must
+// not retain the member.
 func (e *Engine) declare(now time.Time) {
 	verdicts := e.suspects.Verdicts()
 	if len(verdicts) == 0 {
-		e.noteKept(0)
+		e.setRetained(0)
 		return
 	}
-	panicked := member.NewPanic(e.table, verdicts)
-	kept := 0
+	threshold := member.NewPanic(e.table, verdicts)
+	retained := 0
 	for _, v := range verdicts {
 		w := e.watched[v.Member.Control]
 		if w == nil || !w.suspecting {
 			continue
 		}
-		keep := panicked.Keeps(v, now)
-		if keep {
-			w.kept = now
+		retain := threshold.Keeps(v, now)
+		if retain {
+			w.retainedAt = now
 		}
 		switch {
 		case v.Witnesses < member.Needed(e.table, verdicts, v.Member, now):
-		case keep:
-			kept++
+		case retain:
+			retained++
 		case v.Evidence == member.Unreachable && w.failed < probesToDeclare:
-		case now.Sub(later(v.Since, w.kept)) >= e.grace(now, w, v.Evidence):
+		case now.Sub(later(v.Since, w.retainedAt)) >= e.grace(now, w, v.Evidence):
 			gone := v.Member
 			gone.State, gone.Declared = member.StateGone, true
 			e.merge(now, gone)
 		}
 	}
-	e.noteKept(kept)
+	e.setRetained(retained)
 }
 
 func later(a, b time.Time) time.Time {
@@ -129,26 +132,30 @@
 	return b
 }
 
-// grace is the time from the first suspicion to the declaration. It starts
-// anew when the panic threshold keeps a member no longer: while a cut heals,
-// some of the hidden are back before the others. It doubles with each return of a member that had been declared gone.
+// grace returns the time from the first suspicion to the declaration. It starts
+// again when the panic threshold stops retaining a member, because while a
+// network partition heals, some of the hidden members become reachable before
+// others. It doubles each time that the member returns after it was declared
+// gone.
 func (e *Engine) grace(now time.Time, w *watch, evidence member.Evidence) time.Duration {
-	if now.Sub(w.returned) > flapMemory {
+	if now.Sub(w.returned) > flapWindow {
 		w.flaps = 0
 	}
-	grace := e.timing.Renew * graceShare
+	grace := e.timing.Renew * gracePeriods
 	if evidence == member.Refused {
-		grace = e.timing.Renew / graceShare
+		grace = e.timing.Renew / gracePeriods
 	}
 	return grace << w.flaps
 }
 
-func (e *Engine) noteKept(kept int) {
+// setRetained records how many members the panic threshold retains, and emits a
+// notice when it starts or stops retaining any.
+func (e *Engine) setRetained(retained int) {
 	switch {
-	case kept > 0 && e.kept == 0:
-		e.do(Notice{Kind: NoticeKept, Count: kept})
-	case kept == 0 && e.kept > 0:
-		e.do(Notice{Kind: NoticeKeptEnd})
+	case retained > 0 && e.retained == 0:
+		e.emit(Notice{Kind: NoticeRetained, Count: retained})
+	case retained == 0 && e.retained > 0:
+		e.emit(Notice{Kind: NoticeRetainedEnd})
 	}
-	e.kept = kept
+	e.retained = retained
 }
--- a/internal/gossip/watch.go
+++ b/internal/gossip/watch.go
@@ -10,48 +10,54 @@
 )
 
 const (
-	// missShare is the number of halves of a renewal period after which a
-	// silent member is probed.
-	missShare = 3
-	// probesToDeclare is the number of probes in a row that an unreachable
-	// member must have left unanswered. The first one raises the suspicion, so
-	// that the member hears of it while the others are under way.
+	// missedHalfPeriods is the number of halves of a renewal period without a
+	// renewal after which a member is probed.
+	missedHalfPeriods = 3
+	// probesToDeclare is the number of consecutive probes that an unreachable
+	// member must fail to answer before it is declared gone. The first failure
+	// raises the suspicion, so that the member can learn of it while further
+	// probes are under way.
 	probesToDeclare = 2
-	// graceShare is the number of renewal periods between the first suspicion
-	// and the declaration. A member needs one to hear of it and refute; a cut
-	// needs that long until all that it hides are suspected.
-	graceShare = 2
-	// flapMemory is the time after which a member's returns are forgotten, and
-	// maxFlaps bounds how often they double the grace.
-	flapMemory = 10 * time.Minute
+	// gracePeriods is the number of renewal periods between the first suspicion
+	// and the declaration. A member needs one of them to learn of the suspicion
+	// and refute it; after the start of a network partition, it takes that long
+	// until all members hidden by it are suspected.
+	gracePeriods = 2
+	// flapWindow is the time after which returns of a member no longer count, and
+	// maxFlaps limits how often they double the grace.
+	flapWindow = 10 * time.Minute
 	maxFlaps   = 4
 )
 
-// watch is what a witness keeps about one member.
+// watch is the state that a witness keeps about one member.
 type watch struct {
-	// renewed is the last renewal here, probeAt when the next probe is due and
-	// failedAt when the last one failed.
+	// renewed is the time of the member's last renewal at this balancer, probeAt
+	// the time when the next probe is due, failedAt the time of the last failed
+	// probe.
 	renewed, probeAt, failedAt time.Time
 	probing                    bool
-	// failed counts the probes in a row without answer.
+	// failed counts the consecutive probes without an answer.
 	failed     int
 	suspecting bool
-	flaps      int
-	returned   time.Time
-	// once marks the watch of a member that this balancer is no witness of: it
-	// ends with the first answer or news.
-	once bool
-	// kept is when the panic threshold last kept the member.
-	kept time.Time
+	// flaps counts the member's returns after it was declared gone, up to
+	// maxFlaps, and returned is the time of the last one.
+	flaps    int
+	returned time.Time
+	// temporary marks the watch of a member for which this balancer is no
+	// witness. The watch ends when the member answers or a newer record of it
+	// arrives.
+	temporary bool
+	// retainedAt is when the panic threshold last retained the member.
+	retainedAt time.Time
 }
 
-// watch does the duties of a witness: probe the silent, suspect those who do
-// not answer, declare gone whom enough witnesses suspect.
+// watch does the work of a witness: it probes silent members, suspects those that
+// do not answer, and declares gone those that enough witnesses suspect.
 func (e *Engine) watch(now time.Time) {
 	if !e.isBalancer() {
 		return
 	}
-	e.forgiveOwnPause(now)
+	e.resetProbesAfterPause(now)
 	e.chooseWatched(now)
 	for _, addr := range sortedAddrs(e.watched) {
 		w := e.watched[addr]
@@ -63,46 +69,49 @@
 	e.declare(now)
 }
 
-// sortedAddrs returns the keys in order, so that a replay does the same.
+// sortedAddrs returns the keys in order, so that a simulation with the same seed
+// runs the same way.
 func sortedAddrs[V any](m map[netip.AddrPort]V) []netip.AddrPort {
 	return slices.SortedFunc(maps.Keys(m), netip.AddrPort.Compare)
 }
 
-// probe asks a member whether it lives, and tells it that it is suspected: it
-// refutes that at once when the probe gets through.
+// probe emits a probe of the member. If the member is suspected, the probe
+// carries the suspicion, so that a member that receives the probe can refute it
+// at once.
 func (e *Engine) probe(addr netip.AddrPort) {
 	p := Probe{To: addr}
 	if m, ok := e.table.Get(addr); ok && e.suspects.Suspected(m) {
 		x := suspicionOf(m, e.self.Control, member.Unreachable)
 		p.Suspicion = &x
 	}
-	e.do(p)
+	e.emit(p)
 }
 
-// silence is the time without a renewal after which a member is probed.
-func (e *Engine) silence() time.Duration { return e.timing.Renew * missShare / 2 }
+// renewalTimeout returns the time without a renewal after which a member is
+// probed.
+func (e *Engine) renewalTimeout() time.Duration { return e.timing.Renew * missedHalfPeriods / 2 }
 
-// forgiveOwnPause gives all members a fresh start when this process itself has
-// not run for a while.
-func (e *Engine) forgiveOwnPause(now time.Time) {
+// resetProbesAfterPause gives all watched members a full renewalTimeout again
+// when this process itself has not run for more than a renewal period.
+func (e *Engine) resetProbesAfterPause(now time.Time) {
 	if !e.lastWatch.IsZero() && now.Sub(e.lastWatch) > e.timing.Renew {
 		for _, w := range e.watched {
-			w.probeAt = now.Add(e.silence())
+			w.probeAt = now.Add(e.renewalTimeout())
 		}
 	}
 	e.lastWatch = now
 }
 
-// chooseWatched works out again of whom this balancer is a witness, when the
-// set of balancers that can witness has changed. Suspected ones cannot: the
-// witnesses of a member may have died with it.
+// chooseWatched recomputes for which members this balancer is a witness, when the
+// set of eligible balancers has changed. A suspected balancer is not eligible,
+// because the witnesses of a member may have died together with it.
 func (e *Engine) chooseWatched(now time.Time) {
 	set := e.table.BalancerSet() ^ e.suspects.BalancerSet()
-	if set == e.watchedSet {
+	if set == e.eligibleSet {
 		return
 	}
-	e.watchedSet = set
-	e.able = member.NewCandidates(e.ableBalancers())
+	e.eligibleSet = set
+	e.eligible = member.NewCandidates(e.eligibleWitnesses())
 	for _, m := range e.table.Agents() {
 		e.assign(now, m)
 	}
@@ -111,13 +120,14 @@
 	}
 }
 
-// ableBalancers returns the live balancers that nobody suspects.
-func (e *Engine) ableBalancers() []member.Member {
+// eligibleWitnesses returns the live balancers that nobody suspects.
+func (e *Engine) eligibleWitnesses() []member.Member {
 	return slices.DeleteFunc(slices.Clone(e.table.Balancers()), e.suspects.Suspected)
 }
 
-// watchRecord takes a changed record into account.
-func (e *Engine) watchRecord(now time.Time, m, before member.Member) {
+// updateWatch updates the watch of a member after its record has changed from
+// before to m.
+func (e *Engine) updateWatch(now time.Time, m, before member.Member) {
 	if !e.isBalancer() {
 		return
 	}
@@ -135,65 +145,68 @@
 	if w == nil {
 		return
 	}
-	if w.once {
+	if w.temporary {
 		delete(e.watched, m.Control)
 		return
 	}
 	w.suspecting, w.failed = false, 0
 	if before.Declared && before.Incarnation == m.Incarnation {
-		w.probeAt = now.Add(e.silence())
+		w.probeAt = now.Add(e.renewalTimeout())
 		w.flaps = min(w.flaps+1, maxFlaps)
 		w.returned = now
 	}
 }
 
-// assign watches the member if this balancer is one of its witnesses.
+// assign starts watching the member if this balancer is one of its witnesses, and
+// stops watching it otherwise.
 func (e *Engine) assign(now time.Time, m member.Member) {
 	if m.Control == e.self.Control {
 		return
 	}
-	if !e.able.Chooses(m.Control, member.Witnesses, e.self.Control) {
+	if !e.eligible.Chooses(m.Control, member.Witnesses, e.self.Control) {
 		delete(e.watched, m.Control)
 		return
 	}
-	if known := e.watched[m.Control]; known == nil || known.once {
-		e.watched[m.Control] = &watch{probeAt: now.Add(e.silence())}
+	if known := e.watched[m.Control]; known == nil || known.temporary {
+		e.watched[m.Control] = &watch{probeAt: now.Add(e.renewalTimeout())}
 	}
 }
 
-// checkLater probes a member that others have declared gone and that this
-// balancer holds for live, unless the member refutes that soon. Its witnesses
-// no longer watch it, so nobody else would.
-func (e *Engine) checkLater(now time.Time, x member.Suspicion) {
+// scheduleProbe schedules a probe of the suspected member if this balancer has it
+// as live and does not watch it; the probe is skipped if the member refutes
+// first. The suspicion comes from a balancer whose table has the member as
+// declared gone. The member's witnesses no longer watch it, so no other balancer
+// would probe it.
+func (e *Engine) scheduleProbe(now time.Time, x member.Suspicion) {
 	m, known := e.table.Get(x.Control)
 	if known && m.State != member.StateGone && e.watched[x.Control] == nil && e.suspects.Suspected(m) {
-		e.watched[x.Control] = &watch{once: true, probeAt: now.Add(e.jitter(2 * e.timing.Renew * graceShare))}
+		e.watched[x.Control] = &watch{temporary: true, probeAt: now.Add(e.jitter(2 * e.timing.Renew * gracePeriods))}
 	}
 }
 
-// heardFrom notes a renewal.
-func (e *Engine) heardFrom(now time.Time, m member.Member) {
+// noteRenewal records a renewal of the member.
+func (e *Engine) noteRenewal(now time.Time, m member.Member) {
 	if w := e.watched[m.Control]; w != nil {
-		w.renewed, w.probeAt = now, now.Add(e.silence())
+		w.renewed, w.probeAt = now, now.Add(e.renewalTimeout())
 		w.failed, w.suspecting = 0, false
 	}
 }
 
-// inTouch reports whether the member has lately renewed at this process, or
-// answered its renewal.
-func (e *Engine) inTouch(now time.Time, addr netip.AddrPort) bool {
+// recentlyAnswered reports whether, within renewalTimeout, the member has renewed
+// at this process or has answered a renewal of this process.
+func (e *Engine) recentlyAnswered(now time.Time, addr netip.AddrPort) bool {
 	last := e.cursors[addr].at
 	if w := e.watched[addr]; w != nil && w.renewed.After(last) {
 		last = w.renewed
 	}
-	return now.Sub(last) < e.silence()
+	return now.Sub(last) < e.renewalTimeout()
 }
 
-// Suspected returns the number of members that a witness takes for dead.
+// Suspected returns the number of members that at least one witness suspects.
 func (e *Engine) Suspected() int { return len(e.suspects.Verdicts()) }
 
-// Witnessed returns the records of the members that this balancer watches, in
-// order of address.
+// Witnessed returns the records of the live members that this balancer watches,
+// in order of address.
 func (e *Engine) Witnessed() []member.Member {
 	out := make([]member.Member, 0, len(e.watched))
 	for _, addr := range sortedAddrs(e.watched) {
