--- a/internal/gossip/reconcile.go
+++ b/internal/gossip/reconcile.go
@@ -54,10 +54,10 @@
 // it is one that was declared gone: two halves of a fleet that have declared each
 // other gone would otherwise never merge.
 func (e *Engine) randomPeer(now time.Time) (netip.AddrPort, bool) {
-	if gone, ok := e.pick(e.table.DeclaredBalancers(now.Add(-recentlyGone))); ok && e.rand.IntN(recentlyGoneOneIn) == 0 {
+	if gone, ok := e.pick(e.table.DeclaredGoneBalancers(now.Add(-recentlyGone))); ok && e.rand.IntN(recentlyGoneOneIn) == 0 {
 		return gone, true
 	}
-	if gone, ok := e.pick(e.table.DeclaredBalancers(time.Time{})); ok && e.rand.IntN(goneOneIn) == 0 {
+	if gone, ok := e.pick(e.table.DeclaredGoneBalancers(time.Time{})); ok && e.rand.IntN(goneOneIn) == 0 {
 		return gone, true
 	}
 	if near := e.neighbours(); len(near) > 0 && e.rand.IntN(anyBalancerOneIn) != 0 {
@@ -98,7 +98,7 @@
 	if r.Equal {
 		return
 	}
-	differ := e.table.Digest().Differ(r.Buckets)
+	differ := e.table.Digest().DifferingBuckets(r.Buckets)
 	if len(differ) == 0 {
 		return
 	}
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -107,12 +107,12 @@
 		if w == nil || !w.suspecting {
 			continue
 		}
-		retain := threshold.Keeps(v, now)
+		retain := threshold.Retains(v, now)
 		if retain {
 			w.retainedAt = now
 		}
 		switch {
-		case v.Witnesses < member.Needed(e.table, verdicts, v.Member, now):
+		case v.Witnesses < member.RequiredWitnesses(e.table, verdicts, v.Member, now):
 		case retain:
 			retained++
 		case v.Evidence == member.Unreachable && w.failed < probesToDeclare:
--- a/internal/member/choice_test.go
+++ b/internal/member/choice_test.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-func balancersOf(n int) []member.Member {
+func newBalancers(n int) []member.Member {
 	out := make([]member.Member, n)
 	for i := range out {
 		out[i] = member.Member{Control: addr(i), Incarnation: 1, State: member.StateReady, Role: member.RoleBalancer, DataCentre: "a"}
@@ -23,7 +23,7 @@
 // hops.
 func TestNeighboursReachAllBalancers(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 60, 780} {
-		all := balancersOf(n)
+		all := newBalancers(n)
 		candidates := member.NewCandidates(all)
 		hops := map[int]int{0: 0}
 		queue := []int{0}
@@ -47,8 +47,8 @@
 	}
 }
 
-func TestRendezvousMovesOnlyTheShareOfWhoLeaves(t *testing.T) {
-	all := balancersOf(50)
+func TestRemovedCandidateMovesOnlyItsOwnKeys(t *testing.T) {
+	all := newBalancers(50)
 	full, fewer := member.NewCandidates(all), member.NewCandidates(all[1:])
 	load := make(map[netip.AddrPort]int)
 	const keys = 3000
@@ -73,7 +73,7 @@
 // The quick question has the same answer as the choice.
 func TestChoosesAgreesWithChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := balancersOf(rapid.IntRange(1, 30).Draw(t, "candidates"))
+		all := newBalancers(rapid.IntRange(1, 30).Draw(t, "candidates"))
 		c := member.NewCandidates(all)
 		key := addr(rapid.IntRange(0, 60).Draw(t, "key"))
 		one := rapid.SampledFrom(all).Draw(t, "one").Control
@@ -84,8 +84,8 @@
 	})
 }
 
-func TestRanksOfADataCentreAreDistinct(t *testing.T) {
-	all := balancersOf(9)
+func TestRanksAreDistinctWithinADataCentre(t *testing.T) {
+	all := newBalancers(9)
 	all[3].DataCentre = "b"
 	all[4].State = member.StateDraining
 	seen := make(map[int]bool)
@@ -107,12 +107,12 @@
 	}
 }
 
-func TestPanicKeepsWhatACutHides(t *testing.T) {
+func TestPanicThresholdRetainsUnreachableMembers(t *testing.T) {
 	for name, c := range map[string]struct {
 		agents, lost int
 		evidence     member.Evidence
 		age          time.Duration
-		kept         bool
+		retained         bool
 	}{
 		"one of seven unreachable":    {7, 1, member.Unreachable, time.Minute, false},
 		"one of two unreachable":      {2, 1, member.Unreachable, time.Second, false},
@@ -124,7 +124,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := member.NewTable(time.Hour)
-			for _, b := range balancersOf(20) {
+			for _, b := range newBalancers(20) {
 				table.Merge(b, start)
 			}
 			suspects := member.NewSuspects(table)
@@ -136,14 +136,14 @@
 				}
 			}
 			verdicts := suspects.Verdicts()
-			if got := member.NewPanic(table, verdicts).Keeps(verdicts[0], start.Add(c.age)); got != c.kept {
-				t.Errorf("kept: %v, want %v", got, c.kept)
+			if got := member.NewPanic(table, verdicts).Retains(verdicts[0], start.Add(c.age)); got != c.retained {
+				t.Errorf("kept: %v, want %v", got, c.retained)
 			}
 		})
 	}
 }
 
-func TestNeededWitnesses(t *testing.T) {
+func TestRequiredWitnesses(t *testing.T) {
 	for name, c := range map[string]struct {
 		balancers, silent int
 		evidence          member.Evidence
@@ -159,7 +159,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := member.NewTable(time.Hour)
-			all := balancersOf(c.balancers)
+			all := newBalancers(c.balancers)
 			var verdicts []member.Verdict
 			for i, b := range all {
 				table.Merge(b, start)
@@ -167,7 +167,7 @@
 					verdicts = append(verdicts, member.Verdict{Member: b, Evidence: c.evidence, Since: start})
 				}
 			}
-			if got := member.Needed(table, verdicts, all[len(all)-1], start.Add(c.age)); got != c.want {
+			if got := member.RequiredWitnesses(table, verdicts, all[len(all)-1], start.Add(c.age)); got != c.want {
 				t.Errorf("%d needed, want %d", got, c.want)
 			}
 		})
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -38,9 +38,9 @@
 	return out[:]
 }
 
-// Differ returns the buckets that differ from those of another digest. A
+// DifferingBuckets returns the buckets that differ from those of another digest. A
 // digest of another length differs everywhere.
-func (d *Digest) Differ(other []uint32) []int {
+func (d *Digest) DifferingBuckets(other []uint32) []int {
 	var out []int
 	for i, b := range d.buckets {
 		if len(other) != DigestBuckets || other[i] != b {
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -8,7 +8,7 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-func TestGoneAgents(t *testing.T) {
+func TestGoneAgentsAreListedNewestFirst(t *testing.T) {
 	table := member.NewTable(time.Hour)
 	merge := func(i int, role member.Role, incarnation, version uint64, state member.State, after time.Duration) {
 		table.Merge(member.Member{
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// rebuildShare: a list of which a larger part than one in so many has changed
+// rebuildDivisor: a list of which a larger part than one in so many has changed
 // is built anew.
-const rebuildShare = 8
+const rebuildDivisor = 8
 
-// list keeps the live members of a role in order of address. What it returns
+// memberList keeps the live members of a role in order of address. What it returns
 // is never changed afterwards, so that it may be published.
-type list struct {
+type memberList struct {
 	members []Member
 	changed map[netip.AddrPort]struct{}
 }
 
-// note tells that the record of addr changed.
-func (l *list) note(addr netip.AddrPort) {
+// markChanged tells that the record of addr changed.
+func (l *memberList) markChanged(addr netip.AddrPort) {
 	if l.changed == nil {
 		l.changed = make(map[netip.AddrPort]struct{})
 	}
@@ -25,11 +25,11 @@
 }
 
 // get returns the list; current tells the live member at an address.
-func (l *list) get(current func(netip.AddrPort) (Member, bool)) []Member {
+func (l *memberList) get(current func(netip.AddrPort) (Member, bool)) []Member {
 	if len(l.changed) == 0 {
 		return l.members
 	}
-	if len(l.changed) > len(l.members)/rebuildShare {
+	if len(l.changed) > len(l.members)/rebuildDivisor {
 		l.members = l.rebuild(current)
 	} else {
 		l.members = l.patch(current)
@@ -38,7 +38,7 @@
 	return l.members
 }
 
-func (l *list) rebuild(current func(netip.AddrPort) (Member, bool)) []Member {
+func (l *memberList) rebuild(current func(netip.AddrPort) (Member, bool)) []Member {
 	out := make([]Member, 0, len(l.members)+len(l.changed))
 	for _, m := range l.members {
 		if _, changed := l.changed[m.Control]; !changed {
@@ -54,7 +54,7 @@
 	return out
 }
 
-func (l *list) patch(current func(netip.AddrPort) (Member, bool)) []Member {
+func (l *memberList) patch(current func(netip.AddrPort) (Member, bool)) []Member {
 	out := make([]Member, len(l.members), len(l.members)+len(l.changed))
 	copy(out, l.members)
 	for addr := range l.changed {
--- a/internal/member/panic.go
+++ b/internal/member/panic.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// panicShare is the share of a group whose loss at once looks more like a
+	// panicThreshold is the share of a group whose loss at once looks more like a
 	// cut than like deaths.
-	panicShare = 0.5
-	// keepShort is how long the unreachable agents of a service are kept when
+	panicThreshold = 0.5
+	// retainService is how long the unreachable agents of a service are kept when
 	// most of them vanished together. Kept longer, new flows would go on
 	// failing at hosts that are truly lost.
-	keepShort = 30 * time.Second
-	// keepFleet is the same for half of the fleet or of the balancers that are
+	retainService = 30 * time.Second
+	// retainFleet is the same for half of the fleet or of the balancers that are
 	// unreachable: cuts between regions last minutes.
-	keepFleet = 5 * time.Minute
+	retainFleet = 5 * time.Minute
 )
 
 // group is a set of members that back each other up: the agents of a service,
@@ -29,8 +29,8 @@
 	lost, size int
 }
 
-func (l loss) most() bool {
-	return l.lost > 1 && float64(l.lost) >= panicShare*float64(l.size)
+func (l loss) exceedsThreshold() bool {
+	return l.lost > 1 && float64(l.lost) >= panicThreshold*float64(l.size)
 }
 
 // Panic tells which unreachable members must be kept, since too many vanished
@@ -60,20 +60,20 @@
 	return p
 }
 
-// Keeps reports whether the verdict must not be carried out yet. The last
+// Retains reports whether the verdict must not be carried out yet. The last
 // members of a service are kept for as long as they are merely unreachable:
 // without them nothing could be tried.
-func (p Panic) Keeps(v Verdict, now time.Time) bool {
+func (p Panic) Retains(v Verdict, now time.Time) bool {
 	l := p.groups[groupOf(v.Member)]
 	age := now.Sub(v.Since)
 	unreachable := v.Evidence == Unreachable
 	switch {
 	case v.Member.Role == RoleAgent && unreachable && l.lost == l.size:
 		return true
-	case p.fleet.most(), v.Member.Role == RoleBalancer && l.most():
-		return unreachable && age < keepFleet || age < keepShort
+	case p.fleet.exceedsThreshold(), v.Member.Role == RoleBalancer && l.exceedsThreshold():
+		return unreachable && age < retainFleet || age < retainService
 	}
-	return unreachable && l.most() && age < keepShort
+	return unreachable && l.exceedsThreshold() && age < retainService
 }
 
 func (t *Table) groupSize(g group) int {
@@ -86,20 +86,20 @@
 // quorum is the number of witnesses that it takes to declare a member gone.
 const quorum = 2
 
-// Needed returns the number of witnesses that must suspect the member: two, or
+// RequiredWitnesses returns the number of witnesses that must suspect the member: two, or
 // all that can still speak where they are fewer. A balancer whose host refuses
 // connections cannot, nor one that has been unreachable for as long as a cut
 // is waited for.
-func Needed(t *Table, verdicts []Verdict, of Member, now time.Time) int {
-	able := t.liveBalancers
+func RequiredWitnesses(t *Table, verdicts []Verdict, of Member, now time.Time) int {
+	available := t.liveBalancers
 	if of.Role == RoleBalancer {
-		able--
+		available--
 	}
 	for _, v := range verdicts {
-		silent := v.Evidence == Refused || now.Sub(v.Since) >= keepFleet
-		if silent && v.Member.Role == RoleBalancer && v.Member.Control != of.Control {
-			able--
+		unavailable := v.Evidence == Refused || now.Sub(v.Since) >= retainFleet
+		if unavailable && v.Member.Role == RoleBalancer && v.Member.Control != of.Control {
+			available--
 		}
 	}
-	return max(1, min(quorum, able))
+	return max(1, min(quorum, available))
 }
--- a/internal/member/query.go
+++ b/internal/member/query.go
@@ -54,9 +54,9 @@
 	return collect(t.balancers, func(e *entry) bool { return e.seq > seq })
 }
 
-// DeclaredBalancers returns the balancers that were declared gone after since:
+// DeclaredGoneBalancers returns the balancers that were declared gone after since:
 // they may live behind a cut.
-func (t *Table) DeclaredBalancers(since time.Time) []Member {
+func (t *Table) DeclaredGoneBalancers(since time.Time) []Member {
 	return collect(t.balancers, func(e *entry) bool { return e.member.Declared && e.goneAt.After(since) })
 }
 
--- a/internal/member/rendezvous.go
+++ b/internal/member/rendezvous.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// oddFactor makes the weight of (a, b) differ from that of (b, a); symmetric
+// asymmetryFactor makes the weight of (a, b) differ from that of (b, a); symmetric
 // weights would let neighbours choose each other and fall into clusters.
-const oddFactor = 0x9E3779B97F4A7C15
+const asymmetryFactor = 0x9E3779B97F4A7C15
 
 // Witnesses is the number of balancers that watch one member.
 const Witnesses = 3
@@ -43,7 +43,7 @@
 		at    int
 	}
 	best := make([]scored, 0, k+1)
-	from := hashAddr(key) * oddFactor
+	from := hashAddr(key) * asymmetryFactor
 	for i, h := range c.hashes {
 		score := mix(from ^ h)
 		if len(best) == k && score <= best[k-1].score {
@@ -68,12 +68,12 @@
 
 // Chooses reports whether one, a candidate, is among the k chosen for key. It
 // mostly looks at few candidates.
-func (c *Candidates) Chooses(key netip.AddrPort, k int, one netip.AddrPort) bool {
-	if key == one {
+func (c *Candidates) Chooses(key netip.AddrPort, k int, candidate netip.AddrPort) bool {
+	if key == candidate {
 		return false
 	}
-	from := hashAddr(key) * oddFactor
-	own := mix(from ^ hashAddr(one))
+	from := hashAddr(key) * asymmetryFactor
+	own := mix(from ^ hashAddr(candidate))
 	higher := 0
 	for i, h := range c.hashes {
 		if mix(from^h) <= own || c.addrs[i] == key {
@@ -120,7 +120,7 @@
 func Rank(self Member, balancers []Member) int {
 	rank := 0
 	found := false
-	key := xxhash.Sum64String(self.DataCentre) * oddFactor
+	key := xxhash.Sum64String(self.DataCentre) * asymmetryFactor
 	own := mix(key ^ hashAddr(self.Control))
 	for _, b := range balancers {
 		if b.DataCentre != self.DataCentre || b.State != StateReady {
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -48,12 +48,12 @@
 // and belongs to one goroutine.
 type Suspects struct {
 	table *Table
-	of    map[netip.AddrPort]*suspect
+	suspects    map[netip.AddrPort]*suspect
 }
 
 // NewSuspects returns an empty collection about the members of table.
 func NewSuspects(table *Table) *Suspects {
-	return &Suspects{table: table, of: make(map[netip.AddrPort]*suspect)}
+	return &Suspects{table: table, suspects: make(map[netip.AddrPort]*suspect)}
 }
 
 // Add takes a suspicion in and reports whether it is news: of another witness,
@@ -71,7 +71,7 @@
 	e := s.current(m)
 	if e == nil {
 		e = &suspect{incarnation: m.Incarnation, version: m.Version, since: now, witnesses: make(map[netip.AddrPort]Evidence)}
-		s.of[x.Control] = e
+		s.suspects[x.Control] = e
 	}
 	if e.witnesses[x.Witness] >= x.Evidence {
 		return false
@@ -83,12 +83,12 @@
 // current returns what is said of the member's version, and drops what was
 // said of an older one.
 func (s *Suspects) current(m Member) *suspect {
-	e := s.of[m.Control]
+	e := s.suspects[m.Control]
 	if e == nil {
 		return nil
 	}
 	if m.State == StateGone || e.incarnation != m.Incarnation || e.version != m.Version {
-		delete(s.of, m.Control)
+		delete(s.suspects, m.Control)
 		return nil
 	}
 	return e
@@ -100,7 +100,7 @@
 // BalancerSet identifies the set of suspected balancers.
 func (s *Suspects) BalancerSet() uint64 {
 	var out uint64
-	for addr := range s.of {
+	for addr := range s.suspects {
 		m, ok := s.table.Get(addr)
 		if ok && m.Role == RoleBalancer && s.Suspected(m) {
 			out ^= mix(hashAddr(addr))
@@ -123,11 +123,11 @@
 // Verdicts returns what is said of each suspected member, in order of address.
 func (s *Suspects) Verdicts() []Verdict {
 	var out []Verdict
-	for addr := range s.of {
+	for addr := range s.suspects {
 		m, _ := s.table.Get(addr)
 		e := s.current(m)
 		if e == nil {
-			delete(s.of, addr)
+			delete(s.suspects, addr)
 			continue
 		}
 		out = append(out, Verdict{Member: m, Witnesses: len(e.witnesses), Evidence: e.strongest(), Since: e.since})
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -28,7 +28,7 @@
 	seq                     uint64
 	live                    int
 	ttl                     time.Duration
-	balancerList, agentList list
+	balancerList, agentList memberList
 	// balancerSeq is the change number of the last change to any balancer.
 	balancerSeq uint64
 	// liveBalancers counts the live balancers, balancerSet sums the their addresses.
@@ -66,7 +66,7 @@
 	e.member, e.seq, e.goneAt = m, t.seq, time.Time{}
 	if m.State == StateGone {
 		e.goneAt = now
-		t.gone.note(m, now)
+		t.gone.add(m, now)
 	}
 	t.index(e)
 	return true
@@ -78,16 +78,16 @@
 	e := t.entries[control]
 	if e != nil && e.member.Incarnation == incarnation && e.member.Revision < revision {
 		e.member.Revision = revision
-		t.noteList(e.member)
+		t.markListChanged(e.member)
 	}
 }
 
-// noteList tells the list of the member's role that the member changed.
-func (t *Table) noteList(m Member) {
+// markListChanged tells the list of the member's role that the member changed.
+func (t *Table) markListChanged(m Member) {
 	if m.Role == RoleBalancer {
-		t.balancerList.note(m.Control)
+		t.balancerList.markChanged(m.Control)
 	} else {
-		t.agentList.note(m.Control)
+		t.agentList.markChanged(m.Control)
 	}
 }
 
@@ -104,7 +104,7 @@
 // index adds the entry to the digest and to the index of its role.
 func (t *Table) index(e *entry) {
 	m := e.member
-	t.noteList(m)
+	t.markListChanged(m)
 	if m.State != StateGone {
 		t.toggle(m, 1)
 	}
@@ -134,7 +134,7 @@
 
 func (t *Table) unindex(e *entry) {
 	m := e.member
-	t.noteList(m)
+	t.markListChanged(m)
 	if m.State != StateGone {
 		t.toggle(m, -1)
 	}
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -34,7 +34,7 @@
 
 // Records in any order, lost or doubled on the way, give the same table, and
 // no record ever gives way to one that it supersedes.
-func TestTableDependsOnNoOrder(t *testing.T) {
+func TestTableIsIndependentOfRecordOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOf(rapid.Custom(drawRecord)).Draw(t, "records")
 		doubled := append(append([]member.Member{}, records...), records...)
@@ -73,14 +73,14 @@
 	}
 }
 
-func TestTombstonesKeepTheDeadOutUntilTheyExpire(t *testing.T) {
+func TestTombstoneRejectsOldRecordsUntilItExpires(t *testing.T) {
 	table := member.NewTable(time.Hour)
-	alive := member.Member{Control: addr(1), Incarnation: 7, Version: 3, State: member.StateReady, Role: member.RoleBalancer}
-	gone := alive
+	live := member.Member{Control: addr(1), Incarnation: 7, Version: 3, State: member.StateReady, Role: member.RoleBalancer}
+	gone := live
 	gone.State = member.StateGone
 	table.Merge(gone, start)
 	table.Expire(start.Add(time.Hour))
-	if table.Merge(alive, start.Add(time.Hour)) {
+	if table.Merge(live, start.Add(time.Hour)) {
 		t.Fatal("a late record brought the dead back")
 	}
 	table.Expire(start.Add(time.Hour + time.Second))
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestDigestTellsWhichBucketsDiffer(t *testing.T) {
+func TestDigestFindsTheDifferingBucket(t *testing.T) {
 	a, b := member.NewTable(time.Hour), member.NewTable(time.Hour)
 	for i := range 1000 {
 		m := member.Member{Control: addr(i), Incarnation: 1, State: member.StateReady, Role: member.RoleBalancer}
@@ -98,7 +98,7 @@
 			b.Merge(m, start)
 		}
 	}
-	differ := a.Digest().Differ(b.Digest().Buckets())
+	differ := a.Digest().DifferingBuckets(b.Digest().Buckets())
 	if len(differ) != 1 {
 		t.Fatalf("buckets %v differ, want one", differ)
 	}
@@ -111,15 +111,15 @@
 	}
 }
 
-// manyBalancers have the addresses of drawRecord among theirs.
-const manyBalancers = 40
+// balancerCount have the addresses of drawRecord among theirs.
+const balancerCount = 40
 
 // The list of balancers is always that of the records, whatever changed, and a
 // list that was handed out stays as it was.
-func TestListOfBalancersFollowsTheRecords(t *testing.T) {
+func TestBalancerListMatchesTheRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := member.NewTable(time.Hour)
-		for i := range manyBalancers { // many, so that one change is a small part
+		for i := range balancerCount { // many, so that one change is a small part
 			table.Merge(member.Member{Control: addr(i), Role: member.RoleBalancer, State: member.StateReady}, start)
 		}
 		now := start
@@ -136,8 +136,8 @@
 				now = now.Add(2 * time.Hour)
 				table.Expire(now)
 			}
-			if listed, truth := table.Balancers(), liveBalancers(table); !slices.Equal(listed, truth) {
-				t.Fatalf("the list is %v, the records say %v", listed, truth)
+			if listed, want := table.Balancers(), liveBalancers(table); !slices.Equal(listed, want) {
+				t.Fatalf("the list is %v, the records say %v", listed, want)
 			}
 			if !slices.Equal(handedOut, copied) {
 				t.Fatalf("a list changed from %v to %v", copied, handedOut)
@@ -148,7 +148,7 @@
 
 func liveBalancers(table *member.Table) []member.Member {
 	var out []member.Member
-	for i := range manyBalancers {
+	for i := range balancerCount {
 		if m, ok := table.Get(addr(i)); ok && m.Role == member.RoleBalancer && m.State != member.StateGone {
 			out = append(out, m)
 		}
