--- a/internal/member/choice_test.go
+++ b/internal/member/choice_test.go
@@ -19,8 +19,8 @@
 	return out
 }
 
-// A transition that each balancer passes to its neighbours reaches all, in few
-// hops.
+// A transition that each balancer forwards to its neighbours must reach all
+// balancers within ten hops.
 func TestNeighboursReachAllBalancers(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 60, 780} {
 		all := newBalancers(n)
@@ -42,7 +42,7 @@
 			}
 		}
 		if len(hops) != n || deepest > 10 {
-			t.Errorf("%d balancers: %d reached in %d hops", n, len(hops), deepest)
+			t.Errorf("%d balancers: %d reached, in up to %d hops; want all within 10", n, len(hops), deepest)
 		}
 	}
 }
@@ -58,19 +58,19 @@
 		for _, w := range full.Choose(key, member.Witnesses, nil) {
 			load[w]++
 			if w != all[0].Control && !slices.Contains(after, w) {
-				t.Fatalf("key %v lost witness %v, which is still there", key, w)
+				t.Fatalf("key %v lost witness %v, which is still a candidate", key, w)
 			}
 		}
 	}
 	mean := keys * member.Witnesses / len(all)
 	for w, n := range load {
 		if n < mean/2 || n > 2*mean {
-			t.Errorf("witness %s has %d members, the mean is %d", w, n, mean)
+			t.Errorf("witness %s has %d members, want between half and twice the mean of %d", w, n, mean)
 		}
 	}
 }
 
-// The quick question has the same answer as the choice.
+// Chooses is the fast form of Choose and must give the same result.
 func TestChoosesAgreesWithChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := newBalancers(rapid.IntRange(1, 30).Draw(t, "candidates"))
@@ -79,7 +79,7 @@
 		one := rapid.SampledFrom(all).Draw(t, "one").Control
 		want := slices.Contains(c.Choose(key, member.Witnesses, nil), one)
 		if got := c.Chooses(key, member.Witnesses, one); got != want {
-			t.Fatalf("key %v, candidate %v: %v, want %v", key, one, got, want)
+			t.Fatalf("key %v, candidate %v: chosen %v, want %v", key, one, got, want)
 		}
 	})
 }
@@ -93,17 +93,17 @@
 		rank := member.Rank(b, all)
 		if b.State != member.StateReady {
 			if rank != -1 {
-				t.Errorf("a draining balancer has rank %d", rank)
+				t.Errorf("draining balancer has rank %d, want -1", rank)
 			}
 			continue
 		}
 		if b.DataCentre == "a" && seen[rank] {
-			t.Errorf("rank %d is taken twice", rank)
+			t.Errorf("two balancers have rank %d", rank)
 		}
 		seen[rank] = seen[rank] || b.DataCentre == "a"
 	}
 	if len(seen) != 7 {
-		t.Errorf("%d ranks, want 7", len(seen))
+		t.Errorf("%d distinct ranks, want 7", len(seen))
 	}
 }
 
@@ -112,15 +112,15 @@
 		agents, lost int
 		evidence     member.Evidence
 		age          time.Duration
-		retained         bool
+		retained     bool
 	}{
-		"one of seven unreachable":    {7, 1, member.Unreachable, time.Minute, false},
-		"one of two unreachable":      {2, 1, member.Unreachable, time.Second, false},
-		"most unreachable, just now":  {7, 4, member.Unreachable, time.Second, true},
-		"most unreachable, for long":  {7, 4, member.Unreachable, time.Minute, false},
-		"all unreachable, for long":   {7, 7, member.Unreachable, 24 * time.Hour, true},
-		"all refused":                 {7, 7, member.Refused, time.Second, false},
-		"the last one is unreachable": {1, 1, member.Unreachable, time.Hour, true},
+		"one of seven unreachable":             {7, 1, member.Unreachable, time.Minute, false},
+		"one of two unreachable":               {2, 1, member.Unreachable, time.Second, false},
+		"most unreachable, 1 second ago":       {7, 4, member.Unreachable, time.Second, true},
+		"most unreachable, 1 minute ago":       {7, 4, member.Unreachable, time.Minute, false},
+		"all unreachable, 1 day ago":           {7, 7, member.Unreachable, 24 * time.Hour, true},
+		"all refused":                          {7, 7, member.Refused, time.Second, false},
+		"the only one unreachable, 1 hour ago": {1, 1, member.Unreachable, time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := member.NewTable(time.Hour)
@@ -137,7 +137,7 @@
 			}
 			verdicts := suspects.Verdicts()
 			if got := member.NewPanic(table, verdicts).Retains(verdicts[0], start.Add(c.age)); got != c.retained {
-				t.Errorf("kept: %v, want %v", got, c.retained)
+				t.Errorf("retained: %v, want %v", got, c.retained)
 			}
 		})
 	}
@@ -150,12 +150,12 @@
 		age               time.Duration
 		want              int
 	}{
-		"a fleet":                           {5, 0, 0, 0, 2},
-		"one other balancer":                {2, 0, 0, 0, 1},
-		"two others, one is dead":           {3, 1, member.Refused, 0, 1},
-		"two others, one just out of reach": {3, 1, member.Unreachable, 0, 2},
-		"two others, one long out of reach": {3, 1, member.Unreachable, time.Hour, 1},
-		"all others are dead":               {4, 3, member.Refused, 0, 1},
+		"five balancers":                   {5, 0, 0, 0, 2},
+		"one other balancer":               {2, 0, 0, 0, 1},
+		"two others, one refuses":          {3, 1, member.Refused, 0, 1},
+		"two others, one just unreachable": {3, 1, member.Unreachable, 0, 2},
+		"two others, one long unreachable": {3, 1, member.Unreachable, time.Hour, 1},
+		"all others refuse":                {4, 3, member.Refused, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := member.NewTable(time.Hour)
@@ -168,7 +168,7 @@
 				}
 			}
 			if got := member.RequiredWitnesses(table, verdicts, all[len(all)-1], start.Add(c.age)); got != c.want {
-				t.Errorf("%d needed, want %d", got, c.want)
+				t.Errorf("%d witnesses required, want %d", got, c.want)
 			}
 		})
 	}
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -8,17 +8,18 @@
 )
 
 // DigestBuckets is the number of buckets of a digest. More buckets make the
-// digest longer and the exchange after a difference shorter.
+// digest longer, but the exchange of records after a difference shorter.
 const DigestBuckets = 256
 
-// Digest summarises the members that are not gone: per bucket the exclusive or
-// of their hashes. Two tables with equal digests hold the same records, but
-// for a chance of 2^-32 per bucket. Tombstones are left out, so that their
-// expiry needs no agreement.
+// Digest summarises the members that are not gone: for each bucket, the exclusive
+// or of their record hashes. Two tables with equal digests hold the same records,
+// except with a probability of 2^-32 per bucket. Tombstones are not included, so
+// balancers need not agree on when they expire.
 type Digest struct {
 	buckets [DigestBuckets]uint32
 }
 
+// toggle adds the record to the digest, or removes it if it was added before.
 func (d *Digest) toggle(m Member) {
 	d.buckets[bucketOf(m.Control)] ^= recordHash(m)
 }
@@ -32,14 +33,15 @@
 	return xxhash.Sum64(raw[:])
 }
 
-// Buckets returns a copy of the hashes of the buckets.
+// Buckets returns a copy of the bucket hashes.
 func (d *Digest) Buckets() []uint32 {
 	out := d.buckets
 	return out[:]
 }
 
-// DifferingBuckets returns the buckets that differ from those of another digest. A
-// digest of another length differs everywhere.
+// DifferingBuckets returns the indices of the buckets that differ from those of
+// another digest; all of them if the other digest has a different number of
+// buckets.
 func (d *Digest) DifferingBuckets(other []uint32) []int {
 	var out []int
 	for i, b := range d.buckets {
@@ -54,7 +56,7 @@
 	return int(hashAddr(control) % DigestBuckets)
 }
 
-// hashAddr hashes an address without allocation.
+// hashAddr hashes an address without allocating memory.
 func hashAddr(a netip.AddrPort) uint64 {
 	var raw [18]byte
 	ip := a.Addr().As16()
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// MaxGone is the number of agents at most that a table remembers by the time at
-// which they went. Beyond it, it forgets the older half.
+// MaxGone is the maximum number of gone agents in a table's list by time of
+// departure. When the list is full, the older half is dropped.
 const MaxGone = 4096
 
-// goneList holds the last agents to go, the oldest first. Apart from tombstones,
-// it keeps a process that another has followed at its control address.
+// goneList holds the most recently gone agents, oldest first. Unlike a tombstone,
+// its record of a process remains when a new process starts at the same control
+// address.
 type goneList struct {
 	records []goneRecord
 }
@@ -20,6 +21,7 @@
 	at     time.Time
 }
 
+// add appends a gone agent to the list. Other roles are ignored.
 func (l *goneList) add(m Member, now time.Time) {
 	if m.Role != RoleAgent {
 		return
@@ -30,8 +32,8 @@
 	l.records = append(l.records, goneRecord{member: m, at: now})
 }
 
-// GoneAgents returns the agents that have gone after since and did not come
-// back in the same incarnation, the newest first.
+// GoneAgents returns the agents that have gone after since and did not return in
+// the same incarnation, newest first.
 func (t *Table) GoneAgents(since time.Time) []Member {
 	var out []Member
 	for i := len(t.gone.records) - 1; i >= 0; i-- {
@@ -46,8 +48,8 @@
 	return out
 }
 
-// hasReturned reports whether the incarnation that the record is of has refuted that
-// it is gone.
+// hasReturned reports whether the incarnation in the record is live again,
+// because it refuted the declaration that it was gone.
 func (t *Table) hasReturned(m Member) bool {
 	e := t.entries[m.Control]
 	return e != nil && isLive(e) && e.member.Incarnation == m.Incarnation
--- a/internal/member/gone_test.go
+++ b/internal/member/gone_test.go
@@ -21,8 +21,8 @@
 	merge(3, agent, 1, 1, gone, 2*time.Second)
 	merge(4, member.RoleBalancer, 1, 1, gone, 3*time.Second)
 	merge(5, agent, 1, 1, member.StateReady, 3*time.Second)
-	merge(2, agent, 1, 2, member.StateReady, 4*time.Second) // it refutes
-	merge(3, agent, 2, 1, member.StateReady, 4*time.Second) // its successor starts
+	merge(2, agent, 1, 2, member.StateReady, 4*time.Second) // refutes that it is gone
+	merge(3, agent, 2, 1, member.StateReady, 4*time.Second) // a new process at the same address
 	for _, tc := range []struct {
 		since time.Duration
 		want  []int
@@ -32,7 +32,7 @@
 			want = append(want, member.Member{Control: addr(i), Role: agent, Incarnation: 1, Version: 1, State: gone})
 		}
 		if got := table.GoneAgents(start.Add(tc.since)); !slices.Equal(got, want) {
-			t.Errorf("since %v: %v, want %v", tc.since, got, want)
+			t.Errorf("gone since %v: %v, want %v", tc.since, got, want)
 		}
 	}
 }
@@ -45,6 +45,6 @@
 	}
 	got := table.GoneAgents(start.Add(-1))
 	if len(got) > member.MaxGone || len(got) < member.MaxGone/2 || got[0].Control != addr(last) {
-		t.Errorf("%d agents, the first is %v", len(got), got[0].Control)
+		t.Errorf("%d gone agents, the newest is %v", len(got), got[0].Control)
 	}
 }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// rebuildDivisor: a list of which a larger part than one in so many has changed
-// is built anew.
+// rebuildDivisor limits patching: a list is rebuilt if more than one in
+// rebuildDivisor of its members have changed, and patched otherwise.
 const rebuildDivisor = 8
 
-// memberList keeps the live members of a role in order of address. What it returns
-// is never changed afterwards, so that it may be published.
+// memberList caches the live members of a role in order of address. A returned
+// slice is never modified afterwards, so that it can be published to other
+// goroutines.
 type memberList struct {
 	members []Member
 	changed map[netip.AddrPort]struct{}
 }
 
-// markChanged tells that the record of addr changed.
+// markChanged records that the record of addr has changed.
 func (l *memberList) markChanged(addr netip.AddrPort) {
 	if l.changed == nil {
 		l.changed = make(map[netip.AddrPort]struct{})
@@ -24,7 +25,8 @@
 	l.changed[addr] = struct{}{}
 }
 
-// get returns the list; current tells the live member at an address.
+// get returns the list, updated if records have changed. current returns the live
+// member at an address.
 func (l *memberList) get(current func(netip.AddrPort) (Member, bool)) []Member {
 	if len(l.changed) == 0 {
 		return l.members
@@ -38,6 +40,7 @@
 	return l.members
 }
 
+// rebuild returns a new list, sorted as a whole.
 func (l *memberList) rebuild(current func(netip.AddrPort) (Member, bool)) []Member {
 	out := make([]Member, 0, len(l.members)+len(l.changed))
 	for _, m := range l.members {
@@ -54,6 +57,7 @@
 	return out
 }
 
+// patch returns a copy of the list with the changed members replaced one by one.
 func (l *memberList) patch(current func(netip.AddrPort) (Member, bool)) []Member {
 	out := make([]Member, len(l.members), len(l.members)+len(l.changed))
 	copy(out, l.members)
--- a/internal/member/names.go
+++ b/internal/member/names.go
@@ -1,6 +1,5 @@
 package member
 
-// String returns the state's name.
 func (s State) String() string {
 	switch s {
 	case StateStarting:
@@ -15,7 +14,6 @@
 	return "unknown"
 }
 
-// String returns the role's name.
 func (r Role) String() string {
 	switch r {
 	case RoleBalancer:
--- a/internal/member/panic.go
+++ b/internal/member/panic.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// panicThreshold is the share of a group whose loss at once looks more like a
-	// cut than like deaths.
+	// panicThreshold is the share of a group whose simultaneous loss indicates a
+	// network partition rather than failures of the members.
 	panicThreshold = 0.5
-	// retainService is how long the unreachable agents of a service are kept when
-	// most of them vanished together. Kept longer, new flows would go on
-	// failing at hosts that are truly lost.
+	// retainService is how long unreachable agents are retained if at least half
+	// of the agents of their service became unreachable. If they were retained
+	// for longer, new flows would continue to fail at hosts that are really lost.
 	retainService = 30 * time.Second
-	// retainFleet is the same for half of the fleet or of the balancers that are
-	// unreachable: cuts between regions last minutes.
+	// retainFleet is how long unreachable members are retained if at least half
+	// of the fleet or of the balancers is lost. Network partitions between
+	// regions last minutes.
 	retainFleet = 5 * time.Minute
 )
 
-// group is a set of members that back each other up: the agents of a service,
-// or the balancers.
+// group identifies a set of members that can replace each other: the agents of a
+// service, or the balancers.
 type group struct {
 	role    Role
 	service string
@@ -24,25 +25,31 @@
 
 func groupOf(m Member) group { return group{m.Role, m.Service} }
 
-// loss counts the unreachable of a group.
+// loss counts the lost members of a group and all its members.
 type loss struct {
 	lost, size int
 }
 
+// exceedsThreshold reports whether more than one member and at least
+// panicThreshold of the group are lost.
 func (l loss) exceedsThreshold() bool {
 	return l.lost > 1 && float64(l.lost) >= panicThreshold*float64(l.size)
 }
 
-// Panic tells which unreachable members must be kept, since too many vanished
-// together: a cut hides them, or hides us.
+// Panic decides which suspected members must be retained, that is, not be
+// declared gone yet. It retains members if too many were lost at once: then the
+// likely cause is a network partition that hides them, or that isolates this
+// process.
 type Panic struct {
 	fleet  loss
 	groups map[group]loss
 }
 
-// NewPanic weighs the verdicts against the table. Of a service only members
-// that are unreachable count: one whose host refuses the connection is dead,
-// unless so much of the fleet refuses that a filter between hosts must do so.
+// NewPanic counts the lost members of the fleet and of each group. In a service,
+// only unreachable agents count: an agent is dead if its host refuses the
+// connection. The counts for the balancers and for the fleet include refused
+// connections. If much of the fleet refuses connections, the likely cause is a
+// packet filter between the hosts.
 func NewPanic(t *Table, verdicts []Verdict) Panic {
 	p := Panic{fleet: loss{size: t.Live()}, groups: make(map[group]loss)}
 	for _, v := range verdicts {
@@ -60,9 +67,13 @@
 	return p
 }
 
-// Retains reports whether the verdict must not be carried out yet. The last
-// members of a service are kept for as long as they are merely unreachable:
-// without them nothing could be tried.
+// Retains reports whether the member must not be declared gone yet. If all agents
+// of a service are unreachable, they are retained indefinitely, because otherwise
+// there would be no agent left to try. If at least half of the fleet, or for a
+// balancer at least half of the balancers, is lost, a member is retained for
+// retainFleet if it is unreachable and for retainService if it refuses
+// connections. If at least half of the agents of a service are unreachable, they
+// are retained for retainService.
 func (p Panic) Retains(v Verdict, now time.Time) bool {
 	l := p.groups[groupOf(v.Member)]
 	age := now.Sub(v.Since)
@@ -83,13 +94,13 @@
 	return len(collect(t.services[g.service], isLive))
 }
 
-// quorum is the number of witnesses that it takes to declare a member gone.
+// quorum is the number of witnesses required to declare a member gone.
 const quorum = 2
 
-// RequiredWitnesses returns the number of witnesses that must suspect the member: two, or
-// all that can still speak where they are fewer. A balancer whose host refuses
-// connections cannot, nor one that has been unreachable for as long as a cut
-// is waited for.
+// RequiredWitnesses returns the number of witnesses that must suspect the member
+// before it is declared gone: two, or the number of available balancers if that
+// is smaller, but at least one. A balancer is not available if its host refuses
+// connections, or if it has been unreachable for at least retainFleet.
 func RequiredWitnesses(t *Table, verdicts []Verdict, of Member, now time.Time) int {
 	available := t.liveBalancers
 	if of.Role == RoleBalancer {
--- a/internal/member/query.go
+++ b/internal/member/query.go
@@ -7,17 +7,19 @@
 )
 
 // Balancers returns the balancers that are not gone, in order of address. The
-// caller must not change the slice; it stays as it is.
+// caller must not change the slice; later changes of the table do not modify it.
 func (t *Table) Balancers() []Member {
 	return t.balancerList.get(func(addr netip.AddrPort) (Member, bool) { return t.liveAs(addr, RoleBalancer) })
 }
 
 // Agents returns all agents that are not gone, in order of address. The caller
-// must not change the slice; it stays as it is.
+// must not change the slice; later changes of the table do not modify it.
 func (t *Table) Agents() []Member {
 	return t.agentList.get(func(addr netip.AddrPort) (Member, bool) { return t.liveAs(addr, RoleAgent) })
 }
 
+// liveAs returns the record at addr, and whether it is a live member with the
+// role.
 func (t *Table) liveAs(addr netip.AddrPort, role Role) (Member, bool) {
 	m, ok := t.Get(addr)
 	return m, ok && m.Role == role && m.State != StateGone
@@ -29,7 +31,7 @@
 	return collect(t.services[name], isLive)
 }
 
-// Services returns the names of the services that have records, in order.
+// Services returns the names of the services that have records, sorted.
 func (t *Table) Services() []string {
 	out := make([]string, 0, len(t.services))
 	for name := range t.services {
@@ -54,14 +56,14 @@
 	return collect(t.balancers, func(e *entry) bool { return e.seq > seq })
 }
 
-// DeclaredGoneBalancers returns the balancers that were declared gone after since:
-// they may live behind a cut.
+// DeclaredGoneBalancers returns the balancers that were declared gone after
+// since. They may be live on the other side of a network partition.
 func (t *Table) DeclaredGoneBalancers(since time.Time) []Member {
 	return collect(t.balancers, func(e *entry) bool { return e.member.Declared && e.goneAt.After(since) })
 }
 
-// InBuckets returns the members that are not gone in the given buckets of the
-// digest.
+// InBuckets returns the members in the given buckets of the digest that are not
+// gone.
 func (t *Table) InBuckets(buckets []int) []Member {
 	var wanted [DigestBuckets]bool
 	for _, b := range buckets {
--- a/internal/member/rendezvous.go
+++ b/internal/member/rendezvous.go
@@ -7,16 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// asymmetryFactor makes the weight of (a, b) differ from that of (b, a); symmetric
-// weights would let neighbours choose each other and fall into clusters.
+// asymmetryFactor makes the weight of (a, b) differ from that of (b, a). With
+// symmetric weights, neighbours would choose each other and form separate
+// clusters.
 const asymmetryFactor = 0x9E3779B97F4A7C15
 
 // Witnesses is the number of balancers that watch one member.
 const Witnesses = 3
 
-// Candidates are addresses among which rendezvous hashing chooses: every
-// process that knows the same candidates chooses the same, and a candidate that
-// comes or goes moves only its own share. The value is immutable.
+// Candidates are addresses among which rendezvous hashing chooses. All processes
+// with the same candidates make the same choice, and adding or removing a
+// candidate changes only the choices that include it. Candidates are immutable.
 type Candidates struct {
 	addrs  []netip.AddrPort
 	hashes []uint64
@@ -36,7 +37,8 @@
 }
 
 // Choose returns the k candidates with the highest weights for key, highest
-// first, leaving out key itself and those for which skip holds; skip may be nil.
+// first. It omits key itself and the candidates for which skip returns true; skip
+// may be nil.
 func (c *Candidates) Choose(key netip.AddrPort, k int, skip func(netip.AddrPort) bool) []netip.AddrPort {
 	type scored struct {
 		score uint64
@@ -66,8 +68,8 @@
 	return out
 }
 
-// Chooses reports whether one, a candidate, is among the k chosen for key. It
-// mostly looks at few candidates.
+// Chooses reports whether candidate is among the k chosen for key. It usually
+// examines only a few candidates.
 func (c *Candidates) Chooses(key netip.AddrPort, k int, candidate netip.AddrPort) bool {
 	if key == candidate {
 		return false
@@ -87,9 +89,9 @@
 	return true
 }
 
-// Neighbours returns the balancers to which self passes transitions on: its
+// Neighbours returns the k balancers to which self forwards transitions: its
 // successor on a ring of hashes, which keeps the graph connected, and k-1
-// chosen by rendezvous, which keep it shallow.
+// balancers chosen by rendezvous hashing, which keep the number of hops low.
 func (c *Candidates) Neighbours(self netip.AddrPort, k int) []netip.AddrPort {
 	out := c.Choose(self, k, nil)
 	next, found := c.successor(self)
@@ -99,7 +101,7 @@
 	return append(out[:min(len(out), k-1)], next)
 }
 
-// successor returns the candidate whose hash follows that of self, cyclically.
+// successor returns the candidate that follows self on the ring of hashes.
 func (c *Candidates) successor(self netip.AddrPort) (next netip.AddrPort, found bool) {
 	from := hashAddr(self)
 	var least uint64
@@ -114,9 +116,9 @@
 	return next, found
 }
 
-// Rank returns the place of self among the balancers of its data centre that
-// are ready, from 0, in an order that differs between data centres; -1 when it
-// is none of them.
+// Rank returns the position of self, counted from 0, among the ready balancers of
+// its data centre, in an order that differs between data centres. It returns -1
+// if self is not one of them.
 func Rank(self Member, balancers []Member) int {
 	rank := 0
 	found := false
@@ -138,7 +140,7 @@
 	return rank
 }
 
-// mix is the finalizer of SplitMix64: it spreads every input bit.
+// mix is the finalizer of SplitMix64. Each input bit affects all output bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
-// Evidence tells what a witness saw of a member that it takes for dead.
+// Evidence is the reason why a witness suspects a member.
 type Evidence uint8
 
 // Kinds of evidence.
 const (
-	// Unreachable: neither renewals nor probes got through. A cut looks alike.
+	// Unreachable: the member neither renewed nor answered probes. A network
+	// partition has the same effect.
 	Unreachable Evidence = iota + 1
-	// Refused: the member's host answered that nothing listens at its address.
+	// Refused: the member's host refused the connection, so that no process
+	// listens at the member's address.
 	Refused
 )
 
-// Suspicion is one witness's statement about one version of a member. A higher
-// version of the member refutes it.
+// Suspicion is the statement of one witness that one version of a member is dead.
+// A record with a higher version refutes it.
 type Suspicion struct {
 	Control     netip.AddrPort
 	Incarnation uint64
@@ -27,7 +29,7 @@
 	Evidence    Evidence
 }
 
-// suspect is what the witnesses say of one version of a member.
+// suspect collects the suspicions of one version of a member.
 type suspect struct {
 	incarnation uint64
 	version     uint64
@@ -35,7 +37,7 @@
 	witnesses   map[netip.AddrPort]Evidence
 }
 
-// strongest returns the strongest evidence that any witness gives.
+// strongest returns the strongest evidence of any witness.
 func (s *suspect) strongest() Evidence {
 	var out Evidence
 	for _, x := range s.witnesses {
@@ -44,22 +46,22 @@
 	return out
 }
 
-// Suspects collects the suspicions about the members of a table. It is pure
-// and belongs to one goroutine.
+// Suspects collects the suspicions of the members of a table. It reads no clock,
+// and is not safe for concurrent use.
 type Suspects struct {
-	table *Table
-	suspects    map[netip.AddrPort]*suspect
+	table    *Table
+	suspects map[netip.AddrPort]*suspect
 }
 
-// NewSuspects returns an empty collection about the members of table.
+// NewSuspects returns an empty collection for the members of table.
 func NewSuspects(table *Table) *Suspects {
 	return &Suspects{table: table, suspects: make(map[netip.AddrPort]*suspect)}
 }
 
-// Add takes a suspicion in and reports whether it is news: of another witness,
-// or with stronger evidence. One that does not
-// concern the known version of a live member, or does not come from a live
-// balancer, is ignored.
+// Add adds a suspicion and reports whether it is new: from another witness, or
+// with stronger evidence than before. It ignores a suspicion that does not
+// concern the known version of a live member, or that does not come from a live
+// balancer.
 func (s *Suspects) Add(x Suspicion, now time.Time) bool {
 	m, known := s.table.Get(x.Control)
 	if !known || m.State == StateGone || m.Incarnation != x.Incarnation || m.Version != x.Version {
@@ -80,8 +82,8 @@
 	return true
 }
 
-// current returns what is said of the member's version, and drops what was
-// said of an older one.
+// current returns the suspicions of the member's version, nil for none. It drops
+// those of other versions.
 func (s *Suspects) current(m Member) *suspect {
 	e := s.suspects[m.Control]
 	if e == nil {
@@ -97,7 +99,7 @@
 // Suspected reports whether any witness suspects the member's version.
 func (s *Suspects) Suspected(m Member) bool { return s.current(m) != nil }
 
-// BalancerSet identifies the set of suspected balancers.
+// BalancerSet returns a hash that identifies the set of suspected balancers.
 func (s *Suspects) BalancerSet() uint64 {
 	var out uint64
 	for addr := range s.suspects {
@@ -109,18 +111,18 @@
 	return out
 }
 
-// Verdict sums up what the witnesses say of one member.
+// Verdict summarises the suspicions of one member.
 type Verdict struct {
 	Member Member
-	// Witnesses is the number of witnesses, Evidence the strongest they
-	// give.
+	// Witnesses is the number of witnesses that suspect the member, Evidence the
+	// strongest evidence among them.
 	Witnesses int
 	Evidence  Evidence
-	// Since is when the first suspicion was taken in.
+	// Since is when the first suspicion was added.
 	Since time.Time
 }
 
-// Verdicts returns what is said of each suspected member, in order of address.
+// Verdicts returns a verdict for each suspected member, in order of address.
 func (s *Suspects) Verdicts() []Verdict {
 	var out []Verdict
 	for addr := range s.suspects {
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// DefaultTombstoneTTL is how long a table remembers that a member is gone. It
-// must exceed the longest time for which a peer can be cut off and come back
-// with an old table.
+// DefaultTombstoneTTL is how long a table retains the record of a gone member. It
+// must exceed the longest time for which a peer can be cut off and return with an
+// old table.
 const DefaultTombstoneTTL = 24 * time.Hour
 
-// entry is one record with the local number of its last change.
+// entry is one record with the table's change number of its last change.
 type entry struct {
 	member Member
 	seq    uint64
 	goneAt time.Time
 }
 
-// Table holds the newest record of each member. It is pure: it reads no clock,
-// and the order in which records arrive does not change what it ends with.
-// It belongs to one goroutine.
+// Table holds the newest record of each member. It reads no clock, and its final
+// content does not depend on the order in which records arrive. It is not safe
+// for concurrent use.
 type Table struct {
 	entries                 map[netip.AddrPort]*entry
 	balancers               map[netip.AddrPort]*entry
@@ -31,14 +31,15 @@
 	balancerList, agentList memberList
 	// balancerSeq is the change number of the last change to any balancer.
 	balancerSeq uint64
-	// liveBalancers counts the live balancers, balancerSet sums the their addresses.
+	// liveBalancers counts the live balancers; balancerSet is the exclusive or of
+	// the hashes of their addresses.
 	liveBalancers int
 	balancerSet   uint64
-	// gone holds the last agents to go, in the order in which they went.
+	// gone holds the most recently gone agents, in order of departure.
 	gone goneList
 }
 
-// NewTable returns an empty table that keeps tombstones for ttl.
+// NewTable returns an empty table that retains tombstones for ttl.
 func NewTable(ttl time.Duration) *Table {
 	return &Table{
 		entries:   make(map[netip.AddrPort]*entry),
@@ -48,9 +49,9 @@
 	}
 }
 
-// Merge takes a record in if it supersedes what is known, and reports whether
-// it did. A record that is gone is kept as a tombstone, which keeps late
-// records of the same life out.
+// Merge stores a record if it supersedes the known one, and reports whether it
+// did. A record with the state gone stays as a tombstone, so that a delayed older
+// record of the same incarnation is rejected.
 func (t *Table) Merge(m Member, now time.Time) bool {
 	e := t.entries[m.Control]
 	if e != nil && !m.Supersedes(e.member) {
@@ -73,7 +74,8 @@
 }
 
 // NoteRevision records the configuration revision that a member has in force.
-// It is no transition: the record's order does not change.
+// This is no transition: the version and the change number of the record stay the
+// same.
 func (t *Table) NoteRevision(control netip.AddrPort, incarnation, revision uint64) {
 	e := t.entries[control]
 	if e != nil && e.member.Incarnation == incarnation && e.member.Revision < revision {
@@ -82,7 +84,7 @@
 	}
 }
 
-// markListChanged tells the list of the member's role that the member changed.
+// markListChanged marks the member as changed in the list of its role.
 func (t *Table) markListChanged(m Member) {
 	if m.Role == RoleBalancer {
 		t.balancerList.markChanged(m.Control)
@@ -91,7 +93,7 @@
 	}
 }
 
-// Expire drops the tombstones that are older than the table's limit.
+// Expire removes the tombstones older than the table's limit.
 func (t *Table) Expire(now time.Time) {
 	for addr, e := range t.entries {
 		if e.member.State == StateGone && now.Sub(e.goneAt) > t.ttl {
@@ -121,8 +123,8 @@
 	group[m.Control] = e
 }
 
-// toggle adds a live member to the sums over the table (by 1), or takes it out
-// (by -1).
+// toggle adds a live member to the digest and the counts (by is 1), or removes it
+// (by is -1).
 func (t *Table) toggle(m Member, by int) {
 	t.digest.toggle(m)
 	t.live += by
@@ -132,6 +134,7 @@
 	}
 }
 
+// unindex removes the entry from the digest and from the index of its role.
 func (t *Table) unindex(e *entry) {
 	m := e.member
 	t.markListChanged(m)
@@ -148,7 +151,7 @@
 	}
 }
 
-// Get returns the record of a member, gone or not.
+// Get returns the record of a member, live or gone.
 func (t *Table) Get(control netip.AddrPort) (Member, bool) {
 	e := t.entries[control]
 	if e == nil {
@@ -157,24 +160,23 @@
 	return e.member, true
 }
 
-// Live returns the number of members that are not gone, Len also counts the
-// tombstones.
+// Live returns the number of members that are not gone.
 func (t *Table) Live() int { return t.live }
 
 // Len returns the number of records, tombstones included.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Seq returns the number of the last change. It rises with each merge.
+// Seq returns the change number of the last change. It rises with each merge.
 func (t *Table) Seq() uint64 { return t.seq }
 
-// BalancerSeq returns the number of the last change to any balancer.
+// BalancerSeq returns the change number of the last change to any balancer.
 func (t *Table) BalancerSeq() uint64 { return t.balancerSeq }
 
 // LiveBalancers returns the number of balancers that are not gone.
 func (t *Table) LiveBalancers() int { return t.liveBalancers }
 
-// BalancerSet identifies the set of live balancers: it changes when one comes
-// or goes, and not when a record changes otherwise.
+// BalancerSet returns a hash that identifies the set of live balancers. It
+// changes only when a balancer becomes live or gone.
 func (t *Table) BalancerSet() uint64 { return t.balancerSet }
 
 // Digest returns the digest of the members that are not gone.
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -25,15 +25,15 @@
 		State:       member.State(rapid.IntRange(1, 4).Draw(t, "state")),
 		Role:        member.RoleBalancer,
 	}
-	// Role and service of an address may change between incarnations.
+	// The role and service at an address may change between incarnations.
 	if m.Incarnation%2 == 0 {
 		m.Role, m.Service = member.RoleAgent, []string{"results", "intake"}[m.Incarnation/2%2]
 	}
 	return m
 }
 
-// Records in any order, lost or doubled on the way, give the same table, and
-// no record ever gives way to one that it supersedes.
+// Records that arrive reordered or duplicated must give the same table, and no
+// record may be replaced by one that it supersedes.
 func TestTableIsIndependentOfRecordOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOf(rapid.Custom(drawRecord)).Draw(t, "records")
@@ -48,11 +48,11 @@
 			b.Merge(m, start)
 			after, _ := b.Get(m.Control)
 			if known && before.Supersedes(after) {
-				t.Fatalf("%v gave way to %v", before, after)
+				t.Fatalf("%v was replaced by the older record %v", before, after)
 			}
 		}
 		if a.Digest().Root() != b.Digest().Root() || a.Live() != b.Live() || a.BalancerSet() != b.BalancerSet() {
-			t.Fatalf("tables differ after the same records")
+			t.Fatalf("tables differ after the same records in a different order")
 		}
 		checkIndices(t, b)
 	})
@@ -62,12 +62,12 @@
 func checkIndices(t *rapid.T, table *member.Table) {
 	live := len(table.Balancers()) + len(table.Agents())
 	if live != table.Live() || len(table.Balancers()) != table.LiveBalancers() {
-		t.Fatalf("%d indexed, %d live", live, table.Live())
+		t.Fatalf("indices hold %d live members, table counts %d", live, table.Live())
 	}
 	for _, name := range table.Services() {
 		for _, m := range table.Service(name) {
 			if known, _ := table.Get(m.Control); known != m || m.Service != name {
-				t.Fatalf("%v indexed under %s, known as %v", m, name, known)
+				t.Fatalf("%v is indexed under service %s, but the record is %v", m, name, known)
 			}
 		}
 	}
@@ -81,11 +81,11 @@
 	table.Merge(gone, start)
 	table.Expire(start.Add(time.Hour))
 	if table.Merge(live, start.Add(time.Hour)) {
-		t.Fatal("a late record brought the dead back")
+		t.Fatal("delayed record of a gone member was merged before the tombstone expired")
 	}
 	table.Expire(start.Add(time.Hour + time.Second))
 	if table.Len() != 0 {
-		t.Fatal("the tombstone did not expire")
+		t.Fatal("tombstone did not expire")
 	}
 }
 
@@ -100,26 +100,27 @@
 	}
 	differ := a.Digest().DifferingBuckets(b.Digest().Buckets())
 	if len(differ) != 1 {
-		t.Fatalf("buckets %v differ, want one", differ)
+		t.Fatalf("buckets %v differ, want exactly one", differ)
 	}
 	found := false
 	for _, m := range a.InBuckets(differ) {
 		found = found || m.Control == addr(500)
 	}
 	if !found {
-		t.Fatal("the missing record is not in the bucket that differs")
+		t.Fatal("missing record is not in the differing bucket")
 	}
 }
 
-// balancerCount have the addresses of drawRecord among theirs.
+// balancerCount is the number of balancers in the test; their addresses include
+// those that drawRecord uses.
 const balancerCount = 40
 
-// The list of balancers is always that of the records, whatever changed, and a
-// list that was handed out stays as it was.
+// After any change, the list of balancers must match the records, and a list that
+// was returned before must not change.
 func TestBalancerListMatchesTheRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := member.NewTable(time.Hour)
-		for i := range balancerCount { // many, so that one change is a small part
+		for i := range balancerCount { // enough that one change is patched instead of causing a rebuild
 			table.Merge(member.Member{Control: addr(i), Role: member.RoleBalancer, State: member.StateReady}, start)
 		}
 		now := start
@@ -137,10 +138,10 @@
 				table.Expire(now)
 			}
 			if listed, want := table.Balancers(), liveBalancers(table); !slices.Equal(listed, want) {
-				t.Fatalf("the list is %v, the records say %v", listed, want)
+				t.Fatalf("list is %v, records give %v", listed, want)
 			}
 			if !slices.Equal(handedOut, copied) {
-				t.Fatalf("a list changed from %v to %v", copied, handedOut)
+				t.Fatalf("a returned list changed from %v to %v", copied, handedOut)
 			}
 		}
 	})
