--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -28,8 +28,8 @@
 func BenchmarkCapacityStep(b *testing.B) {
 	for _, members := range []int{700, 2100, 6900} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			fleet := bigFleet(members)
-			n := benchNode(b, fleet)
+			fleet := newMembers(members)
+			n := newBenchNode(b, fleet)
 			s := &Service{node: n}
 			renewal := gossip.Announce{Self: fleet[members-1], Epoch: n.Snapshot().Self.Incarnation, Cursor: uint64(members)}
 			for b.Loop() {
@@ -44,8 +44,8 @@
 	}
 }
 
-// bigFleet returns the members of a fleet, the balancers first.
-func bigFleet(members int) []member.Member {
+// newMembers returns the members of a fleet, the balancers first.
+func newMembers(members int) []member.Member {
 	balancers := members * targetBalancers / targetMembers
 	var out []member.Member
 	for i := range members {
@@ -59,11 +59,11 @@
 	return out
 }
 
-// benchNode returns the first balancer of a fleet that it knows.
-func benchNode(b *testing.B, fleet []member.Member) *Node {
+// newBenchNode returns the first balancer of a fleet that it knows.
+func newBenchNode(b *testing.B, fleet []member.Member) *Node {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	n, err := Start(ctx, Options{Self: fleet[0], Peer: quietPeer{}, Store: takenStore{}, Logger: slog.New(slog.DiscardHandler)})
+	n, err := Start(ctx, Options{Self: fleet[0], Peer: idlePeer{}, Store: occupiedStore{}, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -79,25 +79,25 @@
 	return n
 }
 
-// quietPeer answers every call with no news.
-type quietPeer struct{}
+// idlePeer answers every call with no news.
+type idlePeer struct{}
 
-func (quietPeer) Register(string, any) error { return nil }
+func (idlePeer) Register(string, any) error { return nil }
 
-func (quietPeer) Call(_ context.Context, _ netip.AddrPort, _ string, _, reply any) error {
+func (idlePeer) Call(_ context.Context, _ netip.AddrPort, _ string, _, reply any) error {
 	if digest, ok := reply.(*gossip.DigestReply); ok {
 		digest.Equal = true
 	}
 	return nil
 }
 
-// takenStore is a store whose slots others hold.
-type takenStore struct{ store.Store }
+// occupiedStore is a store whose slots others hold.
+type occupiedStore struct{ store.Store }
 
-func (takenStore) Get(context.Context, string) (store.Entry, error) {
+func (occupiedStore) Get(context.Context, string) (store.Entry, error) {
 	return store.Entry{}, store.ErrNotFound
 }
 
-func (takenStore) Swap(context.Context, string, []byte, uint64, time.Duration) (store.Entry, error) {
+func (occupiedStore) Swap(context.Context, string, []byte, uint64, time.Duration) (store.Entry, error) {
 	return store.Entry{}, store.ErrConflict
 }
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -38,13 +38,13 @@
 		Revision:  n.adopt.Revision(),
 		Serving:   n.serving != nil && n.options.Self.Role == member.RoleBalancer,
 		Reading:   n.adopt.Reading(now),
-		Balancers: n.balancersBesides(to),
+		Balancers: n.balancersExcept(to),
 	}
 }
 
-// balancersBesides returns the number of live balancers but for the process at
+// balancersExcept returns the number of live balancers but for the process at
 // the address.
-func (n *Node) balancersBesides(addr netip.AddrPort) int {
+func (n *Node) balancersExcept(addr netip.AddrPort) int {
 	count := n.engine.Table().LiveBalancers()
 	m, known := n.engine.Table().Get(addr)
 	if known && m.Role == member.RoleBalancer && m.State != member.StateGone {
@@ -53,28 +53,28 @@
 	return count
 }
 
-// heard notes the claim in an answer to a call of our own.
-func (n *Node) heard(now time.Time, from netip.AddrPort, c gossip.Claim, trip time.Duration) {
-	a := answerOf(from, c)
+// recordReplyClaim notes the claim in an answer to a call of our own.
+func (n *Node) recordReplyClaim(now time.Time, from netip.AddrPort, c gossip.Claim, trip time.Duration) {
+	a := answerFrom(from, c)
 	if c.Reading != nil {
 		a.Reading = &adopt.Reading{Revision: c.Reading.Revision, Age: c.Reading.Age + trip}
 	}
 	n.adopt.Heard(a, now)
 }
 
-// heardFrom notes the claim in a call of another process. Its reading of the
+// recordRequestClaim notes the claim in a call of another process. Its reading of the
 // store is left out: how long the call was under way is not known.
-func (n *Node) heardFrom(now time.Time, from netip.AddrPort, c gossip.Claim) {
-	n.adopt.Heard(answerOf(from, c), now)
+func (n *Node) recordRequestClaim(now time.Time, from netip.AddrPort, c gossip.Claim) {
+	n.adopt.Heard(answerFrom(from, c), now)
 }
 
-func answerOf(from netip.AddrPort, c gossip.Claim) adopt.Answer {
+func answerFrom(from netip.AddrPort, c gossip.Claim) adopt.Answer {
 	return adopt.Answer{Peer: from, Revision: c.Revision, Serving: c.Serving, Balancers: c.Balancers}
 }
 
 // decideConfig fetches and serves what the adoption rule says.
 func (n *Node) decideConfig(now time.Time) {
-	n.adopt.Expect(n.balancersBesides(n.options.Self.Control))
+	n.adopt.Expect(n.balancersExcept(n.options.Self.Control))
 	d := n.adopt.Decide(now)
 	if d.Fetch > 0 && !n.fetching {
 		n.fetching = true
@@ -83,31 +83,31 @@
 	if d.Serve && n.serving != n.adopted.config {
 		n.serving, n.dirty = n.adopted.config, true
 		n.engine.SetRevision(n.adopted.revision)
-		n.event(EventServing, fmt.Sprintf("revision %d: %s", n.adopted.revision, d.Reason))
+		n.recordEvent(EventServing, fmt.Sprintf("revision %d: %s", n.adopted.revision, d.Reason))
 	}
 }
 
 // revision returns the adopted revision from any goroutine.
 func (n *Node) revision() (revision uint64) {
-	n.ask(n.ctx, func(time.Time) { revision = n.adopt.Revision() })
+	n.runTask(n.ctx, func(time.Time) { revision = n.adopt.Revision() })
 	return revision
 }
 
-// take parses a stored value and adopts it if it is newer.
-func (n *Node) take(value []byte, revision uint64) {
+// adoptValue parses a stored value and adopts it if it is newer.
+func (n *Node) adoptValue(value []byte, revision uint64) {
 	if revision <= n.adopt.Revision() {
 		return
 	}
-	a, err := n.read(value, revision)
+	a, err := n.parseValue(value, revision)
 	if err != nil {
-		n.event(EventRefused, fmt.Sprintf("revision %d: %v", revision, err))
+		n.recordEvent(EventRefused, fmt.Sprintf("revision %d: %v", revision, err))
 		return
 	}
 	n.adoptConfig(a)
 }
 
-// read parses a stored value and works out what changed.
-func (n *Node) read(value []byte, revision uint64) (adopted, error) {
+// parseValue parses a stored value and works out what changed.
+func (n *Node) parseValue(value []byte, revision uint64) (adopted, error) {
 	text, err := n.options.Decode(value)
 	if err != nil {
 		return adopted{}, err
@@ -127,7 +127,7 @@
 	}
 	n.adopted = a
 	if n.options.Self.Role == member.RoleAgent && sectionOf(a.config, n.options.Self.Service) == nil {
-		n.event(EventUnconfigured, fmt.Sprintf("revision %d has no service %s", a.revision, n.options.Self.Service))
+		n.recordEvent(EventUnconfigured, fmt.Sprintf("revision %d has no service %s", a.revision, n.options.Self.Service))
 	}
-	n.event(EventAdopted, fmt.Sprintf("revision %d", a.revision))
+	n.recordEvent(EventAdopted, fmt.Sprintf("revision %d", a.revision))
 }
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -11,15 +11,15 @@
 
 // Events of membership.
 const (
-	EventJoined    event.Kind = "member-joined"
-	EventState     event.Kind = "member-state-changed"
-	EventSuspected event.Kind = "member-suspected"
-	EventDeclared  event.Kind = "member-declared-gone"
-	EventReturned  event.Kind = "member-returned"
-	EventRefuted   event.Kind = "own-death-refuted"
-	EventKept      event.Kind = "unreachable-kept"
-	EventKeptEnd   event.Kind = "unreachable-kept-no-longer"
-	EventLearned   event.Kind = "table-learned"
+	EventJoined       event.Kind = "member-joined"
+	EventState        event.Kind = "member-state-changed"
+	EventSuspected    event.Kind = "member-suspected"
+	EventDeclared     event.Kind = "member-declared-gone"
+	EventReturned     event.Kind = "member-returned"
+	EventRefuted      event.Kind = "own-death-refuted"
+	EventRetained     event.Kind = "unreachable-kept"
+	EventRetainedEnd  event.Kind = "unreachable-kept-no-longer"
+	EventTableFetched event.Kind = "table-learned"
 )
 
 var noticeKinds = map[gossip.NoticeKind]event.Kind{
@@ -29,24 +29,24 @@
 	gossip.NoticeDeclared:     EventDeclared,
 	gossip.NoticeReturned:     EventReturned,
 	gossip.NoticeRefuted:      EventRefuted,
-	gossip.NoticeRetained:     EventKept,
-	gossip.NoticeRetainedEnd:  EventKeptEnd,
-	gossip.NoticeTableFetched: EventLearned,
+	gossip.NoticeRetained:     EventRetained,
+	gossip.NoticeRetainedEnd:  EventRetainedEnd,
+	gossip.NoticeTableFetched: EventTableFetched,
 }
 
-// messages are what the log says of events.
-var messages = map[event.Kind]string{
+// logMessages are what the log says of events.
+var logMessages = map[event.Kind]string{
 	EventJoined:       "Member joined.",
 	EventState:        "Member changed state.",
 	EventSuspected:    "Member suspected.",
 	EventDeclared:     "Member declared gone.",
 	EventReturned:     "Member returned.",
 	EventRefuted:      "Own death refuted.",
-	EventKept:         "Unreachable members kept.",
-	EventKeptEnd:      "Unreachable members kept no longer.",
-	EventLearned:      "Table learned from a peer.",
-	EventFound:        "Seeds read from the store.",
-	EventSeed:         "Seed lease taken.",
+	EventRetained:     "Unreachable members kept.",
+	EventRetainedEnd:  "Unreachable members kept no longer.",
+	EventTableFetched: "Table learned from a peer.",
+	EventSeedsRead:    "Seeds read from the store.",
+	EventSeedTaken:    "Seed lease taken.",
 	EventSeedLost:     "Seed lease lost.",
 	EventAdopted:      "Configuration adopted.",
 	EventServing:      "Configuration in force.",
@@ -54,22 +54,22 @@
 	EventUnconfigured: "Service is not configured.",
 }
 
-// event records an event of the time line and logs it.
-func (n *Node) event(kind event.Kind, detail string) {
+// recordEvent records an recordEvent of the time line and logs it.
+func (n *Node) recordEvent(kind event.Kind, detail string) {
 	if n.options.Events != nil {
 		n.options.Events.Add(Part, kind, detail)
 	}
-	n.logger.Info(messages[kind], slog.String("detail", detail))
+	n.logger.Info(logMessages[kind], slog.String("detail", detail))
 }
 
-// notice puts what the engine noticed on the time line.
-func (n *Node) notice(a gossip.Notice) {
+// recordNotice puts what the engine noticed on the time line.
+func (n *Node) recordNotice(a gossip.Notice) {
 	switch a.Kind {
 	case gossip.NoticeRetained, gossip.NoticeRetainedEnd, gossip.NoticeTableFetched:
-		n.event(noticeKinds[a.Kind], fmt.Sprintf("%d members", a.Count))
+		n.recordEvent(noticeKinds[a.Kind], fmt.Sprintf("%d members", a.Count))
 		return
 	}
-	n.event(noticeKinds[a.Kind], describe(a.Member))
+	n.recordEvent(noticeKinds[a.Kind], describe(a.Member))
 }
 
 func describe(m member.Member) string {
--- a/internal/control/fetch.go
+++ b/internal/control/fetch.go
@@ -45,21 +45,21 @@
 	if len(a.Service) > maxNameBytes {
 		return errInvalid
 	}
-	var held adopted
-	if err := answer(s, &held, func(time.Time) adopted { return s.node.adopted }); err != nil {
+	var current adopted
+	if err := handle(s, &current, func(time.Time) adopted { return s.node.adopted }); err != nil {
 		return err
 	}
 	var err error
-	*reply, err = held.answer(a)
+	*reply, err = current.fetchReply(a)
 	return err
 }
 
-func (a adopted) answer(args FetchArgs) (FetchReply, error) {
+func (a adopted) fetchReply(args FetchArgs) (FetchReply, error) {
 	if a.revision <= args.Have || a.log.Revision() == 0 {
 		return FetchReply{}, nil
 	}
 	if args.Service != "" {
-		return a.answerAgent(args), nil
+		return a.sectionReply(args), nil
 	}
 	from := args.Have
 	if args.Whole {
@@ -69,7 +69,7 @@
 	return FetchReply{Revision: a.revision, Update: update}, err
 }
 
-func (a adopted) answerAgent(args FetchArgs) FetchReply {
+func (a adopted) sectionReply(args FetchArgs) FetchReply {
 	section := sectionOf(a.config, args.Service)
 	if sectionHash(section) == args.Section {
 		return FetchReply{Revision: a.revision, Unchanged: true}
@@ -109,7 +109,7 @@
 	n.post(func(time.Time) {
 		n.fetching = false
 		if err != nil {
-			n.event(EventRefused, fmt.Sprintf("from %s: %v", from, err))
+			n.recordEvent(EventRefused, fmt.Sprintf("from %s: %v", from, err))
 		}
 		if err != nil || next.revision == 0 {
 			n.adopt.Gone(from) // until it answers again
--- a/internal/control/finder.go
+++ b/internal/control/finder.go
@@ -11,16 +11,16 @@
 	"github.com/saltbend/saltbend/internal/seed"
 )
 
-// EventFound tells that addresses to join at were read from the store.
-const EventFound event.Kind = "seeds-read"
+// EventSeedsRead tells that addresses to join at were read from the store.
+const EventSeedsRead event.Kind = "seeds-read"
 
 // finder looks for addresses to join at while no known balancer answers.
 type finder struct {
 	busy bool
-	// wanted asks for a search as soon as the back-off allows.
-	wanted  bool
-	next    time.Time
-	backoff seed.Backoff
+	// requested asks for a search as soon as the back-off allows.
+	requested bool
+	next      time.Time
+	backoff   seed.Backoff
 }
 
 // findPeers reads the seeds from the store, in one call, with back-off.
@@ -29,7 +29,7 @@
 	if n.options.Store == nil || f.busy || now.Before(f.next) {
 		return
 	}
-	f.busy, f.wanted = true, false
+	f.busy, f.requested = true, false
 	go n.listSeeds()
 }
 
@@ -39,19 +39,19 @@
 	entries, err := n.options.Store.List(ctx, seed.Prefix)
 	found := make([]netip.AddrPort, 0, len(entries))
 	for _, e := range entries {
-		if h, err := parseHolder(e.Value); err == nil && h.Control != n.options.Self.Control {
+		if h, err := parseSeedRecord(e.Value); err == nil && h.Control != n.options.Self.Control {
 			found = append(found, h.Control)
 		}
 	}
 	n.post(func(now time.Time) {
-		n.noteStore(now, err)
+		n.recordStoreContact(now, err)
 		f := &n.finder
 		f.busy = false
 		f.next = now.Add(f.backoff.Next(n.rand))
 		if err != nil || len(found) == 0 {
 			return
 		}
-		n.event(EventFound, fmt.Sprintf("%d addresses", len(found)))
+		n.recordEvent(EventSeedsRead, fmt.Sprintf("%d addresses", len(found)))
 		n.engine.SetJoin(mergeAddrs(n.options.Join, found))
 	})
 }
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -22,8 +22,8 @@
 	"github.com/saltbend/saltbend/test/storefake"
 )
 
-// patience bounds every wait; a wait that succeeds is short.
-const patience = time.Minute
+// waitTimeout bounds every wait; a wait that succeeds is short.
+const waitTimeout = time.Minute
 
 // fastTiming shortens the periods, so that a test waits for conditions only
 // briefly. No test depends on the values.
@@ -72,7 +72,7 @@
 	*control.Node
 	addr   netip.AddrPort
 	events *event.Ring
-	store  *countedStore
+	store  *instrumentedStore
 	crash  func()
 }
 
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	ring := event.NewRing(event.DefaultRingSize, time.Now)
-	counted := &countedStore{Store: f.client}
+	counted := &instrumentedStore{Store: f.client}
 	options := control.Options{
 		Self:      self,
 		Peer:      f.mesh.Open(self.Control),
@@ -114,16 +114,16 @@
 		n.SetState(member.StateReady)
 	}
 	for _, n := range bs {
-		Eventually(n.ready, patience).Should(Equal(balancers + agents))
+		Eventually(n.readyMembers, waitTimeout).Should(Equal(balancers + agents))
 	}
 	for _, n := range as {
-		Eventually(n.ready, patience).Should(Equal(balancers + agents))
+		Eventually(n.readyMembers, waitTimeout).Should(Equal(balancers + agents))
 	}
 	return bs, as
 }
 
-// ready returns the number of ready members that the node knows.
-func (n *node) ready() int {
+// readyMembers returns the number of readyMembers members that the node knows.
+func (n *node) readyMembers() int {
 	count := 0
 	s := n.Snapshot()
 	for _, m := range append(s.Balancers, s.Agents...) {
@@ -141,8 +141,8 @@
 	return 0
 }
 
-// state returns what the node knows of a member.
-func (n *node) state(addr netip.AddrPort) func() member.State {
+// memberState returns what the node knows of a member.
+func (n *node) memberState(addr netip.AddrPort) func() member.State {
 	return func() member.State {
 		s := n.Snapshot()
 		for _, m := range append(s.Balancers, s.Agents...) {
@@ -154,16 +154,16 @@
 	}
 }
 
-// gone returns who the node's snapshot says is gone.
-func (n *node) gone() (addrs []netip.AddrPort) {
+// goneAddrs returns who the node's snapshot says is goneAddrs.
+func (n *node) goneAddrs() (addrs []netip.AddrPort) {
 	for _, m := range n.Snapshot().Gone {
 		addrs = append(addrs, m.Control)
 	}
 	return addrs
 }
 
-// count returns the number of events of a kind.
-func (n *node) count(kind event.Kind) int {
+// eventCount returns the number of events of a kind.
+func (n *node) eventCount(kind event.Kind) int {
 	count := 0
 	for _, e := range n.events.Since(0) {
 		if e.Kind == kind {
@@ -173,15 +173,15 @@
 	return count
 }
 
-// countedStore counts one node's calls to the store, and can hold them up.
-type countedStore struct {
+// instrumentedStore counts one node's calls to the store, and can hold them up.
+type instrumentedStore struct {
 	store.Store
 	calls  atomic.Int64
 	frozen atomic.Pointer[chan struct{}]
 }
 
 // freeze holds all calls up until the returned function is called.
-func (c *countedStore) freeze() (thaw func()) {
+func (c *instrumentedStore) freeze() (thaw func()) {
 	gate := make(chan struct{})
 	c.frozen.Store(&gate)
 	return func() {
@@ -190,30 +190,30 @@
 	}
 }
 
-func (c *countedStore) enter() {
+func (c *instrumentedStore) beforeCall() {
 	c.calls.Add(1)
 	if gate := c.frozen.Load(); gate != nil {
 		<-*gate
 	}
 }
 
-func (c *countedStore) Get(ctx context.Context, key string) (store.Entry, error) {
-	c.enter()
+func (c *instrumentedStore) Get(ctx context.Context, key string) (store.Entry, error) {
+	c.beforeCall()
 	return c.Store.Get(ctx, key)
 }
 
-func (c *countedStore) List(ctx context.Context, prefix string) ([]store.Entry, error) {
-	c.enter()
+func (c *instrumentedStore) List(ctx context.Context, prefix string) ([]store.Entry, error) {
+	c.beforeCall()
 	return c.Store.List(ctx, prefix)
 }
 
-func (c *countedStore) Swap(ctx context.Context, key string, value []byte, expected uint64, lease time.Duration) (store.Entry, error) {
-	c.enter()
+func (c *instrumentedStore) Swap(ctx context.Context, key string, value []byte, expected uint64, lease time.Duration) (store.Entry, error) {
+	c.beforeCall()
 	return c.Store.Swap(ctx, key, value, expected, lease)
 }
 
-func (c *countedStore) Watch(ctx context.Context, key string, after uint64) (store.Entry, error) {
-	c.enter()
+func (c *instrumentedStore) Watch(ctx context.Context, key string, after uint64) (store.Entry, error) {
+	c.beforeCall()
 	return c.Store.Watch(ctx, key, after)
 }
 
--- a/internal/control/gone_test.go
+++ b/internal/control/gone_test.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-func TestAgentsThatHaveLongBeenGoneAreForgottenWithoutNews(t *testing.T) {
+func TestExpiredGoneAgentsLeaveSnapshotWithoutOtherChanges(t *testing.T) {
 	g := NewWithT(t)
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
 	now := time.Unix(1000, 0)
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -14,7 +14,7 @@
 func (n *Node) Leave(ctx context.Context) {
 	var announcements []gossip.Action
 	var claim gossip.Claim
-	n.ask(ctx, func(now time.Time) {
+	n.runTask(ctx, func(now time.Time) {
 		announcements = n.engine.Leave(now)
 		claim = n.claim(now, n.options.Self.Control)
 	})
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -8,9 +8,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// figures are what the metrics show. The state's goroutine writes them, so
+// gauges are what the metrics show. The state's goroutine writes them, so
 // that a reader of the metrics waits for nothing.
-type figures struct {
+type gauges struct {
 	balancers, agents, suspected atomic.Int64
 	revision                     atomic.Uint64
 	seed                         atomic.Int64
@@ -20,7 +20,7 @@
 
 // register shows the figures until stopped ends. The bytes of control traffic
 // are shown by the transport, as saltbend_peer_bytes.
-func (f *figures) register(stopped <-chan struct{}) {
+func (f *gauges) register(stopped <-chan struct{}) {
 	set := metrics.NewSet()
 	gauge := func(name string, value *atomic.Int64) {
 		set.NewGauge(name, func() float64 { return float64(value.Load()) })
@@ -40,9 +40,9 @@
 	}()
 }
 
-// measure brings the figures up to date.
-func (n *Node) measure(now time.Time) {
-	f := &n.figures
+// updateMetrics brings the figures up to date.
+func (n *Node) updateMetrics(now time.Time) {
+	f := &n.gauges
 	table := n.engine.Table()
 	f.balancers.Store(int64(table.LiveBalancers()))
 	f.agents.Store(int64(table.Live() - table.LiveBalancers()))
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -22,12 +22,12 @@
 	// publishInterval is the least time between snapshots for changes of
 	// members.
 	publishInterval = 100 * time.Millisecond
-	// taskQueue bounds the messages that wait for the state's goroutine.
-	taskQueue = 1024
+	// taskQueueSize bounds the messages that wait for the state's goroutine.
+	taskQueueSize = 1024
 )
 
-// published is a snapshot with the channel that its successor closes.
-type published struct {
+// publication is a snapshot with the channel that its successor closes.
+type publication struct {
 	snapshot *Snapshot
 	changed  chan struct{}
 }
@@ -38,11 +38,11 @@
 	options Options
 	logger  *slog.Logger
 	tasks   chan func(now time.Time)
-	current atomic.Pointer[published]
+	current atomic.Pointer[publication]
 	stopped chan struct{}
 	ctx     context.Context
 
-	figures figures
+	gauges gauges
 
 	// The fields below belong to the state's goroutine.
 	engine  *gossip.Engine
@@ -53,13 +53,13 @@
 	fetching bool
 	rand     *rand.Rand
 	store    StoreStatus
-	seeding  seeding
-	reader   reader
+	seeding  seedState
+	reader   configReader
 	finder   finder
-	// seenSeq and dirty tell whether the snapshot is out of date.
-	seenSeq   uint64
-	dirty     bool
-	published time.Time
+	// publishedSeq and dirty tell whether the snapshot is out of date.
+	publishedSeq uint64
+	dirty        bool
+	publishedAt  time.Time
 }
 
 // Start joins the process to the fleet. The node works until ctx ends.
@@ -71,14 +71,14 @@
 	n := &Node{
 		options: o,
 		logger:  logging.Part(o.Logger, Part),
-		tasks:   make(chan func(time.Time), taskQueue),
+		tasks:   make(chan func(time.Time), taskQueueSize),
 		stopped: make(chan struct{}),
 		ctx:     ctx,
 		engine:  gossip.New(o.Self, o.Timing, newRand(o.Self)),
 		adopt:   adopt.New(o.Rules, o.Now()),
 		rand:    newRand(o.Self),
 	}
-	n.seeding = newSeeding(n)
+	n.seeding = newSeedState(n)
 	n.reader.backoff = storeBackoff()
 	n.finder.backoff = storeBackoff()
 	n.engine.SetJoin(o.Join)
@@ -86,7 +86,7 @@
 	if err := o.Peer.Register(serviceName, &Service{node: n}); err != nil {
 		return nil, errors.Wrap(err, "control: register service")
 	}
-	n.figures.register(n.stopped)
+	n.gauges.register(n.stopped)
 	go n.run(ctx)
 	return n, nil
 }
@@ -103,8 +103,8 @@
 		case task := <-n.tasks:
 			task(n.options.Now())
 		case <-ticker.C:
-			n.useStore(n.options.Now())
-			n.measure(n.options.Now())
+			n.runStoreTasks(n.options.Now())
+			n.updateMetrics(n.options.Now())
 		}
 		n.step(n.options.Now())
 	}
@@ -123,11 +123,11 @@
 // that follow each other closely share one.
 func (n *Node) publishChanges(now time.Time) {
 	seq := n.engine.Table().Seq()
-	n.dirty = n.dirty || n.forgets(now)
-	if !n.dirty && (seq == n.seenSeq || now.Sub(n.published) < publishInterval) {
+	n.dirty = n.dirty || n.hasExpiredGone(now)
+	if !n.dirty && (seq == n.publishedSeq || now.Sub(n.publishedAt) < publishInterval) {
 		return
 	}
-	n.seenSeq, n.dirty, n.published = seq, false, now
+	n.publishedSeq, n.dirty, n.publishedAt = seq, false, now
 	n.publish()
 }
 
@@ -139,9 +139,9 @@
 	}
 }
 
-// ask runs a task on the state's goroutine and waits for its end. It reports
+// runTask runs a task on the state's goroutine and waits for its end. It reports
 // whether the task ran.
-func (n *Node) ask(ctx context.Context, task func(now time.Time)) bool {
+func (n *Node) runTask(ctx context.Context, task func(now time.Time)) bool {
 	done := make(chan struct{})
 	n.post(func(now time.Time) {
 		task(now)
@@ -166,7 +166,7 @@
 		s.Agents = table.Agents()
 		s.Gone = table.GoneAgents(n.options.Now().Add(-GoneFor))
 	}
-	before := n.current.Swap(&published{snapshot: s, changed: make(chan struct{})})
+	before := n.current.Swap(&publication{snapshot: s, changed: make(chan struct{})})
 	if before != nil {
 		close(before.changed)
 	}
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -17,18 +17,18 @@
 		bs, as := f.startMany(4, 2)
 		other := f.start(agentAt(2, "intake"))
 		for _, n := range bs {
-			Eventually(n.state(other.addr), patience).Should(Equal(member.StateStarting))
+			Eventually(n.memberState(other.addr), waitTimeout).Should(Equal(member.StateStarting))
 		}
 		a := as[0]
 		a.SetState(member.StateDraining)
 		for _, n := range append(bs, as[1]) {
-			Eventually(n.state(a.addr), patience).Should(Equal(member.StateDraining))
+			Eventually(n.memberState(a.addr), waitTimeout).Should(Equal(member.StateDraining))
 		}
 		a.Leave(context.Background())
 		for _, n := range append(bs, as[1]) {
-			Eventually(n.state(a.addr), patience).Should(Equal(member.StateGone))
+			Eventually(n.memberState(a.addr), waitTimeout).Should(Equal(member.StateGone))
 		}
-		Expect(as[1].state(other.addr)()).To(Equal(member.StateGone), "another service's agent is no sibling")
+		Expect(as[1].memberState(other.addr)()).To(Equal(member.StateGone), "another service's agent is no sibling")
 	})
 
 	It("declares a crashed process gone, and takes its successor at the same address", func() {
@@ -36,15 +36,15 @@
 		bs, as := f.startMany(4, 3)
 		as[0].crash()
 		for _, n := range append(bs, as[1:]...) {
-			Eventually(n.state(as[0].addr), patience).Should(Equal(member.StateGone))
+			Eventually(n.memberState(as[0].addr), waitTimeout).Should(Equal(member.StateGone))
 		}
 		for _, n := range bs {
-			Expect(n.gone()).To(Equal([]netip.AddrPort{as[0].addr}))
+			Expect(n.goneAddrs()).To(Equal([]netip.AddrPort{as[0].addr}))
 		}
-		Expect(as[1].gone()).To(BeEmpty(), "only balancers act on it")
+		Expect(as[1].goneAddrs()).To(BeEmpty(), "only balancers act on it")
 		f.start(agentAt(0, "results")).SetState(member.StateReady)
 		for _, n := range append(bs, as[1:]...) {
-			Eventually(n.state(as[0].addr), patience).Should(Equal(member.StateReady))
+			Eventually(n.memberState(as[0].addr), waitTimeout).Should(Equal(member.StateReady))
 		}
 	})
 
@@ -54,12 +54,12 @@
 		lost := as[0]
 		f.mesh.SetCut(func(a, _ netip.AddrPort) bool { return a == lost.addr })
 		for _, n := range append(bs, as[1:]...) {
-			Eventually(n.state(lost.addr), patience).Should(Equal(member.StateGone))
+			Eventually(n.memberState(lost.addr), waitTimeout).Should(Equal(member.StateGone))
 		}
 		f.mesh.SetCut(nil)
 		for _, n := range append(bs, as[1:]...) {
-			Eventually(n.state(lost.addr), patience).Should(Equal(member.StateReady))
-			Expect(n.gone()).To(BeEmpty())
+			Eventually(n.memberState(lost.addr), waitTimeout).Should(Equal(member.StateReady))
+			Expect(n.goneAddrs()).To(BeEmpty())
 		}
 	})
 
@@ -69,13 +69,13 @@
 		side := func(a netip.AddrPort) bool { return a.Addr().As4()[3]%2 == 0 }
 		f.mesh.SetCut(func(a, b netip.AddrPort) bool { return side(a) != side(b) })
 		for _, n := range bs {
-			Eventually(func() int { return n.count(control.EventKept) }, patience).Should(BeNumerically(">", 0))
+			Eventually(func() int { return n.eventCount(control.EventRetained) }, waitTimeout).Should(BeNumerically(">", 0))
 		}
 		f.mesh.SetCut(nil)
 		for _, n := range bs {
-			Eventually(func() int { return n.Status().Suspected }, patience).Should(BeZero())
-			Expect(n.count(control.EventDeclared)).To(BeZero(), "%v", n.events.Since(0))
-			Expect(n.ready()).To(Equal(8))
+			Eventually(func() int { return n.Status().Suspected }, waitTimeout).Should(BeZero())
+			Expect(n.eventCount(control.EventDeclared)).To(BeZero(), "%v", n.events.Since(0))
+			Expect(n.readyMembers()).To(Equal(8))
 		}
 		_ = as
 	})
--- a/internal/control/perform.go
+++ b/internal/control/perform.go
@@ -34,7 +34,7 @@
 	case gossip.Probe:
 		go n.sendProbe(a)
 	case gossip.Notice:
-		n.notice(a)
+		n.recordNotice(a)
 	case gossip.FindPeers:
 		n.findPeers(now)
 	}
@@ -58,7 +58,7 @@
 			n.engine.AnnounceFailed(now, a.To)
 			return
 		}
-		n.heard(now, a.To, reply.Claim, trip)
+		n.recordReplyClaim(now, a.To, reply.Claim, trip)
 		n.engine.AnnounceDone(now, a.To, a.Message, reply)
 	})
 }
@@ -69,7 +69,7 @@
 	if err != nil {
 		return // the periodic digests repair what was lost
 	}
-	n.post(func(now time.Time) { n.heard(now, a.To, reply.Claim, trip) })
+	n.post(func(now time.Time) { n.recordReplyClaim(now, a.To, reply.Claim, trip) })
 }
 
 func (n *Node) sendDigest(a gossip.SendDigest) {
@@ -79,7 +79,7 @@
 		return
 	}
 	n.post(func(now time.Time) {
-		n.heard(now, a.To, reply.Claim, trip)
+		n.recordReplyClaim(now, a.To, reply.Claim, trip)
 		n.engine.DigestDone(now, a.To, reply)
 	})
 }
--- a/internal/control/proxied_test.go
+++ b/internal/control/proxied_test.go
@@ -20,7 +20,7 @@
 
 const (
 	fleetSecret   = "1:5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a"
-	strangeSecret = "1:00000000000000000000000000000000"
+	foreignSecret = "1:00000000000000000000000000000000"
 )
 
 // proxied is a node that others reach through a proxy only.
@@ -59,13 +59,13 @@
 	return p
 }
 
-// silence swallows all that others send to the node.
-func (p *proxied) silence() {
+// blockIncoming swallows all that others send to the node.
+func (p *proxied) blockIncoming() {
 	_, err := p.proxy.Toxics.AddToxicJson(strings.NewReader(`{"name":"silent","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`))
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func (p *proxied) speak() { Expect(p.proxy.Toxics.RemoveToxic("silent")).To(Succeed()) }
+func (p *proxied) unblockIncoming() { Expect(p.proxy.Toxics.RemoveToxic("silent")).To(Succeed()) }
 
 var _ = Describe("A fleet over authenticated connections through proxies", func() {
 	It("keeps who can call but not be called, and drops who does neither", func() {
@@ -78,41 +78,41 @@
 			all = append(all, startProxied(agentAt(i, "results"), first.addr))
 		}
 		for _, n := range all {
-			Eventually(n.ready, patience).Should(Equal(6))
+			Eventually(n.readyMembers, waitTimeout).Should(Equal(6))
 		}
 		victim := all[5]
-		victim.silence()
+		victim.blockIncoming()
 		refuted := victim.Snapshot().Self.Version
 		victim.SetLoad(500)
 		for _, n := range all[:5] {
-			Eventually(func() int { return weightOf(n.node, victim.addr) }, patience).Should(Equal(500))
+			Eventually(func() int { return weightOf(n.node, victim.addr) }, waitTimeout).Should(Equal(500))
 		}
 		// Others may learn of a change before the victim's own next snapshot.
 		version := func() uint64 { return victim.Snapshot().Self.Version }
-		Eventually(version, patience).Should(BeNumerically(">", refuted))
+		Eventually(version, waitTimeout).Should(BeNumerically(">", refuted))
 		Expect(version()).To(Equal(refuted + 1))
-		victim.speak()
+		victim.unblockIncoming()
 		victim.crash()
 		for _, n := range all[:5] {
-			Eventually(n.state(victim.addr), patience).Should(Equal(member.StateGone))
-			Expect(n.ready()).To(Equal(5))
+			Eventually(n.memberState(victim.addr), waitTimeout).Should(Equal(member.StateGone))
+			Expect(n.readyMembers()).To(Equal(5))
 		}
 	})
 
 	It("lets a stranger announce nothing", func() {
 		first := startProxied(balancerAt(0))
-		stranger := listenPeer(strangeSecret)
+		stranger := listenPeer(foreignSecret)
 		fake := agentAt(9, "results")
 		fake.Control = netip.MustParseAddrPort("127.0.0.1:9")
 		fake.Incarnation = 1
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		var reply gossip.AnnounceReply
 		err := stranger.Call(ctx, first.addr, "Control.Announce", gossip.Announce{Self: fake}, &reply)
 		Expect(err).To(HaveOccurred())
-		conn, err := net.DialTimeout("tcp", first.addr.String(), patience)
+		conn, err := net.DialTimeout("tcp", first.addr.String(), waitTimeout)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(conn.SetDeadline(time.Now().Add(patience))).To(Succeed())
+		Expect(conn.SetDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 		_, _ = conn.Write([]byte("Control.Announce, if you please"))
 		_, err = conn.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred(), "what is no handshake is closed unanswered")
--- a/internal/control/reader.go
+++ b/internal/control/reader.go
@@ -7,22 +7,22 @@
 	"github.com/saltbend/saltbend/internal/seed"
 )
 
-// joinPatience is the time that peers get to hand a joining process the
+// joinReadDelay is the time that peers get to hand a joining process the
 // configuration before it reads the store itself.
-const joinPatience = time.Second
+const joinReadDelay = time.Second
 
-// reader reads the configuration for a process that does not serve yet.
-type reader struct {
+// configReader reads the configuration for a process that does not serve yet.
+type configReader struct {
 	busy    bool
 	next    time.Time
 	backoff seed.Backoff
 }
 
-// readToJoin reads the store, with back-off, until the process serves.
-func (n *Node) readToJoin(now time.Time) {
+// readUntilServing reads the store, with back-off, until the process serves.
+func (n *Node) readUntilServing(now time.Time) {
 	r := &n.reader
 	if r.next.IsZero() {
-		r.next = now.Add(joinPatience)
+		r.next = now.Add(joinReadDelay)
 	}
 	if n.serving != nil || r.busy || now.Before(r.next) {
 		return
--- a/internal/control/seeding.go
+++ b/internal/control/seeding.go
@@ -19,21 +19,21 @@
 
 // Events of seeds.
 const (
-	EventSeed     event.Kind = "seed-lease-taken"
-	EventSeedLost event.Kind = "seed-lease-lost"
+	EventSeedTaken event.Kind = "seed-lease-taken"
+	EventSeedLost  event.Kind = "seed-lease-lost"
 )
 
 // storeTimeout bounds one call to the store other than a watch.
 const storeTimeout = 3 * time.Second
 
-// holder is the value of a seed's key.
-type holder struct {
+// seedRecord is the value of a seed's key.
+type seedRecord struct {
 	Control     netip.AddrPort `json:"control"`
 	Incarnation uint64         `json:"incarnation"`
 }
 
-func parseHolder(value []byte) (holder, error) {
-	var h holder
+func parseSeedRecord(value []byte) (seedRecord, error) {
+	var h seedRecord
 	if err := json.Unmarshal(value, &h); err != nil {
 		return h, errors.Wrap(err, "control: seed record")
 	}
@@ -43,34 +43,34 @@
 	return h, nil
 }
 
-// seeding is the shell around the decisions of a seed. It belongs to the
+// seedState is the shell around the decisions of a seed. It belongs to the
 // state's goroutine.
-type seeding struct {
+type seedState struct {
 	machine *seed.Machine
 	value   []byte
 	held    bool
 	stop    context.CancelFunc // ends the watch
 }
 
-func newSeeding(n *Node) seeding {
+func newSeedState(n *Node) seedState {
 	self := n.options.Self
-	value, _ := json.Marshal(holder{self.Control, self.Incarnation}) // of plain fields: cannot fail
-	return seeding{machine: seed.New(n.rand, n.options.SeedLease), value: value}
+	value, _ := json.Marshal(seedRecord{self.Control, self.Incarnation}) // of plain fields: cannot fail
+	return seedState{machine: seed.New(n.rand, n.options.SeedLease), value: value}
 }
 
-// useStore does at the store what is due.
-func (n *Node) useStore(now time.Time) {
+// runStoreTasks does at the store what is due.
+func (n *Node) runStoreTasks(now time.Time) {
 	if n.options.Store == nil {
 		return
 	}
-	n.readToJoin(now)
-	if n.finder.wanted {
+	n.readUntilServing(now)
+	if n.finder.requested {
 		n.findPeers(now)
 	}
 	if n.options.Self.Role != member.RoleBalancer {
 		return
 	}
-	n.followLease(now)
+	n.applyLease(now)
 	if a := n.seeding.machine.Decide(now, n.seedInput(now)); a.Kind != seed.None {
 		go n.seedCall(a)
 	}
@@ -89,8 +89,8 @@
 	return in
 }
 
-// followLease watches the configuration for as long as the lease is held.
-func (n *Node) followLease(now time.Time) {
+// applyLease watches the configuration for as long as the lease is held.
+func (n *Node) applyLease(now time.Time) {
 	s := &n.seeding
 	held := s.machine.Holding(now)
 	if held == s.held {
@@ -99,12 +99,12 @@
 	s.held = held
 	if !held {
 		s.stop()
-		n.event(EventSeedLost, n.options.Self.DataCentre)
+		n.recordEvent(EventSeedLost, n.options.Self.DataCentre)
 		return
 	}
 	ctx, cancel := context.WithCancel(n.ctx)
 	s.stop = cancel
-	n.event(EventSeed, n.options.Self.DataCentre)
+	n.recordEvent(EventSeedTaken, n.options.Self.DataCentre)
 	go n.watchConfig(ctx)
 }
 
@@ -124,14 +124,14 @@
 	case seed.Release:
 		err = n.options.Store.Delete(ctx, key, a.Revision)
 	}
-	result := n.resultOf(a, entry, err)
+	result := n.seedResult(a, entry, err)
 	n.post(func(now time.Time) {
-		n.noteStore(now, err)
+		n.recordStoreContact(now, err)
 		n.seeding.machine.Done(now, sent, a, result, entry.Revision)
 		if a.Kind == seed.Claim && result != seed.Unavailable {
 			// Other holders may belong to a part of the fleet not met yet. Of
 			// two that claim, the later one sees the earlier.
-			n.finder.wanted = true
+			n.finder.requested = true
 		}
 	})
 	if result == seed.Held {
@@ -142,10 +142,10 @@
 	}
 }
 
-func (n *Node) resultOf(a seed.Action, entry store.Entry, err error) seed.Result {
+func (n *Node) seedResult(a seed.Action, entry store.Entry, err error) seed.Result {
 	switch {
 	case err == nil && a.Kind == seed.Inspect:
-		h, parseErr := parseHolder(entry.Value)
+		h, parseErr := parseSeedRecord(entry.Value)
 		if parseErr == nil && h.Control == n.options.Self.Control && h.Incarnation == n.options.Self.Incarnation {
 			return seed.Held
 		}
@@ -162,8 +162,8 @@
 	return seed.Unknown
 }
 
-// noteStore keeps whether and when the store answered.
-func (n *Node) noteStore(now time.Time, err error) {
+// recordStoreContact keeps whether and when the store answered.
+func (n *Node) recordStoreContact(now time.Time, err error) {
 	reached := err == nil || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrConflict)
 	n.store.Reachable = reached
 	if reached {
@@ -175,17 +175,17 @@
 func (n *Node) readConfig(ctx context.Context) {
 	sent := n.options.Now()
 	entry, err := n.options.Store.Get(ctx, record.Key)
-	n.post(func(now time.Time) { n.tookReading(now, sent, entry, err) })
+	n.post(func(now time.Time) { n.handleReading(now, sent, entry, err) })
 }
 
-// tookReading takes in what a read of the configuration showed.
-func (n *Node) tookReading(now, sent time.Time, entry store.Entry, err error) {
-	n.noteStore(now, err)
+// handleReading takes in what a read of the configuration showed.
+func (n *Node) handleReading(now, sent time.Time, entry store.Entry, err error) {
+	n.recordStoreContact(now, err)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return
 	}
 	if err == nil {
-		n.take(entry.Value, entry.Revision)
+		n.adoptValue(entry.Value, entry.Revision)
 	}
 	n.adopt.Read(adopt.Reading{Revision: entry.Revision, Age: now.Sub(sent)}, now)
 }
@@ -205,8 +205,8 @@
 		after = entry.Revision
 		// How old the answer is, is not known: it is no reading.
 		n.post(func(now time.Time) {
-			n.noteStore(now, nil)
-			n.take(entry.Value, entry.Revision)
+			n.recordStoreContact(now, nil)
+			n.adoptValue(entry.Value, entry.Revision)
 		})
 	}
 }
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -31,14 +31,14 @@
 	node *Node
 }
 
-// answer runs the task of one call on the state's goroutine and stores what it
+// handle runs the task of one call on the state's goroutine and stores what it
 // returns. The reply is written here, since the task may run on after the wait
 // for it was given up.
-func answer[R any](s *Service, reply *R, task func(now time.Time) R) error {
+func handle[R any](s *Service, reply *R, task func(now time.Time) R) error {
 	ctx, cancel := context.WithTimeout(s.node.ctx, callTimeout)
 	defer cancel()
 	var out R
-	if !s.node.ask(ctx, func(now time.Time) { out = task(now) }) {
+	if !s.node.runTask(ctx, func(now time.Time) { out = task(now) }) {
 		return errStopped
 	}
 	*reply = out
@@ -50,9 +50,9 @@
 	if !validMember(a.Self) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.AnnounceReply {
+	return handle(s, reply, func(now time.Time) gossip.AnnounceReply {
 		if a.Self.Role == member.RoleBalancer { // an agent has only its section
-			s.node.heardFrom(now, a.Self.Control, a.Claim)
+			s.node.recordRequestClaim(now, a.Self.Control, a.Claim)
 		}
 		r := s.node.engine.HandleAnnounce(now, a)
 		r.Claim = s.node.claim(now, a.Self.Control)
@@ -65,8 +65,8 @@
 	if !validAddr(p.From) || !validMembers(p.Members) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.PushReply {
-		s.node.heardFrom(now, p.From, p.Claim)
+	return handle(s, reply, func(now time.Time) gossip.PushReply {
+		s.node.recordRequestClaim(now, p.From, p.Claim)
 		r := s.node.engine.HandlePush(now, p)
 		r.Claim = s.node.claim(now, p.From)
 		return r
@@ -78,8 +78,8 @@
 	if !validAddr(d.From) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.DigestReply {
-		s.node.heardFrom(now, d.From, d.Claim)
+	return handle(s, reply, func(now time.Time) gossip.DigestReply {
+		s.node.recordRequestClaim(now, d.From, d.Claim)
 		r := s.node.engine.HandleDigest(now, d)
 		r.Claim = s.node.claim(now, d.From)
 		return r
@@ -91,7 +91,7 @@
 	if !validAddr(x.From) || !validMembers(x.Members) || !validBuckets(x.Buckets) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.Exchange {
+	return handle(s, reply, func(now time.Time) gossip.Exchange {
 		return s.node.engine.HandleExchange(now, x)
 	})
 }
@@ -111,7 +111,7 @@
 	if !validAddr(a.From) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) PingReply {
+	return handle(s, reply, func(now time.Time) PingReply {
 		s.node.engine.HandleProbe(now, a.From, a.Suspicion)
 		return PingReply{}
 	})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -42,12 +42,12 @@
 
 // Status answers what the process knows and does.
 func (s *Service) Status(a StatusArgs, reply *Status) error {
-	return answer(s, reply, func(now time.Time) Status { return s.node.status(now, a) })
+	return handle(s, reply, func(now time.Time) Status { return s.node.status(now, a) })
 }
 
 // Status returns what the process knows and does.
 func (n *Node) Status() (out Status) {
-	n.ask(n.ctx, func(now time.Time) { out = n.status(now, StatusArgs{}) })
+	n.runTask(n.ctx, func(now time.Time) { out = n.status(now, StatusArgs{}) })
 	return out
 }
 
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -29,11 +29,11 @@
 		f := newFleet().withStore()
 		revision := f.apply(0)
 		bs, as := f.startMany(5, 2)
-		Eventually(seeds(bs), patience).Should(Equal(seed.Slots))
+		Eventually(seeds(bs), waitTimeout).Should(Equal(seed.Slots))
 		for range 3 {
 			revision = f.apply(revision)
 			for _, n := range append(bs, as...) {
-				Eventually(n.inForce, patience).Should(Equal(revision))
+				Eventually(n.inForce, waitTimeout).Should(Equal(revision))
 			}
 		}
 	})
@@ -43,7 +43,7 @@
 		revision := f.apply(0)
 		bs, as := f.startMany(3, 2)
 		for _, n := range append(bs, as...) {
-			Eventually(n.inForce, patience).Should(Equal(revision))
+			Eventually(n.inForce, waitTimeout).Should(Equal(revision))
 		}
 		f.fake.SetFaults(storefake.Faults{Down: true})
 		for i := range 3 {
@@ -54,20 +54,20 @@
 			}
 			n := f.start(next)
 			n.SetState(member.StateReady)
-			Eventually(n.inForce, patience).Should(Equal(revision))
-			Eventually(n.ready, patience).Should(Equal(6))
+			Eventually(n.inForce, waitTimeout).Should(Equal(revision))
+			Eventually(n.readyMembers, waitTimeout).Should(Equal(6))
 			bs[0].crash()
 			bs = append(bs[1:], n)
 			for _, b := range append(bs, as...) {
-				Eventually(b.ready, patience).Should(Equal(5))
+				Eventually(b.readyMembers, waitTimeout).Should(Equal(5))
 			}
 		}
 		late := f.start(agentAt(9, "results"))
 		late.SetState(member.StateReady)
 		for _, n := range append(bs, as...) {
-			Eventually(n.state(late.addr), patience).Should(Equal(member.StateReady))
+			Eventually(n.memberState(late.addr), waitTimeout).Should(Equal(member.StateReady))
 		}
-		Eventually(late.inForce, patience).Should(Equal(revision))
+		Eventually(late.inForce, waitTimeout).Should(Equal(revision))
 	})
 
 	It("makes parts meet that formed apart", func() {
@@ -87,7 +87,7 @@
 			n.SetState(member.StateReady)
 		}
 		for _, n := range []*node{a, b, c, d} {
-			Eventually(n.ready, patience).Should(Equal(4))
+			Eventually(n.readyMembers, waitTimeout).Should(Equal(4))
 		}
 	})
 
@@ -96,9 +96,9 @@
 		revision := f.apply(0)
 		bs, as := f.startMany(9, 3)
 		for _, n := range append(bs, as...) {
-			Eventually(n.inForce, patience).Should(Equal(revision))
+			Eventually(n.inForce, waitTimeout).Should(Equal(revision))
 		}
-		Eventually(seeds(bs), patience).Should(Equal(seed.Slots))
+		Eventually(seeds(bs), waitTimeout).Should(Equal(seed.Slots))
 		// The first to start may hold the leases at first; they give way soon.
 		callers := func() int {
 			before := make(map[*node]int64)
@@ -110,7 +110,7 @@
 					calls += n.store.calls.Load() - then
 				}
 				return calls
-			}, patience).Should(BeNumerically(">", 20))
+			}, waitTimeout).Should(BeNumerically(">", 20))
 			count := 0
 			for n, calls := range before {
 				if n.store.calls.Load() > calls {
@@ -119,7 +119,7 @@
 			}
 			return count
 		}
-		Eventually(callers, patience).Should(Equal(seed.Slots))
+		Eventually(callers, waitTimeout).Should(Equal(seed.Slots))
 	})
 
 	It("brings a change to all though those who come first as seeds have lost it", func() {
@@ -136,14 +136,14 @@
 				}
 			}
 			return len(first)
-		}, patience).Should(Equal(seed.Slots))
+		}, waitTimeout).Should(Equal(seed.Slots))
 		for _, n := range first {
 			DeferCleanup(n.store.freeze())
 		}
 		for range 2 { // watches that are at the store already bring the first
 			revision = f.apply(revision)
 			for _, n := range append(bs, as...) {
-				Eventually(n.inForce, patience).Should(Equal(revision))
+				Eventually(n.inForce, waitTimeout).Should(Equal(revision))
 			}
 		}
 	})
@@ -152,7 +152,7 @@
 		f := newFleet().withStore()
 		revision := f.apply(0)
 		bs, as := f.startMany(4, 2)
-		Eventually(seeds(bs), patience).Should(Equal(seed.Slots))
+		Eventually(seeds(bs), waitTimeout).Should(Equal(seed.Slots))
 		var frozen *node
 		for _, n := range bs {
 			if n.Status().Seed {
@@ -160,17 +160,17 @@
 			}
 		}
 		thaw := frozen.store.freeze()
-		Eventually(func() bool { return frozen.Status().Seed }, patience).Should(BeFalse())
+		Eventually(func() bool { return frozen.Status().Seed }, waitTimeout).Should(BeFalse())
 		revision = f.apply(revision)
 		for _, n := range append(bs, as...) {
-			Eventually(n.inForce, patience).Should(Equal(revision))
-			Expect(n.ready()).To(Equal(6))
+			Eventually(n.inForce, waitTimeout).Should(Equal(revision))
+			Expect(n.readyMembers()).To(Equal(6))
 		}
 		thaw()
-		Eventually(seeds(bs), patience).Should(Equal(seed.Slots))
+		Eventually(seeds(bs), waitTimeout).Should(Equal(seed.Slots))
 		for _, n := range append(bs, as...) {
 			Expect(n.inForce()).To(Equal(revision))
-			Expect(n.count(control.EventDeclared)).To(BeZero())
+			Expect(n.eventCount(control.EventDeclared)).To(BeZero())
 		}
 	})
 })
