--- a/internal/adopt/adopt.go
+++ b/internal/adopt/adopt.go
@@ -28,22 +28,22 @@
 
 // Rules are the parameters of the decision.
 type Rules struct {
-	// Fresh is how old a reading of the store may be to vouch alone.
-	Fresh time.Duration
+	// MaxReadingAge is how old a reading of the store may be to vouch alone.
+	MaxReadingAge time.Duration
 	// Quorum caps the number of peers that have to answer.
 	Quorum int
-	// Patience is how long an answer counts without being repeated.
-	Patience time.Duration
+	// AnswerTTL is how long an answer counts without being repeated.
+	AnswerTTL time.Duration
 }
 
 // DefaultRules return the parameters that the daemon uses.
 func DefaultRules() Rules {
 	const (
-		fresh    = 10 * time.Second
-		quorum   = 5
-		patience = 30 * time.Second
+		maxReadingAge = 10 * time.Second
+		quorum        = 5
+		answerTTL     = 30 * time.Second
 	)
-	return Rules{Fresh: fresh, Quorum: quorum, Patience: patience}
+	return Rules{MaxReadingAge: maxReadingAge, Quorum: quorum, AnswerTTL: answerTTL}
 }
 
 // Reading tells what a read of the store showed and how old it is.
@@ -87,34 +87,34 @@
 
 // Reasons for serving or not.
 const (
-	ReasonNothing Reason = "no configuration is known"
-	ReasonHigher  Reason = "a peer has a higher revision"
-	ReasonUnsure  Reason = "too few peers that serve have answered, and no fresh reading of the store is known"
-	ReasonMemory  Reason = "served before"
-	ReasonStore   Reason = "a fresh reading of the store"
-	ReasonPeers   Reason = "enough peers that serve"
+	ReasonNoRevision     Reason = "no configuration is known"
+	ReasonHigher         Reason = "a peer has a higher revision"
+	ReasonUnconfirmed    Reason = "too few peers that serve have answered, and no fresh reading of the store is known"
+	ReasonAlreadyServing Reason = "served before"
+	ReasonStore          Reason = "a fresh reading of the store"
+	ReasonPeers          Reason = "enough peers that serve"
 )
 
 // State is what a process knows about the configuration. The zero value is not
 // usable; New makes one. One goroutine owns it.
 type State struct {
-	started   time.Time
-	rules     Rules
-	adopted   uint64
-	served    bool
-	balancers int
-	answers   map[netip.AddrPort]heard
-	read      reading
+	started      time.Time
+	rules        Rules
+	adopted      uint64
+	served       bool
+	balancers    int
+	answers      map[netip.AddrPort]timedAnswer
+	storeReading storedReading
 }
 
-// heard is an answer with the time at which it came.
-type heard struct {
+// timedAnswer is an answer with the time at which it came.
+type timedAnswer struct {
 	Answer
 	at time.Time
 }
 
-// reading is the newest known read of the store by the time it was sent.
-type reading struct {
+// storedReading is the newest known read of the store by the time it was sent.
+type storedReading struct {
 	known    bool
 	revision uint64
 	sent     time.Time
@@ -122,47 +122,47 @@
 
 // New returns the state of a process without memory that starts now.
 func New(rules Rules, now time.Time) *State {
-	return &State{rules: rules, started: now, answers: map[netip.AddrPort]heard{}}
+	return &State{rules: rules, started: now, answers: map[netip.AddrPort]timedAnswer{}}
 }
 
 // Revision returns the adopted revision, 0 for none.
 func (s *State) Revision() uint64 { return s.adopted }
 
-// Read notes a reading of the store, the process's own or a relayed one.
-func (s *State) Read(r Reading, now time.Time) {
+// RecordReading notes a reading of the store, the process's own or a relayed one.
+func (s *State) RecordReading(r Reading, now time.Time) {
 	sent := now.Add(-r.Age)
-	if s.read.known && !sent.After(s.read.sent) {
+	if s.storeReading.known && !sent.After(s.storeReading.sent) {
 		return
 	}
-	s.read = reading{known: true, revision: r.Revision, sent: sent}
+	s.storeReading = storedReading{known: true, revision: r.Revision, sent: sent}
 }
 
 // Reading returns the newest reading to pass on to peers, nil for none. One
 // whose revision the process has not adopted is not passed on: who hears of a
 // revision must be able to fetch it here.
 func (s *State) Reading(now time.Time) *Reading {
-	if !s.read.known || s.read.revision > s.adopted {
+	if !s.storeReading.known || s.storeReading.revision > s.adopted {
 		return nil
 	}
-	return &Reading{Revision: s.read.revision, Age: now.Sub(s.read.sent)}
+	return &Reading{Revision: s.storeReading.revision, Age: now.Sub(s.storeReading.sent)}
 }
 
-// Heard notes a peer's answer. Its revision does not fall below an earlier
+// RecordAnswer notes a peer's answer. Its revision does not fall below an earlier
 // answer's: the two may have overtaken each other on their way.
-func (s *State) Heard(a Answer, now time.Time) {
+func (s *State) RecordAnswer(a Answer, now time.Time) {
 	if a.Reading != nil {
-		s.Read(*a.Reading, now)
+		s.RecordReading(*a.Reading, now)
 	}
 	a.Revision = max(a.Revision, s.answers[a.Peer].Revision)
-	s.answers[a.Peer] = heard{Answer: a, at: now}
+	s.answers[a.Peer] = timedAnswer{Answer: a, at: now}
 }
 
-// Gone forgets a peer that membership holds for gone.
-func (s *State) Gone(peer netip.AddrPort) { delete(s.answers, peer) }
+// RemovePeer forgets a peer that membership holds for gone.
+func (s *State) RemovePeer(peer netip.AddrPort) { delete(s.answers, peer) }
 
-// Expect sets the number of other balancers that membership knows and that are
+// SetBalancers sets the number of other balancers that membership knows and that are
 // not gone. A quorum is a majority of them, at most Rules.Quorum.
-func (s *State) Expect(balancers int) { s.balancers = balancers }
+func (s *State) SetBalancers(balancers int) { s.balancers = balancers }
 
 // Adopt takes over a revision whose text is checked and parsed. It refuses one
 // that is not higher than the adopted revision.
@@ -178,8 +178,8 @@
 // serve holds for the life of the process.
 func (s *State) Decide(now time.Time) Decision {
 	s.expire(now)
-	d := s.fetch()
-	d.Serve, d.Reason = s.serve(d.Fetch > 0, now)
+	d := s.selectFetch()
+	d.Serve, d.Reason = s.mayServe(d.Fetch > 0, now)
 	s.served = s.served || d.Serve
 	return d
 }
@@ -187,15 +187,15 @@
 // expire drops answers that are too old to tell what their peer knows now.
 func (s *State) expire(now time.Time) {
 	for peer, h := range s.answers {
-		if now.Sub(h.at) > s.rules.Patience {
+		if now.Sub(h.at) > s.rules.AnswerTTL {
 			delete(s.answers, peer)
 		}
 	}
 }
 
-// fetch picks the highest revision that a peer holds, of equals the peer with
+// selectFetch picks the highest revision that a peer holds, of equals the peer with
 // the lowest address, so that a replay decides the same.
-func (s *State) fetch() Decision {
+func (s *State) selectFetch() Decision {
 	var d Decision
 	for peer, h := range s.answers {
 		if h.Revision <= s.adopted || h.Revision < d.Fetch {
@@ -208,37 +208,37 @@
 	return d
 }
 
-func (s *State) serve(higher bool, now time.Time) (bool, Reason) {
+func (s *State) mayServe(higher bool, now time.Time) (bool, Reason) {
 	switch {
 	case s.adopted == 0:
-		return false, ReasonNothing
+		return false, ReasonNoRevision
 	case s.served:
-		return true, ReasonMemory
-	case higher || s.readHigher(now):
+		return true, ReasonAlreadyServing
+	case higher || s.readingIsHigher(now):
 		return false, ReasonHigher
-	case s.readFresh(now):
+	case s.hasFreshReading(now):
 		return true, ReasonStore
-	case s.vouching() >= s.quorum():
+	case s.servingPeers() >= s.quorum():
 		return true, ReasonPeers
 	}
-	return false, ReasonUnsure
+	return false, ReasonUnconfirmed
 }
 
-// readFresh reports whether the store was read lately and since the start.
-func (s *State) readFresh(now time.Time) bool {
-	return s.read.known && !s.read.sent.Before(s.started) && now.Sub(s.read.sent) <= s.rules.Fresh
+// hasFreshReading reports whether the store was read lately and since the start.
+func (s *State) hasFreshReading(now time.Time) bool {
+	return s.storeReading.known && !s.storeReading.sent.Before(s.started) && now.Sub(s.storeReading.sent) <= s.rules.MaxReadingAge
 }
 
-// readHigher reports whether the store lately held a higher revision. An older
+// readingIsHigher reports whether the store lately held a higher revision. An older
 // reading does not count: its text may have been lost with its reader, and a
 // quorum of peers that serve then knows better.
-func (s *State) readHigher(now time.Time) bool {
-	return s.read.known && s.read.revision > s.adopted && now.Sub(s.read.sent) <= s.rules.Patience
+func (s *State) readingIsHigher(now time.Time) bool {
+	return s.storeReading.known && s.storeReading.revision > s.adopted && now.Sub(s.storeReading.sent) <= s.rules.AnswerTTL
 }
 
-// vouching counts the peers that serve on a revision. After fetch none of them
+// servingPeers counts the peers that serve on a revision. After fetch none of them
 // has a higher one than ours.
-func (s *State) vouching() int {
+func (s *State) servingPeers() int {
 	n := 0
 	for _, h := range s.answers {
 		if h.Serving {
--- a/internal/adopt/adopt_test.go
+++ b/internal/adopt/adopt_test.go
@@ -32,21 +32,21 @@
 		after     time.Duration
 		want      adopt.Decision
 	}{
-		{name: "nothing known", want: adopt.Decision{Reason: adopt.ReasonNothing}},
+		{name: "nothing known", want: adopt.Decision{Reason: adopt.ReasonNoRevision}},
 		{name: "fetch the highest", answers: []adopt.Answer{serving(1, 4), serving(2, 6)}, adopted: 4, balancers: 3,
 			want: adopt.Decision{Fetch: 6, From: peer(2), Reason: adopt.ReasonHigher}},
 		{name: "one of three has answered", answers: []adopt.Answer{serving(1, 4)}, adopted: 4, balancers: 3,
-			want: adopt.Decision{Reason: adopt.ReasonUnsure}},
+			want: adopt.Decision{Reason: adopt.ReasonUnconfirmed}},
 		{name: "a majority has answered", answers: []adopt.Answer{serving(1, 4), serving(2, 4)}, adopted: 4, balancers: 3,
 			want: adopt.Decision{Serve: true, Reason: adopt.ReasonPeers}},
 		{name: "a peer knows more balancers than the newcomer", adopted: 4,
 			answers: []adopt.Answer{{Peer: peer(1), Revision: 4, Serving: true, Balancers: 3}},
-			want:    adopt.Decision{Reason: adopt.ReasonUnsure}},
+			want:    adopt.Decision{Reason: adopt.ReasonUnconfirmed}},
 		{name: "an answer overtaken by a later one", answers: []adopt.Answer{serving(1, 6), serving(1, 4)}, adopted: 4,
 			want: adopt.Decision{Fetch: 6, From: peer(1), Reason: adopt.ReasonHigher}},
 		{name: "newcomers do not vouch for each other", balancers: 3, adopted: 4,
 			answers: []adopt.Answer{serving(1, 4), {Peer: peer(2), Revision: 4}, {Peer: peer(3), Revision: 4}},
-			want:    adopt.Decision{Reason: adopt.ReasonUnsure}},
+			want:    adopt.Decision{Reason: adopt.ReasonUnconfirmed}},
 		{name: "a newcomer's higher revision counts", balancers: 3, adopted: 4,
 			answers: []adopt.Answer{serving(1, 4), serving(2, 4), {Peer: peer(3), Revision: 5}},
 			want:    adopt.Decision{Fetch: 5, From: peer(3), Reason: adopt.ReasonHigher}},
@@ -56,27 +56,27 @@
 		{name: "a fresh reading vouches alone", balancers: 9, adopted: 4, read: &adopt.Reading{Revision: 4, Age: time.Second},
 			want: adopt.Decision{Serve: true, Reason: adopt.ReasonStore}},
 		{name: "a reading ages on its way", balancers: 9, adopted: 4, read: &adopt.Reading{Revision: 4, Age: 9 * time.Second},
-			after: 2 * time.Second, want: adopt.Decision{Reason: adopt.ReasonUnsure}},
+			after: 2 * time.Second, want: adopt.Decision{Reason: adopt.ReasonUnconfirmed}},
 		{name: "a reading from before the start", balancers: 9, adopted: 4, read: &adopt.Reading{Revision: 4, Age: processAge + 1},
-			want: adopt.Decision{Reason: adopt.ReasonUnsure}},
+			want: adopt.Decision{Reason: adopt.ReasonUnconfirmed}},
 		{name: "a reading shows a higher revision", balancers: 1, adopted: 4, read: &adopt.Reading{Revision: 5},
 			answers: []adopt.Answer{serving(1, 4)}, want: adopt.Decision{Reason: adopt.ReasonHigher}},
 		{name: "old answers do not count", balancers: 1, adopted: 4, answers: []adopt.Answer{serving(1, 4)}, after: late,
-			want: adopt.Decision{Reason: adopt.ReasonUnsure}},
+			want: adopt.Decision{Reason: adopt.ReasonUnconfirmed}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			s := adopt.New(adopt.DefaultRules(), start.Add(-processAge))
-			s.Expect(tt.balancers)
+			s.SetBalancers(tt.balancers)
 			if tt.adopted > 0 {
 				s.Adopt(tt.adopted)
 			}
 			if tt.read != nil {
-				s.Read(*tt.read, start)
+				s.RecordReading(*tt.read, start)
 			}
 			for _, a := range tt.answers {
-				s.Heard(a, start)
+				s.RecordAnswer(a, start)
 			}
 			g.Expect(s.Decide(start.Add(tt.after))).To(gomega.Equal(tt.want))
 		})
--- a/internal/adopt/fleet_test.go
+++ b/internal/adopt/fleet_test.go
@@ -13,26 +13,26 @@
 
 // message is an answer on its way to a process.
 type message struct {
-	to, life int
-	answer   adopt.Answer
+	to, incarnation int
+	answer          adopt.Answer
 }
 
 // process is one balancer with what the test knows of it.
 type process struct {
-	state   *adopt.State
-	life    int
-	serving bool
+	state       *adopt.State
+	incarnation int
+	serving     bool
 	// inForce is the revision that was in force when the process started.
 	inForce uint64
 }
 
 // fleet follows spec/config_adopt.pml, with the real rule in each process.
 type fleet struct {
-	now     time.Time
-	stored  uint64
-	inForce uint64
-	all     [processes]process
-	sent    []message
+	now      time.Time
+	stored   uint64
+	inForce  uint64
+	all      [processes]process
+	inFlight []message
 }
 
 func newFleet() *fleet {
@@ -46,13 +46,13 @@
 }
 
 func (f *fleet) restart(i int) {
-	f.all[i] = process{state: adopt.New(adopt.DefaultRules(), f.now), life: f.all[i].life + 1, inForce: f.inForce}
+	f.all[i] = process{state: adopt.New(adopt.DefaultRules(), f.now), incarnation: f.all[i].incarnation + 1, inForce: f.inForce}
 }
 
 func (f *fleet) read(i int) {
 	s := f.all[i].state
 	s.Adopt(f.stored)
-	s.Read(adopt.Reading{Revision: f.stored}, f.now)
+	s.RecordReading(adopt.Reading{Revision: f.stored}, f.now)
 }
 
 // send puts a process's answer on its way to another.
@@ -61,7 +61,7 @@
 		return
 	}
 	p := &f.all[from]
-	f.sent = append(f.sent, message{to: to, life: f.all[to].life, answer: adopt.Answer{
+	f.inFlight = append(f.inFlight, message{to: to, incarnation: f.all[to].incarnation, answer: adopt.Answer{
 		Peer: peer(from), Revision: p.state.Revision(), Serving: p.serving,
 		Reading: p.state.Reading(f.now), Balancers: processes - 1,
 	}})
@@ -70,13 +70,13 @@
 // deliver hands over a message, unless its receiver has restarted since. How
 // long it was under way is not known, so that its reading counts as old.
 func (f *fleet) deliver(n int) {
-	m := f.sent[n]
-	f.sent = append(f.sent[:n], f.sent[n+1:]...)
-	if p := &f.all[m.to]; p.life == m.life {
+	m := f.inFlight[n]
+	f.inFlight = append(f.inFlight[:n], f.inFlight[n+1:]...)
+	if p := &f.all[m.to]; p.incarnation == m.incarnation {
 		if m.answer.Reading != nil {
 			m.answer.Reading.Age += time.Hour
 		}
-		p.state.Heard(m.answer, f.now)
+		p.state.RecordAnswer(m.answer, f.now)
 	}
 }
 
@@ -88,7 +88,7 @@
 	if d.Fetch > 0 {
 		from := f.all[d.From.Addr().As4()[3]].state.Revision()
 		if from <= p.state.Revision() {
-			p.state.Gone(d.From)
+			p.state.RemovePeer(d.From)
 			return false
 		}
 		p.state.Adopt(from)
@@ -99,8 +99,8 @@
 	return begins && p.state.Revision() < p.inForce
 }
 
-// noteInForce keeps the highest revision that a majority has served on.
-func (f *fleet) noteInForce() {
+// updateInForce keeps the highest revision that a majority has served on.
+func (f *fleet) updateInForce() {
 	for revision := f.inForce + 1; revision <= f.stored; revision++ {
 		count := 0
 		for i := range f.all {
@@ -114,44 +114,44 @@
 	}
 }
 
-// TestNoProcessRevertsWhateverRestarts drives processes through late answers,
+// TestNoProcessRevertsAfterRestarts drives processes through late answers,
 // readings of the store and restarts.
-func TestNoProcessRevertsWhateverRestarts(t *testing.T) {
+func TestNoProcessRevertsAfterRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
-		f.noteInForce()
-		any := func(name string) int { return rapid.IntRange(0, processes-1).Draw(t, name) }
+		f.updateInForce()
+		drawProcess := func(name string) int { return rapid.IntRange(0, processes-1).Draw(t, name) }
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			before := [processes]uint64{}
-			lives := [processes]int{}
+			incarnations := [processes]int{}
 			served := [processes]bool{}
 			for i, p := range f.all {
-				before[i], lives[i], served[i] = p.state.Revision(), p.life, p.serving
+				before[i], incarnations[i], served[i] = p.state.Revision(), p.incarnation, p.serving
 			}
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.SampledFrom([]string{"send", "send", "deliver", "deliver", "decide", "decide", "change", "read", "late", "restart"}).Draw(t, "step") {
 			case "send":
-				f.send(any("from"), any("to"))
+				f.send(drawProcess("from"), drawProcess("to"))
 			case "deliver":
-				if len(f.sent) > 0 {
-					f.deliver(rapid.IntRange(0, len(f.sent)-1).Draw(t, "message"))
+				if len(f.inFlight) > 0 {
+					f.deliver(rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "message"))
 				}
 			case "decide":
-				if i := any("who"); f.decide(i) {
+				if i := drawProcess("who"); f.decide(i) {
 					t.Fatalf("process %d began on %d though %d was in force at its start", i, f.all[i].state.Revision(), f.all[i].inForce)
 				}
 			case "change":
 				f.stored++
 			case "read":
-				f.read(any("reader"))
+				f.read(drawProcess("reader"))
 			case "late":
-				f.all[any("late")].state.Adopt(rapid.Uint64Range(1, f.stored).Draw(t, "revision"))
+				f.all[drawProcess("late")].state.Adopt(rapid.Uint64Range(1, f.stored).Draw(t, "revision"))
 			case "restart":
-				f.restart(any("restarts"))
+				f.restart(drawProcess("restarts"))
 			}
-			f.noteInForce()
+			f.updateInForce()
 			for i, p := range f.all {
-				if p.life == lives[i] && (p.state.Revision() < before[i] || served[i] && !p.serving) {
+				if p.incarnation == incarnations[i] && (p.state.Revision() < before[i] || served[i] && !p.serving) {
 					t.Fatalf("process %d fell back from %d (serving %v)", i, before[i], served[i])
 				}
 			}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// The fleets of the benchmark have the shape of the largest one expected.
+// The benchmarked fleets have the proportions of the largest expected fleet.
 const (
 	targetBalancers = 780
 	targetMembers   = 6880
@@ -22,9 +22,9 @@
 	renewals        = 200
 )
 
-// BenchmarkCapacityStep measures what a renewal costs the goroutine that owns
-// the state of a balancer, with all that it looks at after each message. The
-// calls of other processes cost nothing here.
+// BenchmarkCapacityStep measures the cost of a renewal on the goroutine that owns
+// the state of a balancer, including the step that follows each message. Calls to
+// other processes are stubbed out.
 func BenchmarkCapacityStep(b *testing.B) {
 	for _, members := range []int{700, 2100, 6900} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// newMembers returns the members of a fleet, the balancers first.
+// newMembers returns the members of a fleet, balancers first.
 func newMembers(members int) []member.Member {
 	balancers := members * targetBalancers / targetMembers
 	var out []member.Member
@@ -59,7 +59,8 @@
 	return out
 }
 
-// newBenchNode returns the first balancer of a fleet that it knows.
+// newBenchNode returns a node that runs as the first balancer of the fleet and
+// has all members in its table.
 func newBenchNode(b *testing.B, fleet []member.Member) *Node {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -79,7 +80,7 @@
 	return n
 }
 
-// idlePeer answers every call with no news.
+// idlePeer answers every call with an empty reply, and every digest with "equal".
 type idlePeer struct{}
 
 func (idlePeer) Register(string, any) error { return nil }
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// occupiedStore is a store whose slots others hold.
+// occupiedStore is a store in which other processes hold all seed slots.
 type occupiedStore struct{ store.Store }
 
 func (occupiedStore) Get(context.Context, string) (store.Entry, error) {
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -14,25 +14,26 @@
 	"github.com/saltbend/saltbend/internal/record"
 )
 
-// Events of the configuration.
+// Events about the configuration.
 const (
 	EventAdopted event.Kind = "configuration-adopted"
 	EventServing event.Kind = "configuration-in-force"
 	EventRefused event.Kind = "configuration-refused"
-	// EventUnconfigured: an agent's service is not in the configuration.
+	// EventUnconfigured: the agent's service is not in the configuration.
 	EventUnconfigured event.Kind = "service-not-configured"
 )
 
-// adopted is the adopted configuration with its text as it travels.
+// adopted is the adopted configuration, parsed and as text.
 type adopted struct {
 	revision uint64
-	// log holds the text; it is empty at an agent, which fetches only the
-	// section of its service.
+	// log holds the text and its recent changes. It is empty in an agent, which
+	// fetches only the section of its service.
 	log    confdelta.Log
 	config *config.Config
 }
 
-// claim is what the process says of its configuration to another one.
+// claim returns what the process states about its configuration in a message to
+// another process.
 func (n *Node) claim(now time.Time, to netip.AddrPort) gossip.Claim {
 	return gossip.Claim{
 		Revision:  n.adopt.Revision(),
@@ -42,8 +43,8 @@
 	}
 }
 
-// balancersExcept returns the number of live balancers but for the process at
-// the address.
+// balancersExcept returns the number of live balancers, not counting the process
+// at addr.
 func (n *Node) balancersExcept(addr netip.AddrPort) int {
 	count := n.engine.Table().LiveBalancers()
 	m, known := n.engine.Table().Get(addr)
@@ -53,28 +54,33 @@
 	return count
 }
 
-// recordReplyClaim notes the claim in an answer to a call of our own.
+// recordReplyClaim records the claim in a reply to a call of this process. trip,
+// the round-trip time of the call, is added to the age of the store reading in
+// the claim.
 func (n *Node) recordReplyClaim(now time.Time, from netip.AddrPort, c gossip.Claim, trip time.Duration) {
 	a := answerFrom(from, c)
 	if c.Reading != nil {
 		a.Reading = &adopt.Reading{Revision: c.Reading.Revision, Age: c.Reading.Age + trip}
 	}
-	n.adopt.Heard(a, now)
+	n.adopt.RecordAnswer(a, now)
 }
 
-// recordRequestClaim notes the claim in a call of another process. Its reading of the
-// store is left out: how long the call was under way is not known.
+// recordRequestClaim records the claim in a request of another process. It
+// ignores the store reading in the claim: the time that the request took to
+// arrive is unknown, so the age of the reading is unknown as well.
 func (n *Node) recordRequestClaim(now time.Time, from netip.AddrPort, c gossip.Claim) {
-	n.adopt.Heard(answerFrom(from, c), now)
+	n.adopt.RecordAnswer(answerFrom(from, c), now)
 }
 
+// answerFrom converts a claim into an answer for the adoption rules, without its
+// store reading.
 func answerFrom(from netip.AddrPort, c gossip.Claim) adopt.Answer {
 	return adopt.Answer{Peer: from, Revision: c.Revision, Serving: c.Serving, Balancers: c.Balancers}
 }
 
-// decideConfig fetches and serves what the adoption rule says.
+// decideConfig fetches and serves configurations as the adoption rules decide.
 func (n *Node) decideConfig(now time.Time) {
-	n.adopt.Expect(n.balancersExcept(n.options.Self.Control))
+	n.adopt.SetBalancers(n.balancersExcept(n.options.Self.Control))
 	d := n.adopt.Decide(now)
 	if d.Fetch > 0 && !n.fetching {
 		n.fetching = true
@@ -87,13 +93,13 @@
 	}
 }
 
-// revision returns the adopted revision from any goroutine.
+// revision returns the adopted revision. Any goroutine may call it.
 func (n *Node) revision() (revision uint64) {
 	n.runTask(n.ctx, func(time.Time) { revision = n.adopt.Revision() })
 	return revision
 }
 
-// adoptValue parses a stored value and adopts it if it is newer.
+// adoptValue parses a stored value and adopts it if its revision is newer.
 func (n *Node) adoptValue(value []byte, revision uint64) {
 	if revision <= n.adopt.Revision() {
 		return
@@ -106,7 +112,8 @@
 	n.adoptConfig(a)
 }
 
-// parseValue parses a stored value and works out what changed.
+// parseValue parses a stored value and computes its changes against the adopted
+// text.
 func (n *Node) parseValue(value []byte, revision uint64) (adopted, error) {
 	text, err := n.options.Decode(value)
 	if err != nil {
@@ -120,7 +127,7 @@
 	return adopted{revision: revision, log: log, config: c}, err
 }
 
-// adoptConfig adopts a parsed configuration if it is newer.
+// adoptConfig adopts a parsed configuration if its revision is newer.
 func (n *Node) adoptConfig(a adopted) {
 	if !n.adopt.Adopt(a.revision) {
 		return
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -9,52 +9,53 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Events of membership.
+// Events about members.
 const (
-	EventJoined       event.Kind = "member-joined"
-	EventState        event.Kind = "member-state-changed"
-	EventSuspected    event.Kind = "member-suspected"
-	EventDeclared     event.Kind = "member-declared-gone"
-	EventReturned     event.Kind = "member-returned"
-	EventRefuted      event.Kind = "own-death-refuted"
-	EventRetained     event.Kind = "unreachable-kept"
-	EventRetainedEnd  event.Kind = "unreachable-kept-no-longer"
-	EventTableFetched event.Kind = "table-learned"
+	EventJoined        event.Kind = "member-joined"
+	EventState         event.Kind = "member-state-changed"
+	EventSuspected     event.Kind = "member-suspected"
+	EventDeclared      event.Kind = "member-declared-gone"
+	EventReturned      event.Kind = "member-returned"
+	EventRefuted       event.Kind = "own-death-refuted"
+	EventRetained      event.Kind = "unreachable-kept"
+	EventRetainedEnd   event.Kind = "unreachable-kept-no-longer"
+	EventTableReceived event.Kind = "table-learned"
 )
 
+// noticeKinds maps the engine's notices to events.
 var noticeKinds = map[gossip.NoticeKind]event.Kind{
-	gossip.NoticeJoined:       EventJoined,
-	gossip.NoticeState:        EventState,
-	gossip.NoticeSuspected:    EventSuspected,
-	gossip.NoticeDeclared:     EventDeclared,
-	gossip.NoticeReturned:     EventReturned,
-	gossip.NoticeRefuted:      EventRefuted,
-	gossip.NoticeRetained:     EventRetained,
-	gossip.NoticeRetainedEnd:  EventRetainedEnd,
-	gossip.NoticeTableFetched: EventTableFetched,
+	gossip.NoticeJoined:        EventJoined,
+	gossip.NoticeState:         EventState,
+	gossip.NoticeSuspected:     EventSuspected,
+	gossip.NoticeDeclared:      EventDeclared,
+	gossip.NoticeReturned:      EventReturned,
+	gossip.NoticeRefuted:       EventRefuted,
+	gossip.NoticeRetained:      EventRetained,
+	gossip.NoticeRetainedEnd:   EventRetainedEnd,
+	gossip.NoticeTableReceived: EventTableReceived,
 }
 
-// logMessages are what the log says of events.
+// logMessages are the log messages of events.
 var logMessages = map[event.Kind]string{
-	EventJoined:       "Member joined.",
-	EventState:        "Member changed state.",
-	EventSuspected:    "Member suspected.",
-	EventDeclared:     "Member declared gone.",
-	EventReturned:     "Member returned.",
-	EventRefuted:      "Own death refuted.",
-	EventRetained:     "Unreachable members kept.",
-	EventRetainedEnd:  "Unreachable members kept no longer.",
-	EventTableFetched: "Table learned from a peer.",
-	EventSeedsRead:    "Seeds read from the store.",
-	EventSeedTaken:    "Seed lease taken.",
-	EventSeedLost:     "Seed lease lost.",
-	EventAdopted:      "Configuration adopted.",
-	EventServing:      "Configuration in force.",
-	EventRefused:      "Configuration refused.",
-	EventUnconfigured: "Service is not configured.",
+	EventJoined:        "Member joined.",
+	EventState:         "Member changed state.",
+	EventSuspected:     "Member suspected.",
+	EventDeclared:      "Member declared gone.",
+	EventReturned:      "Member returned.",
+	EventRefuted:       "Suspicion or declaration against this process refuted.",
+	EventRetained:      "Unreachable members retained by the panic threshold.",
+	EventRetainedEnd:   "Panic threshold no longer retains unreachable members.",
+	EventTableReceived: "Membership table received from a peer.",
+	EventSeedsRead:     "Seeds read from the store.",
+	EventSeedTaken:     "Seed lease taken.",
+	EventSeedLost:      "Seed lease lost.",
+	EventAdopted:       "Configuration adopted.",
+	EventServing:       "Configuration in force.",
+	EventRefused:       "Configuration refused.",
+	EventUnconfigured:  "Service is not configured.",
 }
 
-// recordEvent records an recordEvent of the time line and logs it.
+// recordEvent adds an event to the timeline and logs it.
 func (n *Node) recordEvent(kind event.Kind, detail string) {
 	if n.options.Events != nil {
 		n.options.Events.Add(Part, kind, detail)
@@ -62,10 +63,10 @@
 	n.logger.Info(logMessages[kind], slog.String("detail", detail))
 }
 
-// recordNotice puts what the engine noticed on the time line.
+// recordNotice records a notice of the engine as an event.
 func (n *Node) recordNotice(a gossip.Notice) {
 	switch a.Kind {
-	case gossip.NoticeRetained, gossip.NoticeRetainedEnd, gossip.NoticeTableFetched:
+	case gossip.NoticeRetained, gossip.NoticeRetainedEnd, gossip.NoticeTableReceived:
 		n.recordEvent(noticeKinds[a.Kind], fmt.Sprintf("%d members", a.Count))
 		return
 	}
--- a/internal/control/fetch.go
+++ b/internal/control/fetch.go
@@ -14,33 +14,35 @@
 	"github.com/saltbend/saltbend/internal/record"
 )
 
-// maxTextBytes bounds the text of a configuration.
+// maxTextBytes is the maximum size of a configuration's text.
 const maxTextBytes = 16 << 20
 
-// FetchArgs ask for a configuration newer than Have.
+// FetchArgs request a configuration newer than Have.
 type FetchArgs struct {
 	Have uint64
-	// Service asks for the section of one service only; empty asks for all.
+	// Service requests the section of one service only; if empty, the whole
+	// configuration is requested.
 	Service string
-	// Section is the hash of the section that the caller has, 0 for none.
+	// Section is the hash of the section that the requester has, 0 for none.
 	Section uint64
-	// Whole asks for the whole text, though Have is known.
+	// Whole requests the whole text instead of the changes since Have.
 	Whole bool
 }
 
-// FetchReply carries a newer configuration; a revision of 0 says that the asked
-// process has none.
+// FetchReply carries a newer configuration. A Revision of 0 means that the peer
+// has no configuration newer than FetchArgs.Have.
 type FetchReply struct {
 	Revision uint64
-	// Update leads a balancer from the revision that it has to this one.
+	// Update carries the changes from the requester's revision to this one, or
+	// the whole text.
 	Update confdelta.Update
-	// Unchanged tells that the section is the one that the caller has.
+	// Unchanged is set if the requester already has the section.
 	Unchanged bool
-	// Section is the service's section, nil where the file has none.
+	// Section is the service's section, nil if the configuration has none.
 	Section *config.Service
 }
 
-// Fetch answers with the configuration, or with one section of it.
+// Fetch returns the configuration, or the section of one service.
 func (s *Service) Fetch(a FetchArgs, reply *FetchReply) error {
 	if len(a.Service) > maxNameBytes {
 		return errInvalid
@@ -54,6 +56,7 @@
 	return err
 }
 
+// fetchReply returns the reply to a fetch.
 func (a adopted) fetchReply(args FetchArgs) (FetchReply, error) {
 	if a.revision <= args.Have || a.log.Revision() == 0 {
 		return FetchReply{}, nil
@@ -69,6 +72,7 @@
 	return FetchReply{Revision: a.revision, Update: update}, err
 }
 
+// sectionReply returns the reply to a fetch of one section.
 func (a adopted) sectionReply(args FetchArgs) FetchReply {
 	section := sectionOf(a.config, args.Service)
 	if sectionHash(section) == args.Section {
@@ -77,7 +81,7 @@
 	return FetchReply{Revision: a.revision, Section: section}
 }
 
-// sectionOf returns the section of a service, nil for none.
+// sectionOf returns the section of a service, nil if there is none.
 func sectionOf(c *config.Config, service string) *config.Service {
 	if c == nil {
 		return nil
@@ -90,20 +94,21 @@
 	return nil
 }
 
-// sectionHash identifies a section's content; 0 is that of no section.
+// sectionHash returns a hash of the section's content, 0 for no section.
 func sectionHash(section *config.Service) uint64 {
 	if section == nil {
 		return 0
 	}
 	text, err := json.Marshal(section)
 	if err != nil {
-		return 0 // plain fields only: then the section is sent again
+		return 0 // cannot happen with plain fields; the effect is that the section is sent again
 	}
 	return xxhash.Sum64(text)
 }
 
-// fetch gets the configuration from a peer: a balancer the whole, an agent the
-// section of its service, which is all that it acts on.
+// fetch gets the configuration from a peer. A balancer fetches the whole
+// configuration, an agent only the section of its service, which is all that it
+// uses.
 func (n *Node) fetch(from netip.AddrPort, have adopted) {
 	next, err := n.fetchFrom(from, have)
 	n.post(func(time.Time) {
@@ -112,15 +117,15 @@
 			n.recordEvent(EventRefused, fmt.Sprintf("from %s: %v", from, err))
 		}
 		if err != nil || next.revision == 0 {
-			n.adopt.Gone(from) // until it answers again
+			n.adopt.RemovePeer(from) // the next answer of the peer adds it again
 			return
 		}
 		n.adoptConfig(next)
 	})
 }
 
-// fetchFrom returns what the peer has; a revision of 0 says that it did not
-// answer or has none newer.
+// fetchFrom returns the configuration fetched from the peer. A revision of 0
+// means that the peer did not answer or has no newer revision.
 func (n *Node) fetchFrom(from netip.AddrPort, have adopted) (adopted, error) {
 	if n.options.Self.Role == member.RoleAgent {
 		return n.fetchSection(from, have), nil
@@ -133,7 +138,7 @@
 		}
 		log, err := have.log.Follow(reply.Update, maxTextBytes)
 		if err != nil && !whole {
-			continue // the peer has another text of a revision: take the whole
+			continue // the peer's text of our revision differs from ours: fetch the whole text
 		}
 		if err != nil {
 			return adopted{}, err
@@ -144,6 +149,8 @@
 	return adopted{}, nil
 }
 
+// fetchSection is fetchFrom for an agent: it fetches the section of the agent's
+// service.
 func (n *Node) fetchSection(from netip.AddrPort, have adopted) adopted {
 	self := n.options.Self
 	args := FetchArgs{Have: have.revision, Service: self.Service, Section: sectionHash(sectionOf(have.config, self.Service))}
--- a/internal/control/finder.go
+++ b/internal/control/finder.go
@@ -11,19 +11,21 @@
 	"github.com/saltbend/saltbend/internal/seed"
 )
 
-// EventSeedsRead tells that addresses to join at were read from the store.
+// EventSeedsRead: addresses to join at were read from the store.
 const EventSeedsRead event.Kind = "seeds-read"
 
-// finder looks for addresses to join at while no known balancer answers.
+// finder is the state of the search for addresses to join at. A search starts
+// when no known balancer answers, or when one is requested.
 type finder struct {
 	busy bool
-	// requested asks for a search as soon as the back-off allows.
+	// requested starts a search as soon as the back-off allows it.
 	requested bool
 	next      time.Time
 	backoff   seed.Backoff
 }
 
-// findPeers reads the seeds from the store, in one call, with back-off.
+// findPeers reads the seeds' addresses from the store with one call, unless a
+// search is running or the back-off has not elapsed.
 func (n *Node) findPeers(now time.Time) {
 	f := &n.finder
 	if n.options.Store == nil || f.busy || now.Before(f.next) {
@@ -33,6 +35,7 @@
 	go n.listSeeds()
 }
 
+// listSeeds reads the seeds from the store and sets them as addresses to join at.
 func (n *Node) listSeeds() {
 	ctx, cancel := context.WithTimeout(n.ctx, storeTimeout)
 	defer cancel()
@@ -56,7 +59,8 @@
 	})
 }
 
-// mergeAddrs returns a and those of b that a lacks.
+// mergeAddrs returns the addresses in a, followed by those in b that are not in
+// a.
 func mergeAddrs(a, b []netip.AddrPort) []netip.AddrPort {
 	out := slices.Clone(a)
 	for _, addr := range b {
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -22,11 +22,11 @@
 	"github.com/saltbend/saltbend/test/storefake"
 )
 
-// waitTimeout bounds every wait; a wait that succeeds is short.
+// waitTimeout limits every wait. A wait that succeeds is short.
 const waitTimeout = time.Minute
 
-// fastTiming shortens the periods, so that a test waits for conditions only
-// briefly. No test depends on the values.
+// fastTiming returns shortened periods, so that tests need not wait long for a
+// condition. No test depends on the values.
 func fastTiming() gossip.Timing {
 	t := gossip.DefaultTiming()
 	t.Renew = 300 * time.Millisecond
@@ -35,7 +35,7 @@
 	return t
 }
 
-// fleet starts nodes on one mesh.
+// fleet starts nodes on one in-memory network.
 type fleet struct {
 	mesh   *mesh.Mesh
 	join   []netip.AddrPort
@@ -47,7 +47,7 @@
 	return &fleet{mesh: mesh.New(), join: []netip.AddrPort{addrOf(1, 0)}}
 }
 
-// withStore gives the nodes that start from now on a store instead of
+// withStore gives the nodes that are started afterwards a store instead of
 // addresses to join at.
 func (f *fleet) withStore() *fleet {
 	f.join = nil
@@ -60,7 +60,7 @@
 	return f
 }
 
-// apply writes a configuration and returns its revision.
+// apply writes a configuration to the store and returns its revision.
 func (f *fleet) apply(after uint64) uint64 {
 	entry, err := f.client.Swap(context.Background(), record.Key, []byte("any"), after, 0)
 	Expect(err).NotTo(HaveOccurred())
@@ -102,7 +102,8 @@
 	}}
 }
 
-// startMany starts count balancers and agents in the state ready.
+// startMany starts balancers and agents, and waits until each node has all of
+// them in its snapshot as ready.
 func (f *fleet) startMany(balancers, agents int) (bs, as []*node) {
 	for i := range balancers {
 		bs = append(bs, f.start(balancerAt(i)))
@@ -122,7 +123,7 @@
 	return bs, as
 }
 
-// readyMembers returns the number of readyMembers members that the node knows.
+// readyMembers returns the number of ready members in the node's snapshot.
 func (n *node) readyMembers() int {
 	count := 0
 	s := n.Snapshot()
@@ -141,7 +142,8 @@
 	return 0
 }
 
-// memberState returns what the node knows of a member.
+// memberState returns a function that returns the state of a member in the node's
+// snapshot, or gone if it is not there.
 func (n *node) memberState(addr netip.AddrPort) func() member.State {
 	return func() member.State {
 		s := n.Snapshot()
@@ -154,7 +156,7 @@
 	}
 }
 
-// goneAddrs returns who the node's snapshot says is goneAddrs.
+// goneAddrs returns the addresses of the gone agents in the node's snapshot.
 func (n *node) goneAddrs() (addrs []netip.AddrPort) {
 	for _, m := range n.Snapshot().Gone {
 		addrs = append(addrs, m.Control)
@@ -162,7 +164,7 @@
 	return addrs
 }
 
-// eventCount returns the number of events of a kind.
+// eventCount returns the number of the node's events of a kind.
 func (n *node) eventCount(kind event.Kind) int {
 	count := 0
 	for _, e := range n.events.Since(0) {
@@ -173,14 +175,14 @@
 	return count
 }
 
-// instrumentedStore counts one node's calls to the store, and can hold them up.
+// instrumentedStore counts one node's calls to the store, and can block them.
 type instrumentedStore struct {
 	store.Store
 	calls  atomic.Int64
 	frozen atomic.Pointer[chan struct{}]
 }
 
-// freeze holds all calls up until the returned function is called.
+// freeze blocks all calls until the returned function is called.
 func (c *instrumentedStore) freeze() (thaw func()) {
 	gate := make(chan struct{})
 	c.frozen.Store(&gate)
@@ -190,6 +192,7 @@
 	}
 }
 
+// beforeCall counts a call, and blocks while the store is frozen.
 func (c *instrumentedStore) beforeCall() {
 	c.calls.Add(1)
 	if gate := c.frozen.Load(); gate != nil {
--- a/internal/control/gone.go
+++ b/internal/control/gone.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// GoneFor is how long snapshots name an agent that is gone. It is twice the
-	// time after which an agent's callers give a silent connection up.
+	// GoneFor is how long a gone agent stays in the snapshots. It is twice the
+	// time after which the callers of an agent close a connection on which it is
+	// silent.
 	GoneFor = 2 * time.Minute
-	// goneExpiryInterval is how often agents that have been gone for longer are dropped
-	// from the snapshot while nothing else changes it.
+	// goneExpiryInterval is the interval at which agents that have been gone for
+	// longer than GoneFor are removed if nothing else changes the snapshot.
 	goneExpiryInterval = 10 * time.Second
 )
 
-// hasExpiredGone reports whether the published snapshot names agents that have been
-// gone for too long.
+// hasExpiredGone reports whether the published snapshot contains agents that have
+// been gone for longer than GoneFor.
 func (n *Node) hasExpiredGone(now time.Time) bool {
 	before := n.Snapshot().Gone
 	if len(before) == 0 || now.Sub(n.publishedAt) < goneExpiryInterval {
--- a/internal/control/gone_test.go
+++ b/internal/control/gone_test.go
@@ -11,6 +11,8 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
+// An agent must leave the snapshot's list of gone agents after GoneFor, even if
+// nothing else causes a new snapshot.
 func TestExpiredGoneAgentsLeaveSnapshotWithoutOtherChanges(t *testing.T) {
 	g := NewWithT(t)
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
@@ -24,7 +26,7 @@
 	published := n.Snapshot()
 	now = now.Add(GoneFor - 1)
 	n.publishChanges(now)
-	g.Expect(n.Snapshot()).To(BeIdenticalTo(published), "nothing has changed")
+	g.Expect(n.Snapshot()).To(BeIdenticalTo(published), "no new snapshot while nothing has changed")
 	now = now.Add(2)
 	n.publishChanges(now)
 	g.Expect(n.Snapshot().Gone).To(BeEmpty())
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -8,9 +8,9 @@
 	"github.com/saltbend/saltbend/internal/gossip"
 )
 
-// Leave announces that the process is gone and waits until its witnesses have
-// answered or ctx ends. The process is expected to have drained before, when it
-// has given up a lease in the store, too.
+// Leave announces that the process is gone, and waits until the calls that
+// announce it have ended or ctx ends. The process must have drained before; by
+// then it has also released its lease in the store.
 func (n *Node) Leave(ctx context.Context) {
 	var announcements []gossip.Action
 	var claim gossip.Claim
@@ -29,7 +29,7 @@
 	}
 }
 
-// announceLeave makes the calls at once and waits for their ends.
+// announceLeave makes all calls concurrently and waits until they have ended.
 func (n *Node) announceLeave(announcements []gossip.Action, claim gossip.Claim) {
 	var calls sync.WaitGroup
 	for _, a := range announcements {
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -2,9 +2,10 @@
 
 import "github.com/saltbend/saltbend/internal/member"
 
-// Members answers which members the process knows, itself first: a balancer
-// knows the fleet, an agent the balancers and its own service. It reads the
-// published snapshot, so it answers also when the state's goroutine is busy.
+// Members returns the members known to the process, itself first: a balancer
+// knows the whole fleet, an agent the balancers and the agents of its own
+// service. It reads the published snapshot, so it also answers while the
+// goroutine that owns the state is busy.
 func (s *Service) Members(_ Empty, reply *[]member.Member) error {
 	snapshot := s.node.Snapshot()
 	out := []member.Member{snapshot.Self}
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -8,8 +8,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// gauges are what the metrics show. The state's goroutine writes them, so
-// that a reader of the metrics waits for nothing.
+// gauges are the values of the metrics. The goroutine that owns the state writes
+// them atomically, so that reading the metrics never blocks.
 type gauges struct {
 	balancers, agents, suspected atomic.Int64
 	revision                     atomic.Uint64
@@ -18,8 +18,8 @@
 	deferred                     atomic.Uint64
 }
 
-// register shows the figures until stopped ends. The bytes of control traffic
-// are shown by the transport, as saltbend_peer_bytes.
+// register registers the gauges as metrics until stopped is closed. The bytes of
+// control traffic are counted by the transport, as saltbend_peer_bytes.
 func (f *gauges) register(stopped <-chan struct{}) {
 	set := metrics.NewSet()
 	gauge := func(name string, value *atomic.Int64) {
@@ -40,7 +40,7 @@
 	}()
 }
 
-// updateMetrics brings the figures up to date.
+// updateMetrics writes the current values to the gauges.
 func (n *Node) updateMetrics(now time.Time) {
 	f := &n.gauges
 	table := n.engine.Table()
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -17,22 +17,25 @@
 )
 
 const (
-	// ticksPerRenewal sets the grain of periods and retries.
+	// ticksPerRenewal sets the ticker's interval as a fraction of the renewal
+	// period. The interval limits how precisely periods and retries are kept.
 	ticksPerRenewal = 15
-	// publishInterval is the least time between snapshots for changes of
-	// members.
+	// publishInterval is the minimum time between two snapshots that differ only
+	// in members.
 	publishInterval = 100 * time.Millisecond
-	// taskQueueSize bounds the messages that wait for the state's goroutine.
+	// taskQueueSize is the maximum number of tasks that wait for the goroutine
+	// that owns the state.
 	taskQueueSize = 1024
 )
 
-// publication is a snapshot with the channel that its successor closes.
+// publication is a published snapshot with a channel that is closed when the next
+// snapshot replaces it.
 type publication struct {
 	snapshot *Snapshot
 	changed  chan struct{}
 }
 
-// Node keeps the control state of one process. Its methods are safe for
+// Node maintains the control state of one process. Its methods are safe for
 // concurrent use.
 type Node struct {
 	options Options
@@ -44,25 +47,26 @@
 
 	gauges gauges
 
-	// The fields below belong to the state's goroutine.
+	// The goroutine that owns the state uses the fields below.
 	engine  *gossip.Engine
 	adopt   *adopt.State
 	adopted adopted
 	serving *config.Config
-	// fetching tells that a configuration is being fetched.
+	// fetching is set while a configuration is being fetched.
 	fetching bool
 	rand     *rand.Rand
 	store    StoreStatus
 	seeding  seedState
 	reader   configReader
 	finder   finder
-	// publishedSeq and dirty tell whether the snapshot is out of date.
+	// publishedSeq is the table's change number at the last publication; dirty is
+	// set if another part of the snapshot has changed since then.
 	publishedSeq uint64
 	dirty        bool
 	publishedAt  time.Time
 }
 
-// Start joins the process to the fleet. The node works until ctx ends.
+// Start joins the process to the fleet. The node runs until ctx ends.
 func Start(ctx context.Context, o Options) (*Node, error) {
 	o, err := o.withDefaults()
 	if err != nil {
@@ -91,7 +95,7 @@
 	return n, nil
 }
 
-// run owns the control state.
+// run is the goroutine that owns the control state.
 func (n *Node) run(ctx context.Context) {
 	defer close(n.stopped)
 	ticker := time.NewTicker(n.options.Timing.Renew / ticksPerRenewal)
@@ -110,7 +114,7 @@
 	}
 }
 
-// step does what is due and publishes what has changed.
+// step performs the actions that are due and publishes changes.
 func (n *Node) step(now time.Time) {
 	n.decideConfig(now)
 	for _, a := range n.engine.Actions(now) {
@@ -119,8 +123,8 @@
 	n.publishChanges(now)
 }
 
-// publishChanges publishes a snapshot if anything changed; changes of members
-// that follow each other closely share one.
+// publishChanges publishes a snapshot if anything has changed. Changes of members
+// within publishInterval share one snapshot.
 func (n *Node) publishChanges(now time.Time) {
 	seq := n.engine.Table().Seq()
 	n.dirty = n.dirty || n.hasExpiredGone(now)
@@ -131,7 +135,7 @@
 	n.publish()
 }
 
-// post hands a task to the state's goroutine.
+// post queues a task for the goroutine that owns the state.
 func (n *Node) post(task func(now time.Time)) {
 	select {
 	case n.tasks <- task:
@@ -139,8 +143,8 @@
 	}
 }
 
-// runTask runs a task on the state's goroutine and waits for its end. It reports
-// whether the task ran.
+// runTask runs a task on the goroutine that owns the state and waits until it has
+// ended. It reports whether the task has ended.
 func (n *Node) runTask(ctx context.Context, task func(now time.Time)) bool {
 	done := make(chan struct{})
 	n.post(func(now time.Time) {
@@ -156,7 +160,7 @@
 	return false
 }
 
-// publish replaces the snapshot and wakes those who wait for a change.
+// publish replaces the snapshot and notifies those who wait for a change.
 func (n *Node) publish() {
 	table := n.engine.Table()
 	s := &Snapshot{Config: n.serving, Self: n.engine.Self(), Balancers: table.Balancers()}
@@ -175,19 +179,21 @@
 // Snapshot implements Source.
 func (n *Node) Snapshot() *Snapshot { return n.current.Load().snapshot }
 
-// Changed implements Source. To miss nothing, take the channel before the
-// snapshot.
+// Changed implements Source. Call it before Snapshot: a change between the two
+// calls then still closes the channel.
 func (n *Node) Changed() <-chan struct{} { return n.current.Load().changed }
 
-// SetState changes the process's life-cycle state and announces it at once.
+// SetState advances the process's life-cycle state and announces the change at
+// once. It does not return to an earlier state.
 func (n *Node) SetState(state member.State) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.State = max(m.State, state) })
 	})
 }
 
-// SetLoad changes the process's weight, in thousandths of a warm upstream's
-// share. Each change is spread to the fleet: callers quantise it coarsely.
+// SetLoad changes the process's weight, in thousandths of the share of a
+// warmed-up upstream. Each change is sent to the whole fleet, so callers should
+// round the weight to coarse steps.
 func (n *Node) SetLoad(weight int) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.Weight = weight })
@@ -195,7 +201,7 @@
 }
 
 // SetSlots changes the number of requests that the process's upstream serves
-// at once.
+// concurrently.
 func (n *Node) SetSlots(slots int) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.Slots = slots })
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Membership", func() {
-	It("learns of each process that joins, changes and leaves", func() {
+	It("propagates each process's joining, change of state and departure", func() {
 		f := newFleet()
 		bs, as := f.startMany(4, 2)
 		other := f.start(agentAt(2, "intake"))
@@ -28,10 +28,10 @@
 		for _, n := range append(bs, as[1]) {
 			Eventually(n.memberState(a.addr), waitTimeout).Should(Equal(member.StateGone))
 		}
-		Expect(as[1].memberState(other.addr)()).To(Equal(member.StateGone), "another service's agent is no sibling")
+		Expect(as[1].memberState(other.addr)()).To(Equal(member.StateGone), "an agent does not receive the agents of another service")
 	})
 
-	It("declares a crashed process gone, and takes its successor at the same address", func() {
+	It("declares a crashed process gone, and accepts a new process at the same address", func() {
 		f := newFleet()
 		bs, as := f.startMany(4, 3)
 		as[0].crash()
@@ -41,14 +41,14 @@
 		for _, n := range bs {
 			Expect(n.goneAddrs()).To(Equal([]netip.AddrPort{as[0].addr}))
 		}
-		Expect(as[1].goneAddrs()).To(BeEmpty(), "only balancers act on it")
+		Expect(as[1].goneAddrs()).To(BeEmpty(), "only balancers publish gone agents")
 		f.start(agentAt(0, "results")).SetState(member.StateReady)
 		for _, n := range append(bs, as[1:]...) {
 			Eventually(n.memberState(as[0].addr), waitTimeout).Should(Equal(member.StateReady))
 		}
 	})
 
-	It("declares one silent host gone, and takes it back when it is heard again", func() {
+	It("declares an unreachable host gone, and accepts it again once it is reachable", func() {
 		f := newFleet()
 		bs, as := f.startMany(4, 3)
 		lost := as[0]
@@ -63,7 +63,7 @@
 		}
 	})
 
-	It("empties no table when half of the balancers are cut from the other half", func() {
+	It("declares no member gone during a partition between two halves of the balancers", func() {
 		f := newFleet()
 		bs, as := f.startMany(4, 4)
 		side := func(a netip.AddrPort) bool { return a.Addr().As4()[3]%2 == 0 }
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -18,52 +18,54 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// Part is the fixed prefix of this package's logs and events.
+// Part is the name of this package in logs and events.
 const Part = "control"
 
-// Peer carries net/rpc between the processes.
+// Peer transports net/rpc calls between processes.
 type Peer interface {
 	peer.Caller
 	peer.Registry
 }
 
-// Decode returns the text of the configuration in a stored value.
+// Decode extracts the text of the configuration from a stored value.
 type Decode func(value []byte) (text []byte, err error)
 
-// Options are what a node needs to start.
+// Options are the parameters of Start.
 type Options struct {
-	// Self is the process's own record. A zero incarnation is set from the
-	// clock, a zero state to starting.
+	// Self is the process's own record. A zero incarnation is replaced by the
+	// current time, a zero state by starting.
 	Self member.Member
 	// Peer carries calls to and from other processes.
 	Peer Peer
 	// Store is the platform's key-value service; nil means none.
 	Store store.Store
-	// Join are control addresses to learn the fleet from.
+	// Join are the control addresses at which the process joins the fleet.
 	Join []netip.AddrPort
-	// Decode reads stored values; nil means the product's format.
+	// Decode extracts the configuration from stored values; nil means the
+	// product's format.
 	Decode Decode
-	// Events takes the time line's events; nil means none.
+	// Events receives the timeline's events; nil means that none are recorded.
 	Events *event.Ring
 	// Logger is the process's logger; nil means the default one.
 	Logger *slog.Logger
-	// Timing holds periods; the zero value means the defaults.
+	// Timing holds the protocol's periods; the zero value means the defaults.
 	Timing gossip.Timing
 	// SeedLease is the length of a seed's lease; zero means the default.
 	SeedLease time.Duration
-	// Rules are those of adoption; the zero value means the defaults.
+	// Rules are the parameters of the adoption rules; the zero value means the
+	// defaults.
 	Rules adopt.Rules
-	// Now is the clock; nil means the system's.
+	// Now is the clock; nil means the system clock.
 	Now func() time.Time
 }
 
-// withDefaults fills in what the caller left out.
+// withDefaults checks the required options and sets defaults for the others.
 func (o Options) withDefaults() (Options, error) {
 	if o.Peer == nil {
-		return o, errors.New("control: no peer transport is given")
+		return o, errors.New("control: option Peer is not set")
 	}
 	if !o.Self.Control.IsValid() {
-		return o, errors.New("control: the process's own control address is not set")
+		return o, errors.New("control: option Self has no valid control address")
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -92,8 +94,8 @@
 	return o, nil
 }
 
-// newRand returns a source of randomness for jitter and choices, seeded by the
-// process's identity and start.
+// newRand returns a random source for jitter and choices, seeded with the
+// process's incarnation and control port.
 func newRand(self member.Member) *rand.Rand {
 	return rand.New(rand.NewPCG(self.Incarnation, uint64(self.Control.Port())))
 }
--- a/internal/control/perform.go
+++ b/internal/control/perform.go
@@ -12,12 +12,12 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// callTimeout bounds one control call. It stays under the renewal period, so
-// that calls to a silent process do not pile up.
+// callTimeout limits one control call. It is shorter than the renewal period, so
+// that calls to a silent process do not accumulate.
 const callTimeout = 2 * time.Second
 
-// perform carries an action of the engine out. Calls run on goroutines of
-// their own and post their outcome back.
+// perform carries out an action of the engine. Calls run in separate goroutines,
+// which post the outcome to the goroutine that owns the state.
 func (n *Node) perform(now time.Time, a gossip.Action) {
 	switch a := a.(type) {
 	case gossip.SendAnnounce:
@@ -40,7 +40,7 @@
 	}
 }
 
-// call makes one control call and returns its round trip.
+// call makes one control call and returns its round-trip time.
 func (n *Node) call(to netip.AddrPort, method string, args, reply any) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
@@ -67,7 +67,7 @@
 	var reply gossip.PushReply
 	trip, err := n.call(a.To, "Push", a.Message, &reply)
 	if err != nil {
-		return // the periodic digests repair what was lost
+		return // the periodic digests repair what the lost push would have carried
 	}
 	n.post(func(now time.Time) { n.recordReplyClaim(now, a.To, reply.Claim, trip) })
 }
@@ -98,7 +98,8 @@
 	n.post(func(now time.Time) { n.engine.ProbeDone(now, a.To, evidence) })
 }
 
-// evidenceOf tells what a failed probe says of the member.
+// evidenceOf returns the evidence that the error of a probe gives, 0 for no
+// error.
 func evidenceOf(err error) member.Evidence {
 	switch {
 	case err == nil:
--- a/internal/control/proxied_test.go
+++ b/internal/control/proxied_test.go
@@ -23,7 +23,7 @@
 	foreignSecret = "1:00000000000000000000000000000000"
 )
 
-// proxied is a node that others reach through a proxy only.
+// proxied is a node that other nodes can reach only through a proxy.
 type proxied struct {
 	*node
 	proxy *toxiproxy.Proxy
@@ -59,7 +59,7 @@
 	return p
 }
 
-// blockIncoming swallows all that others send to the node.
+// blockIncoming drops all data that other nodes send to this node.
 func (p *proxied) blockIncoming() {
 	_, err := p.proxy.Toxics.AddToxicJson(strings.NewReader(`{"name":"silent","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`))
 	Expect(err).NotTo(HaveOccurred())
@@ -68,7 +68,7 @@
 func (p *proxied) unblockIncoming() { Expect(p.proxy.Toxics.RemoveToxic("silent")).To(Succeed()) }
 
 var _ = Describe("A fleet over authenticated connections through proxies", func() {
-	It("keeps who can call but not be called, and drops who does neither", func() {
+	It("keeps a member that can call but not be called, and declares it gone after a crash", func() {
 		first := startProxied(balancerAt(0))
 		all := []*proxied{first}
 		for i := range 2 {
@@ -87,7 +87,7 @@
 		for _, n := range all[:5] {
 			Eventually(func() int { return weightOf(n.node, victim.addr) }, waitTimeout).Should(Equal(500))
 		}
-		// Others may learn of a change before the victim's own next snapshot.
+		// Other nodes may receive a change before the victim publishes its next snapshot.
 		version := func() uint64 { return victim.Snapshot().Self.Version }
 		Eventually(version, waitTimeout).Should(BeNumerically(">", refuted))
 		Expect(version()).To(Equal(refuted + 1))
@@ -99,7 +99,7 @@
 		}
 	})
 
-	It("lets a stranger announce nothing", func() {
+	It("rejects announcements of a process with a foreign secret", func() {
 		first := startProxied(balancerAt(0))
 		stranger := listenPeer(foreignSecret)
 		fake := agentAt(9, "results")
@@ -115,11 +115,11 @@
 		Expect(conn.SetDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 		_, _ = conn.Write([]byte("Control.Announce, if you please"))
 		_, err = conn.Read(make([]byte, 1))
-		Expect(err).To(HaveOccurred(), "what is no handshake is closed unanswered")
+		Expect(err).To(HaveOccurred(), "a connection without a handshake is closed without an answer")
 		Expect(first.Snapshot().Agents).To(BeEmpty())
 	})
 
-	It("refuses malformed records of its own kind", func() {
+	It("rejects malformed records from a process with the fleet's secret", func() {
 		first := startProxied(balancerAt(0))
 		friend := listenPeer(fleetSecret)
 		good := agentAt(9, "results")
--- a/internal/control/reader.go
+++ b/internal/control/reader.go
@@ -7,18 +7,20 @@
 	"github.com/saltbend/saltbend/internal/seed"
 )
 
-// joinReadDelay is the time that peers get to hand a joining process the
-// configuration before it reads the store itself.
+// joinReadDelay is how long a joining process waits for the configuration from
+// its peers before it reads the store itself.
 const joinReadDelay = time.Second
 
-// configReader reads the configuration for a process that does not serve yet.
+// configReader is the state of a process's own reads of the configuration before
+// it serves.
 type configReader struct {
 	busy    bool
 	next    time.Time
 	backoff seed.Backoff
 }
 
-// readUntilServing reads the store, with back-off, until the process serves.
+// readUntilServing reads the configuration from the store, with back-off, until
+// the process serves.
 func (n *Node) readUntilServing(now time.Time) {
 	r := &n.reader
 	if r.next.IsZero() {
--- a/internal/control/seeding.go
+++ b/internal/control/seeding.go
@@ -17,21 +17,23 @@
 	"github.com/saltbend/saltbend/internal/wait"
 )
 
-// Events of seeds.
+// Events about seeds.
 const (
 	EventSeedTaken event.Kind = "seed-lease-taken"
 	EventSeedLost  event.Kind = "seed-lease-lost"
 )
 
-// storeTimeout bounds one call to the store other than a watch.
+// storeTimeout limits one call to the store. Watches are not limited.
 const storeTimeout = 3 * time.Second
 
-// seedRecord is the value of a seed's key.
+// seedRecord is the value of a seed's key in the store: the process that holds
+// the lease.
 type seedRecord struct {
 	Control     netip.AddrPort `json:"control"`
 	Incarnation uint64         `json:"incarnation"`
 }
 
+// parseSeedRecord parses and validates the value of a seed's key.
 func parseSeedRecord(value []byte) (seedRecord, error) {
 	var h seedRecord
 	if err := json.Unmarshal(value, &h); err != nil {
@@ -43,8 +45,8 @@
 	return h, nil
 }
 
-// seedState is the shell around the decisions of a seed. It belongs to the
-// state's goroutine.
+// seedState is the state of the process's own lease. The goroutine that owns the
+// control state uses it.
 type seedState struct {
 	machine *seed.Machine
 	value   []byte
@@ -54,11 +56,11 @@
 
 func newSeedState(n *Node) seedState {
 	self := n.options.Self
-	value, _ := json.Marshal(seedRecord{self.Control, self.Incarnation}) // of plain fields: cannot fail
+	value, _ := json.Marshal(seedRecord{self.Control, self.Incarnation}) // cannot fail with plain fields
 	return seedState{machine: seed.New(n.rand, n.options.SeedLease), value: value}
 }
 
-// runStoreTasks does at the store what is due.
+// runStoreTasks starts the calls to the store that are due.
 func (n *Node) runStoreTasks(now time.Time) {
 	if n.options.Store == nil {
 		return
@@ -76,7 +78,7 @@
 	}
 }
 
-// seedInput tells what the decision about the lease rests on.
+// seedInput returns the input for the next decision about the lease.
 func (n *Node) seedInput(now time.Time) seed.Input {
 	self := n.engine.Self()
 	in := seed.Input{Rank: -1, Age: seed.Stale}
@@ -89,7 +91,8 @@
 	return in
 }
 
-// applyLease watches the configuration for as long as the lease is held.
+// applyLease starts watching the configuration when the process gets the lease,
+// and stops when it loses it.
 func (n *Node) applyLease(now time.Time) {
 	s := &n.seeding
 	held := s.machine.Holding(now)
@@ -108,7 +111,7 @@
 	go n.watchConfig(ctx)
 }
 
-// seedCall makes one call about the lease.
+// seedCall makes one call to the store about the lease.
 func (n *Node) seedCall(a seed.Action) {
 	ctx, cancel := context.WithTimeout(n.ctx, storeTimeout)
 	defer cancel()
@@ -129,19 +132,21 @@
 		n.recordStoreContact(now, err)
 		n.seeding.machine.Done(now, sent, a, result, entry.Revision)
 		if a.Kind == seed.Claim && result != seed.Unavailable {
-			// Other holders may belong to a part of the fleet not met yet. Of
-			// two that claim, the later one sees the earlier.
+			// Other holders may belong to a part of the fleet that this process has not
+			// joined yet. Search for them: of two processes that claim a slot, the later
+			// one finds the record of the earlier one.
 			n.finder.requested = true
 		}
 	})
 	if result == seed.Held {
-		// A slow store may have used up the time of the first call.
+		// Use a new timeout: a slow store may have used up that of the first call.
 		reading, done := context.WithTimeout(n.ctx, storeTimeout)
 		defer done()
 		n.readConfig(reading)
 	}
 }
 
+// seedResult returns the result of a call about the lease.
 func (n *Node) seedResult(a seed.Action, entry store.Entry, err error) seed.Result {
 	switch {
 	case err == nil && a.Kind == seed.Inspect:
@@ -162,7 +167,7 @@
 	return seed.Unknown
 }
 
-// recordStoreContact keeps whether and when the store answered.
+// recordStoreContact records whether the store answered, and when it last did.
 func (n *Node) recordStoreContact(now time.Time, err error) {
 	reached := err == nil || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrConflict)
 	n.store.Reachable = reached
@@ -171,14 +176,14 @@
 	}
 }
 
-// readConfig reads the configuration once.
+// readConfig reads the configuration from the store once.
 func (n *Node) readConfig(ctx context.Context) {
 	sent := n.options.Now()
 	entry, err := n.options.Store.Get(ctx, record.Key)
 	n.post(func(now time.Time) { n.handleReading(now, sent, entry, err) })
 }
 
-// handleReading takes in what a read of the configuration showed.
+// handleReading processes the outcome of a read of the configuration.
 func (n *Node) handleReading(now, sent time.Time, entry store.Entry, err error) {
 	n.recordStoreContact(now, err)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -187,10 +192,11 @@
 	if err == nil {
 		n.adoptValue(entry.Value, entry.Revision)
 	}
-	n.adopt.Read(adopt.Reading{Revision: entry.Revision, Age: now.Sub(sent)}, now)
+	n.adopt.RecordReading(adopt.Reading{Revision: entry.Revision, Age: now.Sub(sent)}, now)
 }
 
-// watchConfig takes each change of the configuration in until ctx ends.
+// watchConfig adopts each change of the configuration in the store until ctx
+// ends.
 func (n *Node) watchConfig(ctx context.Context) {
 	backoff := storeBackoff()
 	random := newRand(n.options.Self)
@@ -198,12 +204,12 @@
 	for ctx.Err() == nil {
 		entry, err := n.options.Store.Watch(ctx, record.Key, after)
 		if err != nil {
-			_ = wait.For(ctx, backoff.Next(random)) // the loop sees the end of ctx
+			_ = wait.For(ctx, backoff.Next(random)) // the loop condition checks ctx
 			continue
 		}
 		backoff.Reset()
 		after = entry.Revision
-		// How old the answer is, is not known: it is no reading.
+		// The age of the answer is unknown, so it does not count as a reading.
 		n.post(func(now time.Time) {
 			n.recordStoreContact(now, nil)
 			n.adoptValue(entry.Value, entry.Revision)
@@ -211,4 +217,5 @@
 	}
 }
 
+// storeBackoff returns the back-off between calls to the store.
 func storeBackoff() seed.Backoff { return seed.Backoff{Least: time.Second, Most: 30 * time.Second} }
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -14,26 +14,26 @@
 // serviceName is the name under which the net/rpc methods are registered.
 const serviceName = "Control"
 
-// Limits on what a message may hold.
+// Limits on the content of a message.
 const (
 	maxNameBytes = 128
 	maxRecords   = 4096
 )
 
-// Errors of the service's methods.
+// Errors of the methods called over net/rpc.
 var (
 	errInvalid = errors.New("control: invalid message")
-	errStopped = errors.New("control: the process stops")
+	errStopped = errors.New("control: call not completed: the process is stopping or did not run it in time")
 )
 
-// Service holds the methods that other processes call over net/rpc.
+// Service has the methods that other processes call over net/rpc.
 type Service struct {
 	node *Node
 }
 
-// handle runs the task of one call on the state's goroutine and stores what it
-// returns. The reply is written here, since the task may run on after the wait
-// for it was given up.
+// handle runs the task of one call on the goroutine that owns the state and
+// stores the result in reply. It does not let the task write to reply, because
+// the task may still run after the wait for it has timed out.
 func handle[R any](s *Service, reply *R, task func(now time.Time) R) error {
 	ctx, cancel := context.WithTimeout(s.node.ctx, callTimeout)
 	defer cancel()
@@ -45,13 +45,13 @@
 	return nil
 }
 
-// Announce takes a renewal and answers with what changed for its sender.
+// Announce processes a renewal and returns the records that the sender needs.
 func (s *Service) Announce(a gossip.Announce, reply *gossip.AnnounceReply) error {
 	if !validMember(a.Self) {
 		return errInvalid
 	}
 	return handle(s, reply, func(now time.Time) gossip.AnnounceReply {
-		if a.Self.Role == member.RoleBalancer { // an agent has only its section
+		if a.Self.Role == member.RoleBalancer { // an agent cannot pass the configuration on: it has one section only
 			s.node.recordRequestClaim(now, a.Self.Control, a.Claim)
 		}
 		r := s.node.engine.HandleAnnounce(now, a)
@@ -60,7 +60,7 @@
 	})
 }
 
-// Push takes transitions in.
+// Push processes forwarded transitions and suspicions.
 func (s *Service) Push(p gossip.Push, reply *gossip.PushReply) error {
 	if !validAddr(p.From) || !validMembers(p.Members) {
 		return errInvalid
@@ -73,7 +73,7 @@
 	})
 }
 
-// Digest answers whether the caller knows the same members.
+// Digest reports whether the caller's table has the same live members.
 func (s *Service) Digest(d gossip.Digest, reply *gossip.DigestReply) error {
 	if !validAddr(d.From) {
 		return errInvalid
@@ -86,7 +86,8 @@
 	})
 }
 
-// Exchange merges the caller's records and answers with its own.
+// Exchange merges the caller's records and returns the records that the caller
+// lacks.
 func (s *Service) Exchange(x gossip.Exchange, reply *gossip.Exchange) error {
 	if !validAddr(x.From) || !validMembers(x.Members) || !validBuckets(x.Buckets) {
 		return errInvalid
@@ -96,17 +97,17 @@
 	})
 }
 
-// PingArgs are a balancer's question whether the process lives.
+// PingArgs are the arguments of a balancer's probe.
 type PingArgs struct {
 	From netip.AddrPort
-	// Suspicion is what the balancer holds against the process, if anything.
+	// Suspicion is the balancer's suspicion of the process, nil for none.
 	Suspicion *member.Suspicion
 }
 
-// PingReply answers that the process lives.
+// PingReply shows that the process is live.
 type PingReply struct{}
 
-// Ping answers that the process lives.
+// Ping answers a probe.
 func (s *Service) Ping(a PingArgs, reply *PingReply) error {
 	if !validAddr(a.From) {
 		return errInvalid
@@ -148,5 +149,5 @@
 	return len(buckets) <= member.DigestBuckets
 }
 
-// Empty is the message that says nothing.
+// Empty is a message without content.
 type Empty struct{}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -6,46 +6,49 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// StoreStatus tells how the store answered this process.
+// StoreStatus is the state of the process's access to the store.
 type StoreStatus struct {
-	// Configured tells that the process was given a store.
+	// Configured is set if the process was given a store.
 	Configured bool
-	// Reachable tells how its last call ended; most processes make none.
+	// Reachable is set if the last call reached the store. Most processes make no
+	// calls.
 	Reachable bool
 	// LastContact is when the store last answered.
 	LastContact time.Time
 }
 
-// Status tells what a process knows and does.
+// Status is the state of a process.
 type Status struct {
 	Self member.Member
-	// Adopted is the configuration revision that the process holds, InForce
-	// the one that it acts on; 0 means none.
+	// Adopted is the configuration revision that the process has adopted, InForce
+	// the one that it serves; 0 means none.
 	Adopted, InForce uint64
-	// Seed tells that the process holds a lease in the store.
+	// Seed is set if the process holds a seed's lease in the store.
 	Seed  bool
 	Store StoreStatus
 	// Balancers and Agents count the live members by state.
 	Balancers, Agents map[string]int
-	// Suspected counts the members that a witness takes for dead.
+	// Suspected counts the members that at least one witness suspects.
 	Suspected int
-	// Witnessed are the members that renew here, with the revision that each
-	// has in force. Together the balancers' lists cover the fleet.
+	// Witnessed are the members for which this process is a witness, with the
+	// revision that each has in force. The lists of all balancers together cover
+	// the fleet.
 	Witnessed []member.Member
 }
 
-// StatusArgs ask for a status.
+// StatusArgs are the arguments of a status request.
 type StatusArgs struct {
-	// Witnessed asks for the members that renew at the process, too.
+	// Witnessed requests the members for which the process is a witness, too.
 	Witnessed bool
 }
 
-// Status answers what the process knows and does.
+// Status returns the state of the process.
 func (s *Service) Status(a StatusArgs, reply *Status) error {
 	return handle(s, reply, func(now time.Time) Status { return s.node.status(now, a) })
 }
 
-// Status returns what the process knows and does.
+// Status returns the state of the process; the zero value once the node has
+// stopped.
 func (n *Node) Status() (out Status) {
 	n.runTask(n.ctx, func(now time.Time) { out = n.status(now, StatusArgs{}) })
 	return out
@@ -71,6 +74,7 @@
 	return out
 }
 
+// countStates counts the members by state.
 func countStates(members []member.Member) map[string]int {
 	out := make(map[string]int)
 	for _, m := range members {
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 
-	It("brings processes together and its changes to all", func() {
+	It("lets processes join each other and distributes each change to all of them", func() {
 		f := newFleet().withStore()
 		revision := f.apply(0)
 		bs, as := f.startMany(5, 2)
@@ -38,7 +38,7 @@
 		}
 	})
 
-	It("may be down while all processes are replaced one by one", func() {
+	It("may be unavailable while all balancers are replaced one by one", func() {
 		f := newFleet().withStore()
 		revision := f.apply(0)
 		bs, as := f.startMany(3, 2)
@@ -70,7 +70,7 @@
 		Eventually(late.inForce, waitTimeout).Should(Equal(revision))
 	})
 
-	It("makes parts meet that formed apart", func() {
+	It("merges parts of a fleet that started separately", func() {
 		f := newFleet().withStore()
 		parts := f.client
 		f.client = nil
@@ -91,7 +91,7 @@
 		}
 	})
 
-	It("is called by seeds only, however many balancers there are", func() {
+	It("is called only by seeds, regardless of the number of balancers", func() {
 		f := newFleet().withStore()
 		revision := f.apply(0)
 		bs, as := f.startMany(9, 3)
@@ -99,7 +99,8 @@
 			Eventually(n.inForce, waitTimeout).Should(Equal(revision))
 		}
 		Eventually(seeds(bs), waitTimeout).Should(Equal(seed.Slots))
-		// The first to start may hold the leases at first; they give way soon.
+		// The first balancers to start may hold the leases at first; they release them
+		// to those of higher rank after a while.
 		callers := func() int {
 			before := make(map[*node]int64)
 			for _, n := range append(bs, as...) {
@@ -122,7 +123,7 @@
 		Eventually(callers, waitTimeout).Should(Equal(seed.Slots))
 	})
 
-	It("brings a change to all though those who come first as seeds have lost it", func() {
+	It("distributes a change although the first-ranked seeds cannot reach the store", func() {
 		f := newFleet().withStore()
 		revision := f.apply(0)
 		bs, as := f.startMany(4, 1)
@@ -140,7 +141,7 @@
 		for _, n := range first {
 			DeferCleanup(n.store.freeze())
 		}
-		for range 2 { // watches that are at the store already bring the first
+		for range 2 { // watches already waiting in the store still deliver the first change
 			revision = f.apply(revision)
 			for _, n := range append(bs, as...) {
 				Eventually(n.inForce, waitTimeout).Should(Equal(revision))
@@ -148,7 +149,7 @@
 		}
 	})
 
-	It("loses a frozen seed its lease and nobody a route", func() {
+	It("moves the lease away from a frozen seed without any member being lost", func() {
 		f := newFleet().withStore()
 		revision := f.apply(0)
 		bs, as := f.startMany(4, 2)
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -156,9 +156,9 @@
 	NoticeRetained
 	// NoticeRetainedEnd: the panic threshold no longer retains any member.
 	NoticeRetainedEnd
-	// NoticeTableFetched: an exchange brought many records at once, as when the
+	// NoticeTableReceived: an exchange brought many records at once, as when the
 	// process joins.
-	NoticeTableFetched
+	NoticeTableReceived
 )
 
 // Notice reports an event for the timeline. It requires no action.
--- a/internal/gossip/reconcile.go
+++ b/internal/gossip/reconcile.go
@@ -184,7 +184,7 @@
 	if added := e.outbox.waiting() - queued.waiting(); added > forwardLimit {
 		e.outbox = queued
 		e.actions = slices.DeleteFunc(e.actions, isMemberNotice)
-		e.emit(Notice{Kind: NoticeTableFetched, Count: added})
+		e.emit(Notice{Kind: NoticeTableReceived, Count: added})
 	}
 	for _, s := range x.Suspicions {
 		e.mergeSuspicion(now, s)
--- a/internal/seed/backoff.go
+++ b/internal/seed/backoff.go
@@ -27,7 +27,7 @@
 // Reset forgets the failures.
 func (b *Backoff) Reset() { b.failures = 0 }
 
-// spread returns a duration within a fifth of d.
-func spread(random *rand.Rand, d time.Duration) time.Duration {
+// jitter returns a duration within a fifth of d.
+func jitter(random *rand.Rand, d time.Duration) time.Duration {
 	return d - d/5 + time.Duration(random.Int64N(int64(2*d/5)+1))
 }
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -29,11 +29,11 @@
 	// with Stale it bounds how long a change waits when all seeds of a data
 	// centre are cut from the store.
 	DefaultLease = 10 * time.Second
-	// renewShare is the number of renewals within a lease.
-	renewShare = 3
-	// settleShare is the number of leases for which a seed goes on that is no
+	// renewalsPerLease is the number of renewals within a lease.
+	renewalsPerLease = 3
+	// demotionLeases is the number of leases for which a seed goes on that is no
 	// longer among the first.
-	settleShare = 4
+	demotionLeases = 4
 )
 
 // Prefix is the prefix of the store's keys of seeds.
@@ -96,20 +96,20 @@
 
 // Machine decides for one process. It belongs to one goroutine.
 type Machine struct {
-	rand     *rand.Rand
-	lease    time.Duration
-	busy     bool
-	holding  bool
-	inspect  bool
-	slot     int
-	revision uint64
-	until    time.Time
-	next     time.Time
-	demoted  time.Time
-	// taken counts the slots found taken: who follows a holder that still sits
+	rand        *rand.Rand
+	lease       time.Duration
+	busy        bool
+	holding     bool
+	mustInspect bool
+	slot        int
+	revision    uint64
+	heldUntil   time.Time
+	next        time.Time
+	demotedAt   time.Time
+	// takenCount counts the slots found takenCount: who follows a holder that still sits
 	// on the wrong slot must try the other.
-	taken   int
-	backoff Backoff
+	takenCount int
+	backoff    Backoff
 }
 
 // New returns the machine of a process that holds no lease. It takes leases of
@@ -122,47 +122,47 @@
 func (m *Machine) Lease() time.Duration { return m.lease }
 
 // Holding reports whether the process holds a lease at now, by its own clock.
-func (m *Machine) Holding(now time.Time) bool { return m.holding && now.Before(m.until) }
+func (m *Machine) Holding(now time.Time) bool { return m.holding && now.Before(m.heldUntil) }
 
 // Decide returns the call that is due. Its outcome goes to Done.
 func (m *Machine) Decide(now time.Time, in Input) Action {
-	if m.holding && !now.Before(m.until) {
+	if m.holding && !now.Before(m.heldUntil) {
 		m.holding = false
 	}
-	if m.busy || now.Before(m.next) && !m.leaving(now, in) {
+	if m.busy || now.Before(m.next) && !m.shouldRelease(now, in) {
 		return Action{}
 	}
-	a := m.choose(now, in)
+	a := m.nextAction(now, in)
 	m.busy = a.Kind != None
 	return a
 }
 
-func (m *Machine) choose(now time.Time, in Input) Action {
+func (m *Machine) nextAction(now time.Time, in Input) Action {
 	switch {
-	case m.holding && m.leaving(now, in):
+	case m.holding && m.shouldRelease(now, in):
 		return Action{Kind: Release, Slot: m.slot, Revision: m.revision}
 	case m.holding:
 		return Action{Kind: Extend, Slot: m.slot, Revision: m.revision}
 	case !eligible(in):
 		return Action{}
-	case m.inspect:
+	case m.mustInspect:
 		return Action{Kind: Inspect, Slot: m.slot}
 	}
-	m.slot = (in.Rank + m.taken) % Slots
+	m.slot = (in.Rank + m.takenCount) % Slots
 	return Action{Kind: Claim, Slot: m.slot}
 }
 
-// leaving reports whether a holder has been out of the first ranks for so long
+// shouldRelease reports whether a holder has been out of the first ranks for so long
 // that it gives its slot up.
-func (m *Machine) leaving(now time.Time, in Input) bool {
+func (m *Machine) shouldRelease(now time.Time, in Input) bool {
 	if eligible(in) {
-		m.demoted = time.Time{}
+		m.demotedAt = time.Time{}
 		return false
 	}
-	if m.demoted.IsZero() {
-		m.demoted = now
+	if m.demotedAt.IsZero() {
+		m.demotedAt = now
 	}
-	return m.holding && (in.Rank < 0 || now.Sub(m.demoted) >= settleShare*m.lease)
+	return m.holding && (in.Rank < 0 || now.Sub(m.demotedAt) >= demotionLeases*m.lease)
 }
 
 func eligible(in Input) bool {
@@ -177,20 +177,20 @@
 // from there, since the store may have granted it at any later moment.
 func (m *Machine) Done(now, sent time.Time, a Action, r Result, revision uint64) {
 	m.busy = false
-	m.inspect = false
+	m.mustInspect = false
 	switch r {
 	case Held:
 		m.holding, m.revision = true, revision
-		m.until = sent.Add(m.lease)
-		m.next = now.Add(spread(m.rand, m.lease/renewShare))
+		m.heldUntil = sent.Add(m.lease)
+		m.next = now.Add(jitter(m.rand, m.lease/renewalsPerLease))
 		if a.Kind == Inspect {
 			m.next = now // how much of the lease is left is not known
 		}
 		m.backoff.Reset()
 	case Taken:
 		m.holding = false
-		m.taken++
-		m.next = now.Add(spread(m.rand, m.lease))
+		m.takenCount++
+		m.next = now.Add(jitter(m.rand, m.lease))
 		m.backoff.Reset()
 	case Free:
 		m.holding = false
@@ -198,7 +198,7 @@
 	case Unavailable:
 		m.next = now.Add(m.backoff.Next(m.rand))
 	case Unknown:
-		m.inspect = true
+		m.mustInspect = true
 		m.holding = m.holding && a.Kind == Extend
 		m.next = now.Add(m.backoff.Next(m.rand))
 	}
--- a/internal/seed/seed_test.go
+++ b/internal/seed/seed_test.go
@@ -12,8 +12,8 @@
 
 func newMachine() *seed.Machine { return seed.New(rand.New(rand.NewPCG(1, 2)), seed.DefaultLease) }
 
-// hold makes the machine claim its slot at now.
-func hold(t *testing.T, m *seed.Machine, now time.Time) {
+// claimLease makes the machine claim its slot at now.
+func claimLease(t *testing.T, m *seed.Machine, now time.Time) {
 	t.Helper()
 	a := m.Decide(now, seed.Input{})
 	if a.Kind != seed.Claim {
@@ -22,7 +22,7 @@
 	m.Done(now, now, a, seed.Held, 7)
 }
 
-func TestWhoMayHoldALease(t *testing.T) {
+func TestRankAndReadingAgeDecideWhoClaims(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   seed.Input
 		kind seed.Kind
@@ -46,9 +46,9 @@
 
 // A holder that was paused past its lease takes itself for no holder when it
 // wakes, and claims anew rather than extend.
-func TestPausedHolderIsNoSeedAnyMore(t *testing.T) {
+func TestPausedHolderLosesItsLease(t *testing.T) {
 	m := newMachine()
-	hold(t, m, start)
+	claimLease(t, m, start)
 	woken := start.Add(seed.DefaultLease)
 	if m.Holding(woken) {
 		t.Error("holds a lapsed lease")
@@ -67,7 +67,7 @@
 }
 
 // The first in rank may sit on the second slot, taken when it was second.
-func TestTakenSlotLeadsToTheOther(t *testing.T) {
+func TestClaimsOtherSlotWhenSlotIsTaken(t *testing.T) {
 	m := newMachine()
 	a := m.Decide(start, seed.Input{Rank: 1})
 	m.Done(start, start, a, seed.Taken, 0)
@@ -79,7 +79,7 @@
 
 // The lease counts from before the call: an answer that was long under way
 // grants what is left.
-func TestLeaseCountsFromTheCall(t *testing.T) {
+func TestLeaseStartsWhenTheCallIsSent(t *testing.T) {
 	m := newMachine()
 	a := m.Decide(start, seed.Input{})
 	m.Done(start.Add(10*time.Second), start, a, seed.Held, 7)
@@ -90,7 +90,7 @@
 
 func TestHolderExtendsExpectingItsRevision(t *testing.T) {
 	m := newMachine()
-	hold(t, m, start)
+	claimLease(t, m, start)
 	if a := m.Decide(start.Add(time.Second), seed.Input{}); a.Kind != seed.None {
 		t.Errorf("extends early: %v", a)
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestUnknownOutcomeIsLookedUp(t *testing.T) {
+func TestUnknownOutcomeIsInspected(t *testing.T) {
 	m := newMachine()
 	a := m.Decide(start, seed.Input{})
 	m.Done(start, start, a, seed.Unknown, 0)
@@ -120,9 +120,9 @@
 
 // A holder that others have overtaken goes on for a while, and gives its lease
 // up at once when it drains.
-func TestHolderGivesWay(t *testing.T) {
+func TestDemotedOrDrainingHolderReleasesItsLease(t *testing.T) {
 	m := newMachine()
-	hold(t, m, start)
+	claimLease(t, m, start)
 	now := start
 	var a seed.Action
 	for ; now.Before(start.Add(5 * time.Minute)); now = now.Add(time.Second) {
@@ -138,7 +138,7 @@
 		t.Errorf("%v after %v, want a release after about a minute", a, held)
 	}
 	m = newMachine()
-	hold(t, m, start)
+	claimLease(t, m, start)
 	if a := m.Decide(start.Add(time.Second), seed.Input{Rank: -1}); a.Kind != seed.Release {
 		t.Errorf("drains and does %v", a)
 	}
