--- a/internal/adopt/adopt.go
+++ b/internal/adopt/adopt.go
@@ -1,24 +1,26 @@
-// Package adopt decides which configuration revision a process takes over and
-// whether it may serve on it. It is pure: answers and the time come in, a
-// decision comes out.
+// Package adopt decides which configuration revision a process adopts and whether
+// it may serve it. It does no I/O and reads no clock: the caller passes in answers
+// of peers, readings of the store and the time, and carries out the decision.
 //
 // The rules:
 //
-//  1. A process only ever adopts a higher revision than its own.
-//  2. A process that has once served goes on serving, whatever it can reach.
-//  3. A process without memory serves once its revision is vouched for: either
-//     a reading of the store that was made after the process started, and is
-//     younger than Rules.Fresh, shows no higher one; or enough distinct peers
-//     that serve themselves answered. It never begins while a peer that is not
-//     gone claims a higher revision. A reading from before the start may be
-//     older than a revision that was in force everywhere at the start.
-//  4. Only balancers that serve vouch. Newcomers that asked one lagging peer
-//     would else vouch for each other, and agents learn a revision after the
-//     balancers.
+//  1. A process only adopts a revision higher than its own.
+//  2. A process that has begun to serve continues to serve, even if it cannot reach
+//     its peers or the store.
+//  3. A process starts without a stored configuration. It begins to serve when its
+//     revision has been confirmed, either by a reading of the store or by answers of
+//     enough distinct peers that serve themselves. The reading must have been made
+//     after the process started, be at most Rules.MaxReadingAge old, and show no
+//     higher revision; an earlier one may be older than a revision that was in force
+//     everywhere at the start. The process never begins to serve while a peer that
+//     is not gone has a higher revision.
+//  4. Only balancers that serve can confirm a revision. Otherwise, processes that
+//     joined through the same lagging peer could confirm its revision to each other.
+//     Agents cannot confirm it, because they receive a revision after the balancers.
 //
-// Limits: rule 3 cannot know a revision that nobody whom the process can reach
-// knows. During a cut a newcomer therefore begins on what its own side has in
-// force, and rises when the cut heals.
+// Limits: rule 3 cannot detect a revision that no reachable process has. During a
+// network partition, a new process therefore begins with the revision in force on its
+// side of the partition, and adopts the higher one when the partition heals.
 package adopt
 
 import (
@@ -26,17 +28,19 @@
 	"time"
 )
 
-// Rules are the parameters of the decision.
+// Rules are the parameters of the adoption rules.
 type Rules struct {
-	// MaxReadingAge is how old a reading of the store may be to vouch alone.
+	// MaxReadingAge is the maximum age of a store reading that confirms a
+	// revision without peers.
 	MaxReadingAge time.Duration
-	// Quorum caps the number of peers that have to answer.
+	// Quorum is the maximum number of peers that must confirm a revision.
 	Quorum int
-	// AnswerTTL is how long an answer counts without being repeated.
+	// AnswerTTL is how long a peer's answer counts if no later answer replaces
+	// it.
 	AnswerTTL time.Duration
 }
 
-// DefaultRules return the parameters that the daemon uses.
+// DefaultRules returns the parameters that the daemon uses.
 func DefaultRules() Rules {
 	const (
 		maxReadingAge = 10 * time.Second
@@ -46,39 +50,41 @@
 	return Rules{MaxReadingAge: maxReadingAge, Quorum: quorum, AnswerTTL: answerTTL}
 }
 
-// Reading tells what a read of the store showed and how old it is.
+// Reading is the result of a read of the store, and its age.
 type Reading struct {
 	// Revision is the revision read; 0 means that the key did not exist.
 	Revision uint64
-	// Age is the time since the read was sent. A relay adds the time it held
-	// the reading, and the whole round trip over which it learned it.
+	// Age is the time since the read was sent. A process that forwards the
+	// reading adds the time for which it had it; the receiver adds the whole
+	// round trip of the call that brought it.
 	Age time.Duration
 }
 
-// Answer is what a peer said about its configuration.
+// Answer is what a peer stated about its configuration.
 type Answer struct {
 	Peer netip.AddrPort
-	// Revision is the one that the peer has adopted.
+	// Revision is the revision that the peer has adopted.
 	Revision uint64
-	// Serving tells that the peer is a balancer and serves on it.
+	// Serving is set if the peer is a balancer and serves the revision.
 	Serving bool
-	// Balancers is the number of live balancers that the peer knows, without
-	// the process that asks.
+	// Balancers is the number of live balancers known to the peer, without the
+	// process that receives the answer.
 	Balancers int
-	// Reading is the newest reading of the store that the peer knows, nil
-	// where it knows none.
+	// Reading is the newest reading of the store known to the peer, nil for none.
 	Reading *Reading
 }
 
 // Decision is what a process should do now.
 type Decision struct {
-	// Fetch is the revision to ask From for; 0 means none. Adopt it with
-	// State.Adopt once its text was fetched, checked and parsed.
+	// Fetch is the revision to fetch from the peer From; 0 means none. Once its
+	// text has been fetched, validated and parsed, it is adopted with
+	// State.Adopt.
 	Fetch uint64
 	From  netip.AddrPort
-	// Serve tells whether the process may serve on the revision it adopted.
+	// Serve reports whether the process may serve the revision that it has
+	// adopted.
 	Serve bool
-	// Reason tells what Serve rests on, or what is missing.
+	// Reason is why the process may serve, or what is missing.
 	Reason Reason
 }
 
@@ -95,8 +101,9 @@
 	ReasonPeers          Reason = "enough peers that serve"
 )
 
-// State is what a process knows about the configuration. The zero value is not
-// usable; New makes one. One goroutine owns it.
+// State is what a process knows about the configuration of its peers, and what it
+// has adopted. The zero value is not usable; New returns a usable one. It is not
+// safe for concurrent use.
 type State struct {
 	started      time.Time
 	rules        Rules
@@ -107,20 +114,22 @@
 	storeReading storedReading
 }
 
-// timedAnswer is an answer with the time at which it came.
+// timedAnswer is an answer with the time of its arrival.
 type timedAnswer struct {
 	Answer
 	at time.Time
 }
 
-// storedReading is the newest known read of the store by the time it was sent.
+// storedReading is the newest known reading of the store, by the time when the
+// read was sent.
 type storedReading struct {
 	known    bool
 	revision uint64
 	sent     time.Time
 }
 
-// New returns the state of a process without memory that starts now.
+// New returns the state of a process that starts now and has not adopted any
+// revision.
 func New(rules Rules, now time.Time) *State {
 	return &State{rules: rules, started: now, answers: map[netip.AddrPort]timedAnswer{}}
 }
@@ -128,7 +137,8 @@
 // Revision returns the adopted revision, 0 for none.
 func (s *State) Revision() uint64 { return s.adopted }
 
-// RecordReading notes a reading of the store, the process's own or a relayed one.
+// RecordReading records a reading of the store, the process's own or a forwarded
+// one. It ignores a reading that is older than the known one.
 func (s *State) RecordReading(r Reading, now time.Time) {
 	sent := now.Add(-r.Age)
 	if s.storeReading.known && !sent.After(s.storeReading.sent) {
@@ -137,9 +147,9 @@
 	s.storeReading = storedReading{known: true, revision: r.Revision, sent: sent}
 }
 
-// Reading returns the newest reading to pass on to peers, nil for none. One
-// whose revision the process has not adopted is not passed on: who hears of a
-// revision must be able to fetch it here.
+// Reading returns the newest reading to forward to peers, nil for none. A reading
+// is not forwarded while the process has not adopted its revision, because a peer
+// that learns of a revision must be able to fetch it from this process.
 func (s *State) Reading(now time.Time) *Reading {
 	if !s.storeReading.known || s.storeReading.revision > s.adopted {
 		return nil
@@ -147,8 +157,9 @@
 	return &Reading{Revision: s.storeReading.revision, Age: now.Sub(s.storeReading.sent)}
 }
 
-// RecordAnswer notes a peer's answer. Its revision does not fall below an earlier
-// answer's: the two may have overtaken each other on their way.
+// RecordAnswer records a peer's answer. The recorded revision never falls below
+// that of an earlier answer, because answers can arrive in a different order than
+// they were sent.
 func (s *State) RecordAnswer(a Answer, now time.Time) {
 	if a.Reading != nil {
 		s.RecordReading(*a.Reading, now)
@@ -157,15 +168,17 @@
 	s.answers[a.Peer] = timedAnswer{Answer: a, at: now}
 }
 
-// RemovePeer forgets a peer that membership holds for gone.
+// RemovePeer removes the answer of a peer that did not deliver the fetched
+// revision. The peer's next answer counts again.
 func (s *State) RemovePeer(peer netip.AddrPort) { delete(s.answers, peer) }
 
-// SetBalancers sets the number of other balancers that membership knows and that are
-// not gone. A quorum is a majority of them, at most Rules.Quorum.
+// SetBalancers sets the number of other live balancers in the process's own
+// table. The quorum is a majority of the known balancers, but at most
+// Rules.Quorum.
 func (s *State) SetBalancers(balancers int) { s.balancers = balancers }
 
-// Adopt takes over a revision whose text is checked and parsed. It refuses one
-// that is not higher than the adopted revision.
+// Adopt adopts a revision whose text has been validated and parsed. It returns
+// false if the revision is not higher than the adopted one.
 func (s *State) Adopt(revision uint64) bool {
 	if revision <= s.adopted {
 		return false
@@ -174,8 +187,8 @@
 	return true
 }
 
-// Decide returns what to fetch and whether to serve. The first decision to
-// serve holds for the life of the process.
+// Decide returns what to fetch and whether to serve. Once it has decided to
+// serve, it does so for the rest of the process's life.
 func (s *State) Decide(now time.Time) Decision {
 	s.expire(now)
 	d := s.selectFetch()
@@ -184,7 +197,8 @@
 	return d
 }
 
-// expire drops answers that are too old to tell what their peer knows now.
+// expire removes answers older than Rules.AnswerTTL: the peer may have adopted
+// another revision since.
 func (s *State) expire(now time.Time) {
 	for peer, h := range s.answers {
 		if now.Sub(h.at) > s.rules.AnswerTTL {
@@ -193,8 +207,9 @@
 	}
 }
 
-// selectFetch picks the highest revision that a peer holds, of equals the peer with
-// the lowest address, so that a replay decides the same.
+// selectFetch selects the highest revision that a peer has. If several peers have
+// it, it selects the peer with the lowest address, so that a simulation with the
+// same seed decides the same.
 func (s *State) selectFetch() Decision {
 	var d Decision
 	for peer, h := range s.answers {
@@ -208,6 +223,8 @@
 	return d
 }
 
+// mayServe reports whether the process may serve the adopted revision, and why.
+// higher is set if a peer has a higher revision.
 func (s *State) mayServe(higher bool, now time.Time) (bool, Reason) {
 	switch {
 	case s.adopted == 0:
@@ -224,20 +241,22 @@
 	return false, ReasonUnconfirmed
 }
 
-// hasFreshReading reports whether the store was read lately and since the start.
+// hasFreshReading reports whether the newest read of the store was sent after the
+// process started and is at most Rules.MaxReadingAge old.
 func (s *State) hasFreshReading(now time.Time) bool {
 	return s.storeReading.known && !s.storeReading.sent.Before(s.started) && now.Sub(s.storeReading.sent) <= s.rules.MaxReadingAge
 }
 
-// readingIsHigher reports whether the store lately held a higher revision. An older
-// reading does not count: its text may have been lost with its reader, and a
-// quorum of peers that serve then knows better.
+// readingIsHigher reports whether the store held a higher revision within
+// Rules.AnswerTTL. An older reading does not count: the process that read the
+// revision may have been lost together with its text, and a quorum of serving
+// peers then is the better evidence.
 func (s *State) readingIsHigher(now time.Time) bool {
 	return s.storeReading.known && s.storeReading.revision > s.adopted && now.Sub(s.storeReading.sent) <= s.rules.AnswerTTL
 }
 
-// servingPeers counts the peers that serve on a revision. After fetch none of them
-// has a higher one than ours.
+// servingPeers counts the peers that serve a revision. When it is called, no peer
+// has a higher revision than this process.
 func (s *State) servingPeers() int {
 	n := 0
 	for _, h := range s.answers {
@@ -248,8 +267,10 @@
 	return n
 }
 
-// quorum is a majority of the known balancers, at least one, at most the cap.
-// A process that has just joined knows fewer of them than its peers do.
+// quorum returns the number of peers that must serve: a majority of the known
+// balancers, at least 1 and at most Rules.Quorum. A process that has just joined
+// knows fewer balancers than its peers do, so the largest number that a peer
+// stated counts.
 func (s *State) quorum() int {
 	known := s.balancers
 	for _, h := range s.answers {
--- a/internal/adopt/fleet_test.go
+++ b/internal/adopt/fleet_test.go
@@ -11,13 +11,13 @@
 
 const processes = 4
 
-// message is an answer on its way to a process.
+// message is an answer in transit to one incarnation of a process.
 type message struct {
 	to, incarnation int
 	answer          adopt.Answer
 }
 
-// process is one balancer with what the test knows of it.
+// process is one balancer and what the test tracks about it.
 type process struct {
 	state       *adopt.State
 	incarnation int
@@ -26,7 +26,9 @@
 	inForce uint64
 }
 
-// fleet follows spec/config_adopt.pml, with the real rule in each process.
+// fleet implements the model in spec/config_adopt.pml, with the real adoption
+// rules in each process. It also tracks the revision in the store and the one in
+// force, which is the highest that a majority of processes has served.
 type fleet struct {
 	now      time.Time
 	stored   uint64
@@ -55,7 +57,7 @@
 	s.RecordReading(adopt.Reading{Revision: f.stored}, f.now)
 }
 
-// send puts a process's answer on its way to another.
+// send puts an answer of one process to another in transit.
 func (f *fleet) send(from, to int) {
 	if from == to {
 		return
@@ -67,8 +69,8 @@
 	}})
 }
 
-// deliver hands over a message, unless its receiver has restarted since. How
-// long it was under way is not known, so that its reading counts as old.
+// deliver delivers a message, unless its receiver has restarted since it was
+// sent. The transit time is unknown, so the reading in the message counts as old.
 func (f *fleet) deliver(n int) {
 	m := f.inFlight[n]
 	f.inFlight = append(f.inFlight[:n], f.inFlight[n+1:]...)
@@ -80,8 +82,10 @@
 	}
 }
 
-// decide fetches and serves as the rule says; a fetch brings what its peer has
-// now, which may be gone.
+// decide carries out the decision of a process. A fetch returns what the peer has
+// now, which may be less than it had stated if it has restarted. decide reports
+// whether the process begins to serve a lower revision than was in force at its
+// start.
 func (f *fleet) decide(i int) (reverted bool) {
 	p := &f.all[i]
 	d := p.state.Decide(f.now)
@@ -99,7 +103,7 @@
 	return begins && p.state.Revision() < p.inForce
 }
 
-// updateInForce keeps the highest revision that a majority has served on.
+// updateInForce updates the highest revision that a majority has served.
 func (f *fleet) updateInForce() {
 	for revision := f.inForce + 1; revision <= f.stored; revision++ {
 		count := 0
@@ -114,8 +118,10 @@
 	}
 }
 
-// TestNoProcessRevertsAfterRestarts drives processes through late answers,
-// readings of the store and restarts.
+// TestNoProcessRevertsAfterRestarts applies random sequences of delayed answers,
+// store readings and restarts. No process may begin to serve a lower revision
+// than was in force at its start, and none may return to a lower revision or stop
+// serving.
 func TestNoProcessRevertsAfterRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
@@ -138,7 +144,7 @@
 				}
 			case "decide":
 				if i := drawProcess("who"); f.decide(i) {
-					t.Fatalf("process %d began on %d though %d was in force at its start", i, f.all[i].state.Revision(), f.all[i].inForce)
+					t.Fatalf("process %d began to serve revision %d, but %d was in force at its start", i, f.all[i].state.Revision(), f.all[i].inForce)
 				}
 			case "change":
 				f.stored++
@@ -152,7 +158,7 @@
 			f.updateInForce()
 			for i, p := range f.all {
 				if p.incarnation == incarnations[i] && (p.state.Revision() < before[i] || served[i] && !p.serving) {
-					t.Fatalf("process %d fell back from %d (serving %v)", i, before[i], served[i])
+					t.Fatalf("process %d reverted from revision %d or stopped serving (was serving: %v)", i, before[i], served[i])
 				}
 			}
 		}
