--- a/internal/seed/backoff.go
+++ b/internal/seed/backoff.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Backoff spaces retries: each wait doubles and is jittered over its upper
-// half, so that processes that failed together do not retry together.
+// Backoff computes the delays between retries. Each delay is twice the one
+// before, from Least up to Most, and is randomised over its upper half, so that
+// processes that failed together do not retry together.
 type Backoff struct {
 	Least, Most time.Duration
 	failures    int
 }
 
-// Next returns the wait before the next try.
+// Next returns the delay before the next attempt.
 func (b *Backoff) Next(random *rand.Rand) time.Duration {
 	wait := b.Least
 	for range b.failures {
@@ -24,10 +25,11 @@
 	return wait/2 + time.Duration(random.Int64N(int64(wait/2)+1))
 }
 
-// Reset forgets the failures.
+// Reset makes the next delay start from Least again.
 func (b *Backoff) Reset() { b.failures = 0 }
 
-// jitter returns a duration within a fifth of d.
+// jitter returns a random duration, evenly distributed within a fifth of d either
+// way.
 func jitter(random *rand.Rand, d time.Duration) time.Duration {
 	return d - d/5 + time.Duration(random.Int64N(int64(2*d/5)+1))
 }
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -1,11 +1,12 @@
 // Package seed decides which balancers hold a lease in the store and watch the
-// configuration there. The number of seeds depends on the number of data
-// centres alone, so that the calls to the store do not grow with the fleet.
-// The lease only bounds how many call: nothing that is routed depends on it,
-// and a process that lost its lease merely stops being a seed.
+// configuration there: the seeds. Each data centre has a fixed number of slots
+// for seeds, so that the number of calls to the store does not grow with the
+// number of balancers. The lease only limits how many balancers call the store.
+// Routing does not depend on it, and a process that loses its lease merely stops
+// being a seed.
 //
-// The package is pure: the time, randomness and outcomes come in, decisions
-// come out.
+// The package does no I/O and reads no clock: the caller passes in time,
+// randomness and the outcomes of calls, and carries out the returned actions.
 package seed
 
 import (
@@ -17,47 +18,48 @@
 const (
 	// Slots is the number of seeds of a data centre.
 	Slots = 2
-	// Spares is the number of further balancers of a data centre that may try
-	// when no reading of the store has reached them for Stale: the first ones
-	// may be cut off from the store.
+	// Spares is the number of further balancers of a data centre that may try to
+	// become seeds when no reading of the store younger than Stale has reached
+	// them. The first-ranked balancers may then be cut off from the store.
 	Spares = 2
-	// Stale is the age of the newest known reading of the store from which
-	// spares try. News of a reading takes some seconds through a large fleet, so
-	// that spares may try in vain there: their number is fixed, too.
+	// Stale is the age of the newest known reading of the store from which spares
+	// try. A reading takes some seconds to propagate through a large fleet, so
+	// there spares may try although the seeds work. This adds only a fixed number
+	// of calls, because the number of spares is fixed.
 	Stale = DefaultLease
-	// DefaultLease is how long a seed holds its slot without renewing. Together
-	// with Stale it bounds how long a change waits when all seeds of a data
-	// centre are cut from the store.
+	// DefaultLease is how long a seed holds its slot without renewing the lease.
+	// Together with Stale, it limits how long a configuration change is delayed
+	// if all seeds of a data centre are cut off from the store.
 	DefaultLease = 10 * time.Second
-	// renewalsPerLease is the number of renewals within a lease.
+	// renewalsPerLease is the number of renewals within the length of a lease.
 	renewalsPerLease = 3
-	// demotionLeases is the number of leases for which a seed goes on that is no
-	// longer among the first.
+	// demotionLeases is the number of lease lengths after which a seed that no
+	// longer has one of the first ranks releases its slot.
 	demotionLeases = 4
 )
 
-// Prefix is the prefix of the store's keys of seeds.
+// Prefix is the common prefix of the seeds' keys in the store.
 const Prefix = "saltbend/seeds/"
 
-// Key returns the store's key of a slot.
+// Key returns the key of a slot in the store.
 func Key(dataCentre string, slot int) string {
 	return fmt.Sprintf("%s%s/%d", Prefix, dataCentre, slot)
 }
 
-// Kind tells what to do at the store.
+// Kind is the kind of a call to the store.
 type Kind uint8
 
 // Kinds of actions.
 const (
-	// None: nothing is due.
+	// None: no call is due.
 	None Kind = iota
-	// Claim: create the slot's key with a lease.
+	// Claim: create the key of the slot with a lease.
 	Claim
-	// Extend: write the key again, expecting Revision.
+	// Extend: renew the lease by writing the key if it still has Revision.
 	Extend
-	// Inspect: read the key, since the outcome of a write is not known.
+	// Inspect: read the key, because the outcome of a write is unknown.
 	Inspect
-	// Release: delete the key, expecting Revision.
+	// Release: delete the key if it still has Revision.
 	Release
 )
 
@@ -68,33 +70,34 @@
 	Revision uint64
 }
 
-// Result tells how a call to the store ended.
+// Result is the outcome of a call to the store.
 type Result uint8
 
 // Results of calls.
 const (
-	// Held: the key is this process's own.
+	// Held: this process holds the slot.
 	Held Result = iota + 1
 	// Taken: another process holds the slot.
 	Taken
-	// Free: nobody holds the slot.
+	// Free: no process holds the slot.
 	Free
-	// Unavailable: the store was not reached, and nothing has changed.
+	// Unavailable: the store was not reached, and nothing was written.
 	Unavailable
 	// Unknown: the write may have taken effect.
 	Unknown
 )
 
-// Input is what a decision rests on.
+// Input is the input of a decision.
 type Input struct {
-	// Rank is the process's place among the balancers of its data centre, from
-	// 0; negative for one that must not be a seed.
+	// Rank is the rank of the process among the balancers of its data centre,
+	// from 0. It is negative if the process must not be a seed.
 	Rank int
 	// Age is the age of the newest known reading of the store.
 	Age time.Duration
 }
 
-// Machine decides for one process. It belongs to one goroutine.
+// Machine is the state machine of one process's lease. It is not safe for
+// concurrent use.
 type Machine struct {
 	rand        *rand.Rand
 	lease       time.Duration
@@ -106,25 +109,27 @@
 	heldUntil   time.Time
 	next        time.Time
 	demotedAt   time.Time
-	// takenCount counts the slots found takenCount: who follows a holder that still sits
-	// on the wrong slot must try the other.
+	// takenCount counts the slots found taken. It selects the slot to claim: the
+	// holder of the slot that belongs to this process's rank may have taken it at
+	// another rank, and then the other slot is the one to claim.
 	takenCount int
 	backoff    Backoff
 }
 
-// New returns the machine of a process that holds no lease. It takes leases of
-// the given length.
+// New returns the machine of a process that holds no lease. lease is the length
+// of the leases that it takes.
 func New(random *rand.Rand, lease time.Duration) *Machine {
 	return &Machine{rand: random, lease: lease, backoff: Backoff{Least: time.Second, Most: 30 * time.Second}}
 }
 
-// Lease returns the length of the leases that the machine takes.
+// Lease returns the length of the leases.
 func (m *Machine) Lease() time.Duration { return m.lease }
 
-// Holding reports whether the process holds a lease at now, by its own clock.
+// Holding reports whether the process holds a lease at now, according to its own
+// clock.
 func (m *Machine) Holding(now time.Time) bool { return m.holding && now.Before(m.heldUntil) }
 
-// Decide returns the call that is due. Its outcome goes to Done.
+// Decide returns the call that is due. The caller must pass its outcome to Done.
 func (m *Machine) Decide(now time.Time, in Input) Action {
 	if m.holding && !now.Before(m.heldUntil) {
 		m.holding = false
@@ -137,6 +142,8 @@
 	return a
 }
 
+// nextAction returns the call to make, without regard to the time of the next
+// one.
 func (m *Machine) nextAction(now time.Time, in Input) Action {
 	switch {
 	case m.holding && m.shouldRelease(now, in):
@@ -152,8 +159,9 @@
 	return Action{Kind: Claim, Slot: m.slot}
 }
 
-// shouldRelease reports whether a holder has been out of the first ranks for so long
-// that it gives its slot up.
+// shouldRelease reports whether the process must release its slot: at once if it
+// must not be a seed, or after it has been out of the first ranks for
+// demotionLeases lease lengths.
 func (m *Machine) shouldRelease(now time.Time, in Input) bool {
 	if eligible(in) {
 		m.demotedAt = time.Time{}
@@ -165,6 +173,9 @@
 	return m.holding && (in.Rank < 0 || now.Sub(m.demotedAt) >= demotionLeases*m.lease)
 }
 
+// eligible reports whether the process may claim a lease: its rank is one of the
+// first Slots, or one of the next Spares if the newest known reading of the store
+// is stale.
 func eligible(in Input) bool {
 	limit := Slots
 	if in.Age >= Stale {
@@ -173,8 +184,9 @@
 	return in.Rank >= 0 && in.Rank < limit
 }
 
-// Done takes in how the call ended. sent is when it was begun: a lease counts
-// from there, since the store may have granted it at any later moment.
+// Done processes the outcome of a call. sent is when the call was sent: the lease
+// is counted from then, because the store may have granted it at any time after
+// that.
 func (m *Machine) Done(now, sent time.Time, a Action, r Result, revision uint64) {
 	m.busy = false
 	m.mustInspect = false
@@ -184,7 +196,7 @@
 		m.heldUntil = sent.Add(m.lease)
 		m.next = now.Add(jitter(m.rand, m.lease/renewalsPerLease))
 		if a.Kind == Inspect {
-			m.next = now // how much of the lease is left is not known
+			m.next = now // the remaining time of the lease is unknown: extend it at once
 		}
 		m.backoff.Reset()
 	case Taken:
--- a/internal/seed/seed_test.go
+++ b/internal/seed/seed_test.go
@@ -12,7 +12,7 @@
 
 func newMachine() *seed.Machine { return seed.New(rand.New(rand.NewPCG(1, 2)), seed.DefaultLease) }
 
-// claimLease makes the machine claim its slot at now.
+// claimLease makes the machine claim and get a lease at now.
 func claimLease(t *testing.T, m *seed.Machine, now time.Time) {
 	t.Helper()
 	a := m.Decide(now, seed.Input{})
@@ -28,30 +28,31 @@
 		kind seed.Kind
 		slot int
 	}{
-		"the first":                       {seed.Input{Rank: 0}, seed.Claim, 0},
-		"the second":                      {seed.Input{Rank: 1}, seed.Claim, 1},
-		"a spare, all is well":            {seed.Input{Rank: 2}, seed.None, 0},
-		"a spare, nobody reads the store": {seed.Input{Rank: 3, Age: seed.Stale}, seed.Claim, 1},
-		"any other":                       {seed.Input{Rank: 4, Age: seed.Stale}, seed.None, 0},
-		"who must not":                    {seed.Input{Rank: -1, Age: seed.Stale}, seed.None, 0},
+		"first rank":                        {seed.Input{Rank: 0}, seed.Claim, 0},
+		"second rank":                       {seed.Input{Rank: 1}, seed.Claim, 1},
+		"spare, fresh reading of the store": {seed.Input{Rank: 2}, seed.None, 0},
+		"spare, stale reading of the store": {seed.Input{Rank: 3, Age: seed.Stale}, seed.Claim, 1},
+		"rank after the spares":             {seed.Input{Rank: 4, Age: seed.Stale}, seed.None, 0},
+		"negative rank":                     {seed.Input{Rank: -1, Age: seed.Stale}, seed.None, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newMachine().Decide(start, c.in)
 			if a.Kind != c.kind || a.Slot != c.slot {
-				t.Errorf("got %v", a)
+				t.Errorf("action %v, want the kind and slot of the test case", a)
 			}
 		})
 	}
 }
 
-// A holder that was paused past its lease takes itself for no holder when it
-// wakes, and claims anew rather than extend.
+// A holder that was paused until after the end of its lease must not consider
+// itself a holder when it resumes, and must claim the slot again instead of
+// extending the lease.
 func TestPausedHolderLosesItsLease(t *testing.T) {
 	m := newMachine()
 	claimLease(t, m, start)
 	woken := start.Add(seed.DefaultLease)
 	if m.Holding(woken) {
-		t.Error("holds a lapsed lease")
+		t.Error("machine holds a lease that has expired")
 	}
 	a := m.Decide(woken, seed.Input{})
 	if a.Kind != seed.Claim || a.Revision != 0 {
@@ -59,32 +60,33 @@
 	}
 	m.Done(woken, woken, a, seed.Taken, 0)
 	if m.Holding(woken) {
-		t.Error("holds what another took")
+		t.Error("machine holds a lease on a slot that another process has taken")
 	}
 	if again := m.Decide(woken.Add(time.Second), seed.Input{}); again.Kind != seed.None {
-		t.Errorf("tries again at once: %v", again)
+		t.Errorf("action %v one second after the slot was taken, want none", again)
 	}
 }
 
-// The first in rank may sit on the second slot, taken when it was second.
+// The balancer of the first rank may hold the second slot, because it claimed it
+// when it had the second rank.
 func TestClaimsOtherSlotWhenSlotIsTaken(t *testing.T) {
 	m := newMachine()
 	a := m.Decide(start, seed.Input{Rank: 1})
 	m.Done(start, start, a, seed.Taken, 0)
 	later := start.Add(2 * seed.DefaultLease)
 	if next := m.Decide(later, seed.Input{Rank: 1}); next.Kind != seed.Claim || next.Slot == a.Slot {
-		t.Errorf("claims slot %d, then does %v", a.Slot, next)
+		t.Errorf("claimed slot %d, then action %v; want a claim of the other slot", a.Slot, next)
 	}
 }
 
-// The lease counts from before the call: an answer that was long under way
-// grants what is left.
+// The lease is counted from the time when the call was sent, so that after a slow
+// answer only the rest of it is left.
 func TestLeaseStartsWhenTheCallIsSent(t *testing.T) {
 	m := newMachine()
 	a := m.Decide(start, seed.Input{})
 	m.Done(start.Add(10*time.Second), start, a, seed.Held, 7)
 	if !m.Holding(start.Add(seed.DefaultLease-time.Second)) || m.Holding(start.Add(seed.DefaultLease)) {
-		t.Error("the lease does not end its length after the call")
+		t.Error("lease does not end one lease length after the call was sent")
 	}
 }
 
@@ -92,11 +94,11 @@
 	m := newMachine()
 	claimLease(t, m, start)
 	if a := m.Decide(start.Add(time.Second), seed.Input{}); a.Kind != seed.None {
-		t.Errorf("extends early: %v", a)
+		t.Errorf("action %v one second after the claim, want none", a)
 	}
 	a := m.Decide(start.Add(2*seed.DefaultLease/3), seed.Input{})
 	if a.Kind != seed.Extend || a.Revision != 7 {
-		t.Errorf("got %v", a)
+		t.Errorf("action %v, want to extend revision 7", a)
 	}
 }
 
@@ -105,21 +107,21 @@
 	a := m.Decide(start, seed.Input{})
 	m.Done(start, start, a, seed.Unknown, 0)
 	if m.Holding(start) {
-		t.Error("holds what it does not know of")
+		t.Error("machine holds a lease although the outcome of the claim is unknown")
 	}
 	later := start.Add(time.Minute)
 	a = m.Decide(later, seed.Input{})
 	if a.Kind != seed.Inspect {
-		t.Fatalf("got %v", a)
+		t.Fatalf("action %v, want to inspect the slot", a)
 	}
 	m.Done(later, later, a, seed.Held, 9)
 	if next := m.Decide(later, seed.Input{}); next.Kind != seed.Extend || next.Revision != 9 {
-		t.Errorf("got %v, want to extend at once", next)
+		t.Errorf("action %v, want to extend revision 9 at once", next)
 	}
 }
 
-// A holder that others have overtaken goes on for a while, and gives its lease
-// up at once when it drains.
+// A holder that is no longer among the first ranks keeps its lease for a while. A
+// holder that drains releases it at once.
 func TestDemotedOrDrainingHolderReleasesItsLease(t *testing.T) {
 	m := newMachine()
 	claimLease(t, m, start)
@@ -135,16 +137,16 @@
 		}
 	}
 	if held := now.Sub(start); a.Kind != seed.Release || held < 30*time.Second || held > 2*time.Minute {
-		t.Errorf("%v after %v, want a release after about a minute", a, held)
+		t.Errorf("action %v after %v, want a release after 30 s to 2 min", a, held)
 	}
 	m = newMachine()
 	claimLease(t, m, start)
 	if a := m.Decide(start.Add(time.Second), seed.Input{Rank: -1}); a.Kind != seed.Release {
-		t.Errorf("drains and does %v", a)
+		t.Errorf("action %v while draining, want a release", a)
 	}
 }
 
-// Processes that lost the store together do not come back together.
+// Processes that lost the store at the same time must not retry at the same time.
 func TestBackoffSpreadsRetries(t *testing.T) {
 	const processes = 1000
 	perSecond := make(map[time.Duration]int)
@@ -159,7 +161,7 @@
 	}
 	for second, n := range perSecond {
 		if n > processes/10 {
-			t.Errorf("%d of %d retry in second %v", n, processes, second)
+			t.Errorf("%d of %d processes retry in second %v, want at most a tenth", n, processes, second)
 		}
 	}
 }
