--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -63,7 +63,8 @@
 	// from.
 	live    *member.Candidates
 	liveSet uint64
-	// retained is the number of members that the panic threshold retains.
+	// retained is the number of members that enough witnesses suspect, but that
+	// the panic threshold protects from being declared gone.
 	retained  int
 	lastWatch time.Time
 	// tableFetched is set once the table of another balancer has been fetched.
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -40,7 +40,8 @@
 	return l.members
 }
 
-// rebuild returns a new list, sorted as a whole.
+// rebuild collects the unchanged members and the live changed ones, and sorts
+// them.
 func (l *memberList) rebuild(current func(netip.AddrPort) (Member, bool)) []Member {
 	out := make([]Member, 0, len(l.members)+len(l.changed))
 	for _, m := range l.members {
