--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -9,67 +9,68 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Events of membership.
+// Events about members.
 const (
-	EventJoined    event.Kind = "member-joined"
-	EventState     event.Kind = "member-state-changed"
-	EventSuspected event.Kind = "member-suspected"
-	EventDeclared  event.Kind = "member-declared-gone"
-	EventReturned  event.Kind = "member-returned"
-	EventRefuted   event.Kind = "own-death-refuted"
-	EventKept      event.Kind = "unreachable-kept"
-	EventKeptEnd   event.Kind = "unreachable-kept-no-longer"
-	EventLearned   event.Kind = "table-learned"
+	EventJoined        event.Kind = "member-joined"
+	EventState         event.Kind = "member-state-changed"
+	EventSuspected     event.Kind = "member-suspected"
+	EventDeclared      event.Kind = "member-declared-gone"
+	EventReturned      event.Kind = "member-returned"
+	EventRefuted       event.Kind = "own-death-refuted"
+	EventRetained      event.Kind = "unreachable-kept"
+	EventRetainedEnd   event.Kind = "unreachable-kept-no-longer"
+	EventTableReceived event.Kind = "table-learned"
 )
 
+// noticeKinds maps the engine's notices to events.
 var noticeKinds = map[gossip.NoticeKind]event.Kind{
-	gossip.NoticeJoined:    EventJoined,
-	gossip.NoticeState:     EventState,
-	gossip.NoticeSuspected: EventSuspected,
-	gossip.NoticeDeclared:  EventDeclared,
-	gossip.NoticeReturned:  EventReturned,
-	gossip.NoticeRefuted:   EventRefuted,
-	gossip.NoticeKept:      EventKept,
-	gossip.NoticeKeptEnd:   EventKeptEnd,
-	gossip.NoticeLearned:   EventLearned,
+	gossip.NoticeJoined:        EventJoined,
+	gossip.NoticeState:         EventState,
+	gossip.NoticeSuspected:     EventSuspected,
+	gossip.NoticeDeclared:      EventDeclared,
+	gossip.NoticeReturned:      EventReturned,
+	gossip.NoticeRefuted:       EventRefuted,
+	gossip.NoticeRetained:      EventRetained,
+	gossip.NoticeRetainedEnd:   EventRetainedEnd,
+	gossip.NoticeTableReceived: EventTableReceived,
 }
 
-// messages are what the log says of events.
-var messages = map[event.Kind]string{
-	EventJoined:       "Member joined.",
-	EventState:        "Member changed state.",
-	EventSuspected:    "Member suspected.",
-	EventDeclared:     "Member declared gone.",
-	EventReturned:     "Member returned.",
-	EventRefuted:      "Own death refuted.",
-	EventKept:         "Unreachable members kept.",
-	EventKeptEnd:      "Unreachable members kept no longer.",
-	EventLearned:      "Table learned from a peer.",
-	EventFound:        "Seeds read from the store.",
-	EventSeed:         "Seed lease taken.",
-	EventSeedLost:     "Seed lease lost.",
-	EventAdopted:      "Configuration adopted.",
-	EventServing:      "Configuration in force.",
-	EventRefused:      "Configuration refused.",
-	EventUnconfigured: "Service is not configured.",
+// logMessages are the log messages of events.
+var logMessages = map[event.Kind]string{
+	EventJoined:        "Member joined.",
+	EventState:         "Member changed state.",
+	EventSuspected:     "Member suspected.",
+	EventDeclared:      "Member declared gone.",
+	EventReturned:      "Member returned.",
+	EventRefuted:       "Suspicion or declaration against this process refuted.",
+	EventRetained:      "Unreachable members retained by the panic threshold.",
+	EventRetainedEnd:   "Panic threshold no longer retains unreachable members.",
+	EventTableReceived: "Membership table received from a peer.",
+	EventSeedsRead:     "Seeds read from the store.",
+	EventSeedTaken:     "Seed lease taken.",
+	EventSeedLost:      "Seed lease lost.",
+	EventAdopted:       "Configuration adopted.",
+	EventServing:       "Configuration in force.",
+	EventRefused:       "Configuration refused.",
+	EventUnconfigured:  "Service is not configured.",
 }
 
-// event records an event of the time line and logs it.
-func (n *Node) event(kind event.Kind, detail string) {
+// recordEvent adds an event to the timeline and logs it.
+func (n *Node) recordEvent(kind event.Kind, detail string) {
 	if n.options.Events != nil {
 		n.options.Events.Add(Part, kind, detail)
 	}
-	n.logger.Info(messages[kind], slog.String("detail", detail))
+	n.logger.Info(logMessages[kind], slog.String("detail", detail))
 }
 
-// notice puts what the engine noticed on the time line.
-func (n *Node) notice(a gossip.Notice) {
+// recordNotice records a notice of the engine as an event.
+func (n *Node) recordNotice(a gossip.Notice) {
 	switch a.Kind {
-	case gossip.NoticeKept, gossip.NoticeKeptEnd, gossip.NoticeLearned:
-		n.event(noticeKinds[a.Kind], fmt.Sprintf("%d members", a.Count))
+	case gossip.NoticeRetained, gossip.NoticeRetainedEnd, gossip.NoticeTableReceived:
+		n.recordEvent(noticeKinds[a.Kind], fmt.Sprintf("%d members", a.Count))
 		return
 	}
-	n.event(noticeKinds[a.Kind], describe(a.Member))
+	n.recordEvent(noticeKinds[a.Kind], describe(a.Member))
 }
 
 func describe(m member.Member) string {
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -8,13 +8,13 @@
 	"github.com/saltbend/saltbend/internal/gossip"
 )
 
-// Leave announces that the process is gone and waits until its witnesses have
-// answered or ctx ends. The process is expected to have drained before, when it
-// has given up a lease in the store, too.
+// Leave announces that the process is gone, and waits until the calls that
+// announce it have ended or ctx ends. The process must have drained before; by
+// then it has also released its lease in the store.
 func (n *Node) Leave(ctx context.Context) {
 	var announcements []gossip.Action
 	var claim gossip.Claim
-	n.ask(ctx, func(now time.Time) {
+	n.runTask(ctx, func(now time.Time) {
 		announcements = n.engine.Leave(now)
 		claim = n.claim(now, n.options.Self.Control)
 	})
@@ -29,7 +29,7 @@
 	}
 }
 
-// announceLeave makes the calls at once and waits for their ends.
+// announceLeave makes all calls concurrently and waits until they have ended.
 func (n *Node) announceLeave(announcements []gossip.Action, claim gossip.Claim) {
 	var calls sync.WaitGroup
 	for _, a := range announcements {
--- a/internal/control/perform.go
+++ b/internal/control/perform.go
@@ -12,12 +12,12 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// callTimeout bounds one control call. It stays under the renewal period, so
-// that calls to a silent process do not pile up.
+// callTimeout limits one control call. It is shorter than the renewal period, so
+// that calls to a silent process do not accumulate.
 const callTimeout = 2 * time.Second
 
-// perform carries an action of the engine out. Calls run on goroutines of
-// their own and post their outcome back.
+// perform carries out an action of the engine. Calls run in separate goroutines,
+// which post the outcome to the goroutine that owns the state.
 func (n *Node) perform(now time.Time, a gossip.Action) {
 	switch a := a.(type) {
 	case gossip.SendAnnounce:
@@ -34,13 +34,13 @@
 	case gossip.Probe:
 		go n.sendProbe(a)
 	case gossip.Notice:
-		n.notice(a)
+		n.recordNotice(a)
 	case gossip.FindPeers:
 		n.findPeers(now)
 	}
 }
 
-// call makes one control call and returns its round trip.
+// call makes one control call and returns its round-trip time.
 func (n *Node) call(to netip.AddrPort, method string, args, reply any) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
@@ -58,7 +58,7 @@
 			n.engine.AnnounceFailed(now, a.To)
 			return
 		}
-		n.heard(now, a.To, reply.Claim, trip)
+		n.recordReplyClaim(now, a.To, reply.Claim, trip)
 		n.engine.AnnounceDone(now, a.To, a.Message, reply)
 	})
 }
@@ -67,9 +67,9 @@
 	var reply gossip.PushReply
 	trip, err := n.call(a.To, "Push", a.Message, &reply)
 	if err != nil {
-		return // the periodic digests repair what was lost
+		return // the periodic digests repair what the lost push would have carried
 	}
-	n.post(func(now time.Time) { n.heard(now, a.To, reply.Claim, trip) })
+	n.post(func(now time.Time) { n.recordReplyClaim(now, a.To, reply.Claim, trip) })
 }
 
 func (n *Node) sendDigest(a gossip.SendDigest) {
@@ -79,7 +79,7 @@
 		return
 	}
 	n.post(func(now time.Time) {
-		n.heard(now, a.To, reply.Claim, trip)
+		n.recordReplyClaim(now, a.To, reply.Claim, trip)
 		n.engine.DigestDone(now, a.To, reply)
 	})
 }
@@ -98,7 +98,8 @@
 	n.post(func(now time.Time) { n.engine.ProbeDone(now, a.To, evidence) })
 }
 
-// evidenceOf tells what a failed probe says of the member.
+// evidenceOf returns the evidence that the error of a probe gives, 0 for no
+// error.
 func evidenceOf(err error) member.Evidence {
 	switch {
 	case err == nil:
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -14,45 +14,45 @@
 // serviceName is the name under which the net/rpc methods are registered.
 const serviceName = "Control"
 
-// Limits on what a message may hold.
+// Limits on the content of a message.
 const (
 	maxNameBytes = 128
 	maxRecords   = 4096
 )
 
-// Errors of the service's methods.
+// Errors of the methods called over net/rpc.
 var (
 	errInvalid = errors.New("control: invalid message")
-	errStopped = errors.New("control: the process stops")
+	errStopped = errors.New("control: call not completed: the process is stopping or did not run it in time")
 )
 
-// Service holds the methods that other processes call over net/rpc.
+// Service has the methods that other processes call over net/rpc.
 type Service struct {
 	node *Node
 }
 
-// answer runs the task of one call on the state's goroutine and stores what it
-// returns. The reply is written here, since the task may run on after the wait
-// for it was given up.
-func answer[R any](s *Service, reply *R, task func(now time.Time) R) error {
+// handle runs the task of one call on the goroutine that owns the state and
+// stores the result in reply. It does not let the task write to reply, because
+// the task may still run after the wait for it has timed out.
+func handle[R any](s *Service, reply *R, task func(now time.Time) R) error {
 	ctx, cancel := context.WithTimeout(s.node.ctx, callTimeout)
 	defer cancel()
 	var out R
-	if !s.node.ask(ctx, func(now time.Time) { out = task(now) }) {
+	if !s.node.runTask(ctx, func(now time.Time) { out = task(now) }) {
 		return errStopped
 	}
 	*reply = out
 	return nil
 }
 
-// Announce takes a renewal and answers with what changed for its sender.
+// Announce processes a renewal and returns the records that the sender needs.
 func (s *Service) Announce(a gossip.Announce, reply *gossip.AnnounceReply) error {
 	if !validMember(a.Self) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.AnnounceReply {
-		if a.Self.Role == member.RoleBalancer { // an agent has only its section
-			s.node.heardFrom(now, a.Self.Control, a.Claim)
+	return handle(s, reply, func(now time.Time) gossip.AnnounceReply {
+		if a.Self.Role == member.RoleBalancer { // an agent cannot pass the configuration on: it has one section only
+			s.node.recordRequestClaim(now, a.Self.Control, a.Claim)
 		}
 		r := s.node.engine.HandleAnnounce(now, a)
 		r.Claim = s.node.claim(now, a.Self.Control)
@@ -60,58 +60,59 @@
 	})
 }
 
-// Push takes transitions in.
+// Push processes forwarded transitions and suspicions.
 func (s *Service) Push(p gossip.Push, reply *gossip.PushReply) error {
 	if !validAddr(p.From) || !validMembers(p.Members) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.PushReply {
-		s.node.heardFrom(now, p.From, p.Claim)
+	return handle(s, reply, func(now time.Time) gossip.PushReply {
+		s.node.recordRequestClaim(now, p.From, p.Claim)
 		r := s.node.engine.HandlePush(now, p)
 		r.Claim = s.node.claim(now, p.From)
 		return r
 	})
 }
 
-// Digest answers whether the caller knows the same members.
+// Digest reports whether the caller's table has the same live members.
 func (s *Service) Digest(d gossip.Digest, reply *gossip.DigestReply) error {
 	if !validAddr(d.From) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.DigestReply {
-		s.node.heardFrom(now, d.From, d.Claim)
+	return handle(s, reply, func(now time.Time) gossip.DigestReply {
+		s.node.recordRequestClaim(now, d.From, d.Claim)
 		r := s.node.engine.HandleDigest(now, d)
 		r.Claim = s.node.claim(now, d.From)
 		return r
 	})
 }
 
-// Exchange merges the caller's records and answers with its own.
+// Exchange merges the caller's records and returns the records that the caller
+// lacks.
 func (s *Service) Exchange(x gossip.Exchange, reply *gossip.Exchange) error {
 	if !validAddr(x.From) || !validMembers(x.Members) || !validBuckets(x.Buckets) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) gossip.Exchange {
+	return handle(s, reply, func(now time.Time) gossip.Exchange {
 		return s.node.engine.HandleExchange(now, x)
 	})
 }
 
-// PingArgs are a balancer's question whether the process lives.
+// PingArgs are the arguments of a balancer's probe.
 type PingArgs struct {
 	From netip.AddrPort
-	// Suspicion is what the balancer holds against the process, if anything.
+	// Suspicion is the balancer's suspicion of the process, nil for none.
 	Suspicion *member.Suspicion
 }
 
-// PingReply answers that the process lives.
+// PingReply shows that the process is live.
 type PingReply struct{}
 
-// Ping answers that the process lives.
+// Ping answers a probe.
 func (s *Service) Ping(a PingArgs, reply *PingReply) error {
 	if !validAddr(a.From) {
 		return errInvalid
 	}
-	return answer(s, reply, func(now time.Time) PingReply {
+	return handle(s, reply, func(now time.Time) PingReply {
 		s.node.engine.HandleProbe(now, a.From, a.Suspicion)
 		return PingReply{}
 	})
@@ -148,5 +149,5 @@
 	return len(buckets) <= member.DigestBuckets
 }
 
-// Empty is the message that says nothing.
+// Empty is a message without content.
 type Empty struct{}
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -5,31 +5,33 @@
 	"slices"
 )
 
-// rebuildShare: a list of which a larger part than one in so many has changed
-// is built anew.
-const rebuildShare = 8
+// rebuildDivisor limits patching: a list is rebuilt if more than one in
+// rebuildDivisor of its members have changed, and patched otherwise.
+const rebuildDivisor = 8
 
-// list keeps the live members of a role in order of address. What it returns
-// is never changed afterwards, so that it may be published.
-type list struct {
+// memberList caches the live members of a role in order of address. A returned
+// slice is never modified afterwards, so that it can be published to other
+// goroutines.
+type memberList struct {
 	members []Member
 	changed map[netip.AddrPort]struct{}
 }
 
-// note tells that the record of addr changed.
-func (l *list) note(addr netip.AddrPort) {
+// markChanged records that the record of addr has changed.
+func (l *memberList) markChanged(addr netip.AddrPort) {
 	if l.changed == nil {
 		l.changed = make(map[netip.AddrPort]struct{})
 	}
 	l.changed[addr] = struct{}{}
 }
 
-// get returns the list; current tells the live member at an address.
-func (l *list) get(current func(netip.AddrPort) (Member, bool)) []Member {
+// get returns the list, updated if records have changed. current returns the live
+// member at an address.
+func (l *memberList) get(current func(netip.AddrPort) (Member, bool)) []Member {
 	if len(l.changed) == 0 {
 		return l.members
 	}
-	if len(l.changed) > len(l.members)/rebuildShare {
+	if len(l.changed) > len(l.members)/rebuildDivisor {
 		l.members = l.rebuild(current)
 	} else {
 		l.members = l.patch(current)
@@ -38,7 +40,9 @@
 	return l.members
 }
 
-func (l *list) rebuild(current func(netip.AddrPort) (Member, bool)) []Member {
+// rebuild collects the unchanged members and the live changed ones, and sorts
+// them.
+func (l *memberList) rebuild(current func(netip.AddrPort) (Member, bool)) []Member {
 	out := make([]Member, 0, len(l.members)+len(l.changed))
 	for _, m := range l.members {
 		if _, changed := l.changed[m.Control]; !changed {
@@ -54,7 +58,8 @@
 	return out
 }
 
-func (l *list) patch(current func(netip.AddrPort) (Member, bool)) []Member {
+// patch returns a copy of the list with the changed members replaced one by one.
+func (l *memberList) patch(current func(netip.AddrPort) (Member, bool)) []Member {
 	out := make([]Member, len(l.members), len(l.members)+len(l.changed))
 	copy(out, l.members)
 	for addr := range l.changed {
