--- a/internal/control/seeding.go
+++ b/internal/control/seeding.go
@@ -218,4 +218,4 @@
 }
 
 // storeBackoff returns the back-off between calls to the store.
-func storeBackoff() seed.Backoff { return seed.Backoff{Least: time.Second, Most: 30 * time.Second} }
+func storeBackoff() seed.Backoff { return seed.Backoff{Min: time.Second, Max: 30 * time.Second} }
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -161,7 +161,7 @@
 
 // Run follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	backoff := seed.Backoff{Least: retryMin, Most: retryMax}
+	backoff := seed.Backoff{Min: retryMin, Max: retryMax}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
 		f.settle(ctx)
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -116,7 +116,7 @@
 
 // Run makes the due calls until ctx ends.
 func (a *EntryKeeper) Run(ctx context.Context) {
-	backoff := seed.Backoff{Least: retryMin, Most: retryMax}
+	backoff := seed.Backoff{Min: retryMin, Max: retryMax}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
 		wait := a.publisher.Due(a.Clock())
--- a/internal/packetface/registry/retry_test.go
+++ b/internal/packetface/registry/retry_test.go
@@ -22,7 +22,7 @@
 	f.Answered, f.Reached = func() {}, func(bool) {}
 	f.listing = emptyListing()
 	f.reportReached(nil)
-	backoff, random := seed.Backoff{Least: retryMin, Most: retryMax}, rand.New(rand.NewPCG(1, 2))
+	backoff, random := seed.Backoff{Min: retryMin, Max: retryMax}, rand.New(rand.NewPCG(1, 2))
 	for range 5 {
 		pauses = append(pauses, f.retryAfter(&backoff, random))
 		f.reportReached(store.ErrUnavailable)
--- a/internal/seed/backoff.go
+++ b/internal/seed/backoff.go
@@ -6,26 +6,26 @@
 )
 
 // Backoff computes the delays between retries. Each delay is twice the one
-// before, from Least up to Most, and is randomised over its upper half, so that
+// before, from Min up to Max, and is randomised over its upper half, so that
 // processes that failed together do not retry together.
 type Backoff struct {
-	Least, Most time.Duration
-	failures    int
+	Min, Max time.Duration
+	failures int
 }
 
 // Next returns the delay before the next attempt.
 func (b *Backoff) Next(random *rand.Rand) time.Duration {
-	wait := b.Least
+	wait := b.Min
 	for range b.failures {
-		wait = min(2*wait, b.Most)
+		wait = min(2*wait, b.Max)
 	}
-	if wait < b.Most {
+	if wait < b.Max {
 		b.failures++
 	}
 	return wait/2 + time.Duration(random.Int64N(int64(wait/2)+1))
 }
 
-// Reset makes the next delay start from Least again.
+// Reset makes the next delay start from Min again.
 func (b *Backoff) Reset() { b.failures = 0 }
 
 // jitter returns a random duration, evenly distributed within a fifth of d either
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -119,7 +119,7 @@
 // New returns the machine of a process that holds no lease. lease is the length
 // of the leases that it takes.
 func New(random *rand.Rand, lease time.Duration) *Machine {
-	return &Machine{rand: random, lease: lease, backoff: Backoff{Least: time.Second, Most: 30 * time.Second}}
+	return &Machine{rand: random, lease: lease, backoff: Backoff{Min: time.Second, Max: 30 * time.Second}}
 }
 
 // Lease returns the length of the leases.
--- a/internal/seed/seed_test.go
+++ b/internal/seed/seed_test.go
@@ -152,7 +152,7 @@
 	perSecond := make(map[time.Duration]int)
 	for i := range processes {
 		random := rand.New(rand.NewPCG(uint64(i), 0))
-		b := seed.Backoff{Least: time.Second, Most: 30 * time.Second}
+		b := seed.Backoff{Min: time.Second, Max: 30 * time.Second}
 		var at time.Duration
 		for at < 10*time.Minute {
 			at += b.Next(random)
