--- a/internal/gossip/watch.go
+++ b/internal/gossip/watch.go
@@ -163,7 +163,7 @@
 	if m.Control == e.self.Control {
 		return
 	}
-	if !e.eligible.Chooses(m.Control, member.Witnesses, e.self.Control) {
+	if !e.eligible.IsChosen(m.Control, member.Witnesses, e.self.Control) {
 		delete(e.watched, m.Control)
 		return
 	}
--- a/internal/member/choice_test.go
+++ b/internal/member/choice_test.go
@@ -70,15 +70,15 @@
 	}
 }
 
-// Chooses is the fast form of Choose and must give the same result.
-func TestChoosesAgreesWithChoose(t *testing.T) {
+// IsChosen is the fast form of Choose and must give the same result.
+func TestIsChosenAgreesWithChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := newBalancers(rapid.IntRange(1, 30).Draw(t, "candidates"))
 		c := member.NewCandidates(all)
 		key := addr(rapid.IntRange(0, 60).Draw(t, "key"))
 		one := rapid.SampledFrom(all).Draw(t, "one").Control
 		want := slices.Contains(c.Choose(key, member.Witnesses, nil), one)
-		if got := c.Chooses(key, member.Witnesses, one); got != want {
+		if got := c.IsChosen(key, member.Witnesses, one); got != want {
 			t.Fatalf("key %v, candidate %v: chosen %v, want %v", key, one, got, want)
 		}
 	})
--- a/internal/member/rendezvous.go
+++ b/internal/member/rendezvous.go
@@ -68,9 +68,9 @@
 	return out
 }
 
-// Chooses reports whether candidate is among the k chosen for key. It usually
+// IsChosen reports whether candidate is among the k chosen for key. It usually
 // examines only a few candidates.
-func (c *Candidates) Chooses(key netip.AddrPort, k int, candidate netip.AddrPort) bool {
+func (c *Candidates) IsChosen(key netip.AddrPort, k int, candidate netip.AddrPort) bool {
 	if key == candidate {
 		return false
 	}
--- a/test/crowd/crowd.go
+++ b/test/crowd/crowd.go
@@ -123,7 +123,7 @@
 	called := append(candidates.Choose(c.balancer, member.Witnesses, nil), candidates.Neighbours(c.balancer, pushedTo)...)
 	var out []member.Member
 	for _, m := range c.members {
-		watched := candidates.Chooses(m.Control, member.Witnesses, c.balancer)
+		watched := candidates.IsChosen(m.Control, member.Witnesses, c.balancer)
 		if watched || slices.Contains(called, m.Control) {
 			out = append(out, m)
 		}
