--- a/cmd/saltbendd/run_test.go
+++ b/cmd/saltbendd/run_test.go
@@ -132,5 +132,5 @@
 	g.Eventually(code, patience).Should(Receive(Equal(exit.OK)))
 	g.Expect(env.Keys.Ring()).To(BeIdenticalTo(ring))
 	g.Expect(strings.Count(log.String(), "Secrets not read again.")).To(Equal(3))
-	g.Expect(log.String()).To(ContainSubstring(keyring.ErrOrder.Error()))
+	g.Expect(log.String()).To(ContainSubstring(keyring.ErrRotationOrder.Error()))
 }
--- a/cmd/saltbendd/signals.go
+++ b/cmd/saltbendd/signals.go
@@ -62,7 +62,7 @@
 func reload(c *settings.Common, env settings.Env, log *slog.Logger) {
 	ring, err := c.LoadRing()
 	if err == nil {
-		err = ring.MayFollow(env.Keys.Ring())
+		err = ring.CheckSuccessorOf(env.Keys.Ring())
 	}
 	if err != nil {
 		log.Error("Secrets not read again.", slog.String("error", err.Error()))
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -146,18 +146,18 @@
 	return nil
 }
 
-// ErrOrder means that a ring can't replace another one without an interruption:
+// ErrRotationOrder means that a ring can't replace another one without an interruption:
 // processes that still use the old ring would reject values signed with the new
 // ring.
-var ErrOrder = errors.New("the current secret was not accepted before; rotate in steps: old,new then new,old then new")
+var ErrRotationOrder = errors.New("the current secret was not accepted before; rotate in steps: old,new then new,old then new")
 
-// MayFollow checks whether the ring can replace old. It returns ErrOrder unless the
-// ring's current secret is one that old accepts.
-func (r *Ring) MayFollow(old *Ring) error {
+// CheckSuccessorOf checks whether the ring can replace old. It returns
+// ErrRotationOrder unless the ring's current secret is one that old accepts.
+func (r *Ring) CheckSuccessorOf(old *Ring) error {
 	for _, s := range old.secrets {
 		if s.ID == r.secrets[0].ID && hmac.Equal(s.Bytes, r.secrets[0].Bytes) {
 			return nil
 		}
 	}
-	return ErrOrder
+	return ErrRotationOrder
 }
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -59,7 +59,7 @@
 	g.Expect(same).To(BeTrue(), "the key must not depend on the id")
 }
 
-func TestMayFollowRequiresAnAcceptedCurrentSecret(t *testing.T) {
+func TestCheckSuccessorOfRequiresAnAcceptedCurrentSecret(t *testing.T) {
 	const a, b, c = "1:", "2:", "3:"
 	ring := func(ids ...string) *keyring.Ring {
 		var entries []string
@@ -85,11 +85,11 @@
 	}
 	for i, tc := range cases {
 		g := NewWithT(t)
-		err := tc.to.MayFollow(tc.from)
+		err := tc.to.CheckSuccessorOf(tc.from)
 		g.Expect(err == nil).To(Equal(tc.allowed), "case %d: %v", i, err)
 	}
 	other, err := keyring.Parse("1:" + hexB)
 	g := NewWithT(t)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(other.MayFollow(ring(a))).To(MatchError(keyring.ErrOrder), "the same id with another secret")
+	g.Expect(other.CheckSuccessorOf(ring(a))).To(MatchError(keyring.ErrRotationOrder), "the same id with another secret")
 }
