--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -23,9 +23,9 @@
 	KindForward Kind = iota + 1
 	// KindReply carries an agent's datagram through a balancer to a caller.
 	KindReply
-	// KindHandOn carries a caller's Initial from an agent to a sibling, another
+	// KindHandOff carries a caller's Initial from an agent to a sibling, another
 	// agent of the same service.
-	KindHandOn
+	KindHandOff
 	// KindProbe checks whether a balancer is alive, or an agent that the fleet
 	// considers gone. The receiver answers with KindProbeReply.
 	KindProbe
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -174,7 +174,7 @@
 	b.send(g, c.Addr(), b.header(), initial("new-flow")[:300]) // the rest of the ClientHello
 	// A flow that a sibling sent here stays, even if a balancer then forwards it.
 	handed := b.header()
-	handed.Kind = encap.KindHandOn
+	handed.Kind = encap.KindHandOff
 	b.send(g, c.Addr(), handed, initial("for-here"))
 	b.send(g, c.Addr(), b.header(), initial("for-here"))
 	// A flow with a token stays, and so does a packet with a short header.
@@ -190,7 +190,7 @@
 	}
 	for range 2 {
 		h, payload := sibling.receive(g)
-		g.Expect(h.Kind).To(Equal(encap.KindHandOn))
+		g.Expect(h.Kind).To(Equal(encap.KindHandOff))
 		g.Expect(h.Balancer).To(Equal(b.addr()), "the sibling replies through the same balancer")
 		g.Expect(payload[dcidOffset : dcidOffset+8]).To(Equal("new-flow"))
 	}
--- a/internal/flow/read.go
+++ b/internal/flow/read.go
@@ -55,7 +55,7 @@
 	}
 	now := time.Now()
 	switch h.Kind {
-	case encap.KindForward, encap.KindHandOn:
+	case encap.KindForward, encap.KindHandOff:
 		return c.handlePayload(now, h, payload)
 	case encap.KindProbeReply:
 		c.handleProbeReply(now, h)
@@ -117,7 +117,7 @@
 	d := c.writer.getDatagram()
 	d.to = to
 	d.header = h
-	d.header.Kind = encap.KindHandOn
+	d.header.Kind = encap.KindHandOff
 	c.writer.send(d, payload)
 }
 
@@ -143,7 +143,7 @@
 	if to, ok := c.placements.get(now, key); ok {
 		return to
 	}
-	if h.Kind == encap.KindHandOn || size < minInitialSize {
+	if h.Kind == encap.KindHandOff || size < minInitialSize {
 		c.placements.put(now, key, netip.AddrPort{})
 		return netip.AddrPort{}
 	}
