--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -123,9 +123,9 @@
 	return mean + time.Duration(gain*float64(next-mean))
 }
 
-// Hear records a report of the upstream's health endpoint. An upstream that
+// RecordReport records a report of the upstream's health endpoint. An upstream that
 // becomes healthy after bad health, which includes being unreachable, is cold.
-func (t *Tracker) Hear(now time.Time, r Report) {
+func (t *Tracker) RecordReport(now time.Time, r Report) {
 	if r.Healthy && !t.report.Healthy && !t.contradicted(now) {
 		t.warmupStart = now
 	}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -33,7 +33,7 @@
 
 func TestFastErrorsLowerSlotsAndWeight(t *testing.T) {
 	tr, now := tracker(100, fastError)
-	tr.Hear(now, health.Report{Healthy: true})
+	tr.RecordReport(now, health.Report{Healthy: true})
 	v := tr.Judge(now, slots, health.Peers{Known: 6, Healthy: 6, PanicThreshold: 0.5})
 	if v.Draws || v.Slots != 1 || v.Weight > 100 {
 		t.Fatalf("upstream that answers with fast errors: verdict %+v, want no draws, 1 slot and weight <= 100", v)
@@ -72,7 +72,7 @@
 
 func TestRecentGoodOutcomesOverrideAnUnhealthyReport(t *testing.T) {
 	tr, now := tracker(100, good)
-	tr.Hear(now, health.Report{Healthy: false})
+	tr.RecordReport(now, health.Report{Healthy: false})
 	if v := tr.Judge(now, slots, health.Peers{}); !v.Draws || v.Weight != health.FullWeight {
 		t.Fatalf("report of bad health lowered the verdict despite recent good outcomes: %+v", v)
 	}
--- a/internal/request/health.go
+++ b/internal/request/health.go
@@ -49,7 +49,7 @@
 
 // observeReport records a report of the upstream about its own health.
 func (h *Handler) observeReport(r health.Report) {
-	h.updateVerdict(func(now time.Time) { h.tracker.Hear(now, r) })
+	h.updateVerdict(func(now time.Time) { h.tracker.RecordReport(now, r) })
 }
 
 // refreshVerdict recomputes the verdict periodically.
