--- a/cmd/saltbend/get.go
+++ b/cmd/saltbend/get.go
@@ -30,7 +30,7 @@
 	Text     string          `json:"text,omitempty"`
 }
 
-func viewOf(h *apply.Held) *heldView {
+func viewOf(h *apply.StoredRecord) *heldView {
 	if h == nil {
 		return nil
 	}
--- a/internal/apply/attempt.go
+++ b/internal/apply/attempt.go
@@ -46,8 +46,8 @@
 	Done
 )
 
-// Held is the configuration record that a read of the store returned.
-type Held struct {
+// StoredRecord is the configuration record that a read of the store returned.
+type StoredRecord struct {
 	Revision uint64
 	Record   record.Record
 }
@@ -68,7 +68,7 @@
 	// revision of the change; Winner is the record in the store if that is another one.
 	Verdict  Verdict
 	Revision uint64
-	Winner   *Held
+	Winner   *StoredRecord
 }
 
 // NewAttempt returns an attempt to write the change on top of the base revision. Its first
@@ -94,25 +94,25 @@
 	return a.finish(Unavailable, 0, nil)
 }
 
-// HandleRead processes the result of a read and returns the next action. held is nil if the
+// HandleRead processes the result of a read and returns the next action. stored is nil if the
 // key doesn't exist.
-func (a *Attempt) HandleRead(held *Held, err error) Action {
+func (a *Attempt) HandleRead(stored *StoredRecord, err error) Action {
 	if err != nil {
 		return Read
 	}
-	if held == nil {
+	if stored == nil {
 		return a.handleMissingKey()
 	}
-	if revision, found := held.Record.Find(a.id, held.Revision); found {
-		return a.handleFound(revision, held)
+	if revision, found := stored.Record.Find(a.id, stored.Revision); found {
+		return a.handleFound(revision, stored)
 	}
-	if held.Revision == a.base {
+	if stored.Revision == a.base {
 		return Write
 	}
-	if a.responseLost && !held.Record.Covers(a.base) {
-		return a.finish(Unknown, 0, held)
+	if a.responseLost && !stored.Record.Covers(a.base) {
+		return a.finish(Unknown, 0, stored)
 	}
-	return a.finish(Conflict, 0, held)
+	return a.finish(Conflict, 0, stored)
 }
 
 // handleMissingKey processes a read that found no key: either there has been no change yet,
@@ -127,11 +127,11 @@
 	return a.finish(Conflict, 0, nil)
 }
 
-func (a *Attempt) handleFound(revision uint64, held *Held) Action {
-	if revision == held.Revision {
+func (a *Attempt) handleFound(revision uint64, stored *StoredRecord) Action {
+	if revision == stored.Revision {
 		return a.finish(Accepted, revision, nil)
 	}
-	return a.finish(Replaced, revision, held)
+	return a.finish(Replaced, revision, stored)
 }
 
 // Abandon ends the attempt without further calls, for instance after a time-out, and sets
@@ -147,7 +147,7 @@
 	}
 }
 
-func (a *Attempt) finish(v Verdict, revision uint64, winner *Held) Action {
+func (a *Attempt) finish(v Verdict, revision uint64, winner *StoredRecord) Action {
 	a.Verdict, a.Revision, a.Winner = v, revision, winner
 	return Done
 }
--- a/internal/apply/attempt_test.go
+++ b/internal/apply/attempt_test.go
@@ -20,7 +20,7 @@
 
 // storeModel models the store as a single key, and records each accepted change.
 type storeModel struct {
-	held     *apply.Held
+	stored   *apply.StoredRecord
 	accepted map[record.ChangeID]uint64
 	// inFlight are delayed writes that the store has not received yet.
 	inFlight []write
@@ -33,24 +33,24 @@
 	if _, duplicate := s.accepted[w.record.ID]; duplicate {
 		panic("the store accepted the same change twice")
 	}
-	s.held = &apply.Held{Revision: s.revision() + 2, Record: w.record}
-	s.accepted[w.record.ID] = s.held.Revision
-	return s.held.Revision, nil
+	s.stored = &apply.StoredRecord{Revision: s.revision() + 2, Record: w.record}
+	s.accepted[w.record.ID] = s.stored.Revision
+	return s.stored.Revision, nil
 }
 
 func (s *storeModel) revision() uint64 {
-	if s.held == nil {
+	if s.stored == nil {
 		return store.Create
 	}
-	return s.held.Revision
+	return s.stored.Revision
 }
 
 func (s *storeModel) next(id record.ChangeID) write {
 	d := record.Draft{ID: id, Time: time.Unix(0, 0)}
-	if s.held == nil {
+	if s.stored == nil {
 		return write{record: record.First(d)}
 	}
-	return write{record: s.held.Record.Next(s.held.Revision, d), expected: s.held.Revision}
+	return write{record: s.stored.Record.Next(s.stored.Revision, d), expected: s.stored.Revision}
 }
 
 // operator submits one change at a time.
@@ -91,7 +91,7 @@
 	case rapid.Bool().Draw(t, "read fails"):
 		o.action = o.attempt.HandleRead(nil, store.ErrUnavailable)
 	default:
-		o.action = o.attempt.HandleRead(f.store.held, nil)
+		o.action = o.attempt.HandleRead(f.store.stored, nil)
 	}
 	f.collect(o)
 }
--- a/internal/apply/race_test.go
+++ b/internal/apply/race_test.go
@@ -146,13 +146,13 @@
 			submissions := race(t, startProxy(t, server.URL, tt.toxics...))
 
 			fake.SetFaults(storefake.Faults{})
-			held, err := apply.Current(t.Context(), open(t, server.URL))
+			stored, err := apply.Current(t.Context(), open(t, server.URL))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(held.Record.Covers(0)).To(gomega.BeTrue())
-			g.Expect(held.Record.Sequence).To(gomega.BeEquivalentTo(racers * changesPerRacer))
+			g.Expect(stored.Record.Covers(0)).To(gomega.BeTrue())
+			g.Expect(stored.Record.Sequence).To(gomega.BeEquivalentTo(racers * changesPerRacer))
 			lost := 0
 			for _, submitted := range submissions {
-				checkVerdict(g, held, submitted)
+				checkVerdict(g, stored, submitted)
 				if errors.Is(submitted.result.Err, store.ErrOutcomeUnknown) {
 					lost++
 				}
@@ -163,8 +163,8 @@
 	}
 }
 
-func checkVerdict(g *gomega.WithT, held *apply.Held, submitted submission) {
-	revision, accepted := held.Record.Find(submitted.id, held.Revision)
+func checkVerdict(g *gomega.WithT, stored *apply.StoredRecord, submitted submission) {
+	revision, accepted := stored.Record.Find(submitted.id, stored.Revision)
 	switch submitted.result.Verdict {
 	case apply.Accepted, apply.Replaced:
 		g.Expect(accepted).To(gomega.BeTrue(), "change %s: verdict %s, but the store did not accept it", submitted.id, submitted.result.Verdict)
@@ -189,9 +189,9 @@
 	fake.SetFaults(storefake.Faults{Down: true})
 	g.Expect(submit(t, server.URL, 0, 1).result.Verdict).To(gomega.Equal(apply.Unavailable))
 	fake.SetFaults(storefake.Faults{})
-	held, err := apply.Current(t.Context(), s)
+	stored, err := apply.Current(t.Context(), s)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(held.Record.Text).To(gomega.Equal(string(text(0, 0))))
+	g.Expect(stored.Record.Text).To(gomega.Equal(string(text(0, 0))))
 }
 
 func TestVerdictsThatNeedNoWrite(t *testing.T) {
--- a/internal/apply/run.go
+++ b/internal/apply/run.go
@@ -43,7 +43,7 @@
 	// Revision is the revision of the change in the store.
 	Revision uint64
 	// Winner is the record that the store holds instead of the change, if known.
-	Winner   *Held
+	Winner   *StoredRecord
 	Findings config.Findings
 	Diff     []config.Difference
 	// Err is the last error of a store call, such as the reason for the verdict Unavailable.
@@ -61,19 +61,19 @@
 	if len(findings) > 0 {
 		return Result{Verdict: Refused, Findings: findings.In(req.File)}, nil
 	}
-	held, err := Current(ctx, env.Store)
+	stored, err := Current(ctx, env.Store)
 	if errors.Is(err, ErrUnreadable) {
 		return Result{}, err
 	}
 	if err != nil {
 		return Result{Verdict: Unavailable, Err: err}, nil
 	}
-	res, ready := prepare(req, held, env.Now())
+	res, ready := prepare(req, stored, env.Now())
 	if !ready || req.DryRun {
 		return res, nil
 	}
 	draft := record.Draft{ID: env.NewID(), Operator: req.Operator, Time: env.Now(), Text: req.Text, Config: parsed}
-	value, err := nextRecord(held, draft).Encode()
+	value, err := nextRecord(stored, draft).Encode()
 	if err != nil {
 		return Result{}, err
 	}
@@ -81,15 +81,15 @@
 }
 
 // nextRecord returns the record of the draft as the successor of the stored record, if any.
-func nextRecord(held *Held, d record.Draft) record.Record {
-	if held == nil {
+func nextRecord(stored *StoredRecord, d record.Draft) record.Record {
+	if stored == nil {
 		return record.First(d)
 	}
-	return held.Record.Next(held.Revision, d)
+	return stored.Record.Next(stored.Revision, d)
 }
 
 // Current reads the configuration record from the store. It returns nil if there is none.
-func Current(ctx context.Context, s store.Store) (*Held, error) {
+func Current(ctx context.Context, s store.Store) (*StoredRecord, error) {
 	entry, err := s.Get(ctx, record.Key)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil, nil
@@ -101,20 +101,20 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrUnreadable, err.Error())
 	}
-	return &Held{Revision: entry.Revision, Record: rec}, nil
+	return &StoredRecord{Revision: entry.Revision, Record: rec}, nil
 }
 
 // prepare compares the file with the stored record. ready is false if the verdict is already
 // known without a write.
-func prepare(req Request, held *Held, now time.Time) (res Result, ready bool) {
+func prepare(req Request, stored *StoredRecord, now time.Time) (res Result, ready bool) {
 	var current *config.Config
 	var heldFaces []config.HeldFace
-	if held != nil {
-		res.Base, current = held.Revision, held.Record.Config
-		heldFaces = held.Record.HeldFaces(now)
+	if stored != nil {
+		res.Base, current = stored.Revision, stored.Record.Config
+		heldFaces = stored.Record.HeldFaces(now)
 	}
 	if req.Base != nil && *req.Base != res.Base {
-		return Result{Verdict: Conflict, Base: *req.Base, Winner: held}, false
+		return Result{Verdict: Conflict, Base: *req.Base, Winner: stored}, false
 	}
 	next, findings := config.ParseNext(req.Text, 0, current, heldFaces...)
 	if len(findings) > 0 {
@@ -122,8 +122,8 @@
 		return res, false
 	}
 	res.Diff = config.Diff(current, next)
-	if held != nil && held.Record.Text == string(req.Text) {
-		res.Verdict, res.Revision = Unchanged, held.Revision
+	if stored != nil && stored.Record.Text == string(req.Text) {
+		res.Verdict, res.Revision = Unchanged, stored.Revision
 		return res, false
 	}
 	return res, true
@@ -157,6 +157,6 @@
 		}
 		return a.HandleWrite(entry.Revision, err), err
 	}
-	held, err := Current(ctx, env.Store)
-	return a.HandleRead(held, err), err
+	stored, err := Current(ctx, env.Store)
+	return a.HandleRead(stored, err), err
 }
