--- a/internal/confdelta/confdelta_test.go
+++ b/internal/confdelta/confdelta_test.go
@@ -96,8 +96,8 @@
 		for _, c := range changes {
 			b.Run(fmt.Sprintf("services=%d/change=%s", n, c.name), func(b *testing.B) {
 				value := stored(b, c.edit(n))
-				base, _ := record.Text(stored(b, file(n)))
-				text, _ := record.Text(value)
+				base, _ := record.ConfigJSON(stored(b, file(n)))
+				text, _ := record.ConfigJSON(value)
 				var delta []byte
 				for b.Loop() {
 					delta, _ = confdelta.Encode(base, text)
@@ -143,14 +143,14 @@
 		})
 		b.Run(fmt.Sprintf("services=%d/step=record", n), func(b *testing.B) {
 			for b.Loop() {
-				configJSON, _ := record.Text(value)
-				record.ParseText(configJSON, 1)
+				configJSON, _ := record.ConfigJSON(value)
+				record.ParseConfigJSON(configJSON, 1)
 			}
 		})
-		configJSON, _ := record.Text(value)
+		configJSON, _ := record.ConfigJSON(value)
 		b.Run(fmt.Sprintf("services=%d/step=text", n), func(b *testing.B) {
 			for b.Loop() {
-				record.ParseText(configJSON, 1)
+				record.ParseConfigJSON(configJSON, 1)
 			}
 		})
 		b.Run(fmt.Sprintf("services=%d/step=file", n), func(b *testing.B) {
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return adopted{}, err
 	}
-	c, err := record.ParseText(text, revision)
+	c, err := record.ParseConfigJSON(text, revision)
 	if err != nil {
 		return adopted{}, err
 	}
--- a/internal/control/fetch.go
+++ b/internal/control/fetch.go
@@ -143,7 +143,7 @@
 		if err != nil {
 			return adopted{}, err
 		}
-		c, err := record.ParseText(log.Text(), log.Revision())
+		c, err := record.ParseConfigJSON(log.Text(), log.Revision())
 		return adopted{revision: log.Revision(), log: log, config: c}, err
 	}
 	return adopted{}, nil
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -89,7 +89,7 @@
 		o.Rules = adopt.DefaultRules()
 	}
 	if o.Decode == nil {
-		o.Decode = record.Text
+		o.Decode = record.ConfigJSON
 	}
 	return o, nil
 }
--- a/internal/record/parse.go
+++ b/internal/record/parse.go
@@ -8,10 +8,10 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-// Text returns the JSON form of the configuration in a stored value, which is the text that
+// ConfigJSON returns the JSON form of the configuration in a stored value, which is the text that
 // processes send to each other. It is returned byte for byte, so that a process of an older
 // version forwards fields that it doesn't know.
-func Text(value []byte) ([]byte, error) {
+func ConfigJSON(value []byte) ([]byte, error) {
 	var e struct {
 		Format int             `json:"format"`
 		Config json.RawMessage `json:"config"`
@@ -25,8 +25,8 @@
 	return e.Config, nil
 }
 
-// ParseText parses the JSON form of a configuration, as returned by Text.
-func ParseText(text []byte, revision uint64) (*config.Config, error) {
+// ParseConfigJSON parses the JSON form of a configuration, as returned by ConfigJSON.
+func ParseConfigJSON(text []byte, revision uint64) (*config.Config, error) {
 	c := &config.Config{}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -31,9 +31,9 @@
 	g.Expect(record.Decode(value)).To(gomega.Equal(r))
 	fromText, findings := config.Parse([]byte(valid), 9)
 	g.Expect(findings).To(gomega.BeEmpty())
-	configJSON, err := record.Text(value)
+	configJSON, err := record.ConfigJSON(value)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(record.ParseText(configJSON, 9)).To(gomega.Equal(fromText))
+	g.Expect(record.ParseConfigJSON(configJSON, 9)).To(gomega.Equal(fromText))
 }
 
 func TestFindIsLimitedToMaxRecentChanges(t *testing.T) {
