--- a/internal/confdelta/log.go
+++ b/internal/confdelta/log.go
@@ -84,9 +84,9 @@
 	return Update{Revision: l.revision, Whole: whole}, err
 }
 
-// Follow returns the log after applying an update. If it fails, the caller should request the
+// Apply returns the log after applying an update. If it fails, the caller should request the
 // full text. A text may have at most limit bytes.
-func (l Log) Follow(u Update, limit int) (Log, error) {
+func (l Log) Apply(u Update, limit int) (Log, error) {
 	if u.Whole != nil {
 		text, err := Decode(nil, u.Whole, limit)
 		return Log{revision: u.Revision, text: text}, err
--- a/internal/confdelta/log_test.go
+++ b/internal/confdelta/log_test.go
@@ -38,7 +38,7 @@
 				if update.Revision == 0 {
 					return
 				}
-				logs[to], err = logs[to].Follow(update, limit)
+				logs[to], err = logs[to].Apply(update, limit)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -69,10 +69,10 @@
 	outdated, err := l.Since(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(outdated.Steps).To(gomega.BeEmpty(), "a log must not keep more than its maximum number of steps")
-	_, err = confdelta.Log{}.Follow(recent, limit)
+	_, err = confdelta.Log{}.Apply(recent, limit)
 	g.Expect(err).To(gomega.MatchError(confdelta.ErrRevision))
 	recent.Revision++
 	other, _ := confdelta.Log{}.Advance(59, []byte("text 59"))
-	_, err = other.Follow(recent, limit)
+	_, err = other.Apply(recent, limit)
 	g.Expect(err).To(gomega.MatchError(confdelta.ErrRevision))
 }
--- a/internal/control/fetch.go
+++ b/internal/control/fetch.go
@@ -136,7 +136,7 @@
 		if err != nil || reply.Revision == 0 {
 			return adopted{}, nil
 		}
-		log, err := have.log.Follow(reply.Update, maxTextBytes)
+		log, err := have.log.Apply(reply.Update, maxTextBytes)
 		if err != nil && !whole {
 			continue // the peer's text of our revision differs from ours: fetch the whole text
 		}
