--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -120,12 +120,12 @@
 	if p.options.advertised.IsValid() {
 		return p.options.advertised
 	}
-	return p.Bound()
+	return p.ListenAddr()
 }
 
-// Bound returns the address that the listener is bound to, or the zero value for a peer
+// ListenAddr returns the address that the listener is bound to, or the zero value for a peer
 // without a listener.
-func (p *Peer) Bound() netip.AddrPort {
+func (p *Peer) ListenAddr() netip.AddrPort {
 	if p.listener == nil {
 		return netip.AddrPort{}
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -87,7 +87,7 @@
 // socket, which the role opens itself.
 func (p *Process) Addresses(data netip.AddrPort) settings.Addresses {
 	return settings.Addresses{
-		Control: p.Peer.Addr(), ControlBound: p.Peer.Bound(),
+		Control: p.Peer.Addr(), ControlBound: p.Peer.ListenAddr(),
 		Data: data, Ops: p.Ops.Addr(),
 	}
 }
