--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -8,9 +8,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// figures are what the metrics show. The state's goroutine writes them, so
-// that a reader of the metrics waits for nothing.
-type figures struct {
+// gauges are the values of the metrics. The goroutine that owns the state writes
+// them atomically, so that reading the metrics never blocks.
+type gauges struct {
 	balancers, agents, suspected atomic.Int64
 	revision                     atomic.Uint64
 	seed                         atomic.Int64
@@ -18,9 +18,9 @@
 	deferred                     atomic.Uint64
 }
 
-// register shows the figures until stopped ends. The bytes of control traffic
-// are shown by the transport, as saltbend_peer_bytes.
-func (f *figures) register(stopped <-chan struct{}) {
+// register registers the gauges as metrics until stopped is closed. The bytes of
+// control traffic are counted by the transport, as saltbend_peer_bytes.
+func (f *gauges) register(stopped <-chan struct{}) {
 	set := metrics.NewSet()
 	gauge := func(name string, value *atomic.Int64) {
 		set.NewGauge(name, func() float64 { return float64(value.Load()) })
@@ -40,9 +40,9 @@
 	}()
 }
 
-// measure brings the figures up to date.
-func (n *Node) measure(now time.Time) {
-	f := &n.figures
+// updateMetrics writes the current values to the gauges.
+func (n *Node) updateMetrics(now time.Time) {
+	f := &n.gauges
 	table := n.engine.Table()
 	f.balancers.Store(int64(table.LiveBalancers()))
 	f.agents.Store(int64(table.Live() - table.LiveBalancers()))
--- a/internal/control/seeding.go
+++ b/internal/control/seeding.go
@@ -17,23 +17,25 @@
 	"github.com/saltbend/saltbend/internal/wait"
 )
 
-// Events of seeds.
+// Events about seeds.
 const (
-	EventSeed     event.Kind = "seed-lease-taken"
-	EventSeedLost event.Kind = "seed-lease-lost"
+	EventSeedTaken event.Kind = "seed-lease-taken"
+	EventSeedLost  event.Kind = "seed-lease-lost"
 )
 
-// storeTimeout bounds one call to the store other than a watch.
+// storeTimeout limits one call to the store. Watches are not limited.
 const storeTimeout = 3 * time.Second
 
-// holder is the value of a seed's key.
-type holder struct {
+// seedRecord is the value of a seed's key in the store: the process that holds
+// the lease.
+type seedRecord struct {
 	Control     netip.AddrPort `json:"control"`
 	Incarnation uint64         `json:"incarnation"`
 }
 
-func parseHolder(value []byte) (holder, error) {
-	var h holder
+// parseSeedRecord parses and validates the value of a seed's key.
+func parseSeedRecord(value []byte) (seedRecord, error) {
+	var h seedRecord
 	if err := json.Unmarshal(value, &h); err != nil {
 		return h, errors.Wrap(err, "control: seed record")
 	}
@@ -43,40 +45,40 @@
 	return h, nil
 }
 
-// seeding is the shell around the decisions of a seed. It belongs to the
-// state's goroutine.
-type seeding struct {
+// seedState is the state of the process's own lease. The goroutine that owns the
+// control state uses it.
+type seedState struct {
 	machine *seed.Machine
 	value   []byte
 	held    bool
 	stop    context.CancelFunc // ends the watch
 }
 
-func newSeeding(n *Node) seeding {
+func newSeedState(n *Node) seedState {
 	self := n.options.Self
-	value, _ := json.Marshal(holder{self.Control, self.Incarnation}) // of plain fields: cannot fail
-	return seeding{machine: seed.New(n.rand, n.options.SeedLease), value: value}
+	value, _ := json.Marshal(seedRecord{self.Control, self.Incarnation}) // cannot fail with plain fields
+	return seedState{machine: seed.New(n.rand, n.options.SeedLease), value: value}
 }
 
-// useStore does at the store what is due.
-func (n *Node) useStore(now time.Time) {
+// runStoreTasks starts the calls to the store that are due.
+func (n *Node) runStoreTasks(now time.Time) {
 	if n.options.Store == nil {
 		return
 	}
-	n.readToJoin(now)
-	if n.finder.wanted {
+	n.readUntilServing(now)
+	if n.finder.requested {
 		n.findPeers(now)
 	}
 	if n.options.Self.Role != member.RoleBalancer {
 		return
 	}
-	n.followLease(now)
+	n.applyLease(now)
 	if a := n.seeding.machine.Decide(now, n.seedInput(now)); a.Kind != seed.None {
 		go n.seedCall(a)
 	}
 }
 
-// seedInput tells what the decision about the lease rests on.
+// seedInput returns the input for the next decision about the lease.
 func (n *Node) seedInput(now time.Time) seed.Input {
 	self := n.engine.Self()
 	in := seed.Input{Rank: -1, Age: seed.Stale}
@@ -89,8 +91,9 @@
 	return in
 }
 
-// followLease watches the configuration for as long as the lease is held.
-func (n *Node) followLease(now time.Time) {
+// applyLease starts watching the configuration when the process gets the lease,
+// and stops when it loses it.
+func (n *Node) applyLease(now time.Time) {
 	s := &n.seeding
 	held := s.machine.Holding(now)
 	if held == s.held {
@@ -99,16 +102,16 @@
 	s.held = held
 	if !held {
 		s.stop()
-		n.event(EventSeedLost, n.options.Self.DataCentre)
+		n.recordEvent(EventSeedLost, n.options.Self.DataCentre)
 		return
 	}
 	ctx, cancel := context.WithCancel(n.ctx)
 	s.stop = cancel
-	n.event(EventSeed, n.options.Self.DataCentre)
+	n.recordEvent(EventSeedTaken, n.options.Self.DataCentre)
 	go n.watchConfig(ctx)
 }
 
-// seedCall makes one call about the lease.
+// seedCall makes one call to the store about the lease.
 func (n *Node) seedCall(a seed.Action) {
 	ctx, cancel := context.WithTimeout(n.ctx, storeTimeout)
 	defer cancel()
@@ -124,28 +127,30 @@
 	case seed.Release:
 		err = n.options.Store.Delete(ctx, key, a.Revision)
 	}
-	result := n.resultOf(a, entry, err)
+	result := n.seedResult(a, entry, err)
 	n.post(func(now time.Time) {
-		n.noteStore(now, err)
+		n.recordStoreContact(now, err)
 		n.seeding.machine.Done(now, sent, a, result, entry.Revision)
 		if a.Kind == seed.Claim && result != seed.Unavailable {
-			// Other holders may belong to a part of the fleet not met yet. Of
-			// two that claim, the later one sees the earlier.
-			n.finder.wanted = true
+			// Other holders may belong to a part of the fleet that this process has not
+			// joined yet. Search for them: of two processes that claim a slot, the later
+			// one finds the record of the earlier one.
+			n.finder.requested = true
 		}
 	})
 	if result == seed.Held {
-		// A slow store may have used up the time of the first call.
+		// Use a new timeout: a slow store may have used up that of the first call.
 		reading, done := context.WithTimeout(n.ctx, storeTimeout)
 		defer done()
 		n.readConfig(reading)
 	}
 }
 
-func (n *Node) resultOf(a seed.Action, entry store.Entry, err error) seed.Result {
+// seedResult returns the result of a call about the lease.
+func (n *Node) seedResult(a seed.Action, entry store.Entry, err error) seed.Result {
 	switch {
 	case err == nil && a.Kind == seed.Inspect:
-		h, parseErr := parseHolder(entry.Value)
+		h, parseErr := parseSeedRecord(entry.Value)
 		if parseErr == nil && h.Control == n.options.Self.Control && h.Incarnation == n.options.Self.Incarnation {
 			return seed.Held
 		}
@@ -162,8 +167,8 @@
 	return seed.Unknown
 }
 
-// noteStore keeps whether and when the store answered.
-func (n *Node) noteStore(now time.Time, err error) {
+// recordStoreContact records whether the store answered, and when it last did.
+func (n *Node) recordStoreContact(now time.Time, err error) {
 	reached := err == nil || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrConflict)
 	n.store.Reachable = reached
 	if reached {
@@ -171,26 +176,27 @@
 	}
 }
 
-// readConfig reads the configuration once.
+// readConfig reads the configuration from the store once.
 func (n *Node) readConfig(ctx context.Context) {
 	sent := n.options.Now()
 	entry, err := n.options.Store.Get(ctx, record.Key)
-	n.post(func(now time.Time) { n.tookReading(now, sent, entry, err) })
+	n.post(func(now time.Time) { n.handleReading(now, sent, entry, err) })
 }
 
-// tookReading takes in what a read of the configuration showed.
-func (n *Node) tookReading(now, sent time.Time, entry store.Entry, err error) {
-	n.noteStore(now, err)
+// handleReading processes the outcome of a read of the configuration.
+func (n *Node) handleReading(now, sent time.Time, entry store.Entry, err error) {
+	n.recordStoreContact(now, err)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return
 	}
 	if err == nil {
-		n.take(entry.Value, entry.Revision)
+		n.adoptValue(entry.Value, entry.Revision)
 	}
-	n.adopt.Read(adopt.Reading{Revision: entry.Revision, Age: now.Sub(sent)}, now)
+	n.adopt.RecordReading(adopt.Reading{Revision: entry.Revision, Age: now.Sub(sent)}, now)
 }
 
-// watchConfig takes each change of the configuration in until ctx ends.
+// watchConfig adopts each change of the configuration in the store until ctx
+// ends.
 func (n *Node) watchConfig(ctx context.Context) {
 	backoff := storeBackoff()
 	random := newRand(n.options.Self)
@@ -198,17 +204,18 @@
 	for ctx.Err() == nil {
 		entry, err := n.options.Store.Watch(ctx, record.Key, after)
 		if err != nil {
-			_ = wait.For(ctx, backoff.Next(random)) // the loop sees the end of ctx
+			_ = wait.For(ctx, backoff.Next(random)) // the loop condition checks ctx
 			continue
 		}
 		backoff.Reset()
 		after = entry.Revision
-		// How old the answer is, is not known: it is no reading.
+		// The age of the answer is unknown, so it does not count as a reading.
 		n.post(func(now time.Time) {
-			n.noteStore(now, nil)
-			n.take(entry.Value, entry.Revision)
+			n.recordStoreContact(now, nil)
+			n.adoptValue(entry.Value, entry.Revision)
 		})
 	}
 }
 
-func storeBackoff() seed.Backoff { return seed.Backoff{Least: time.Second, Most: 30 * time.Second} }
+// storeBackoff returns the back-off between calls to the store.
+func storeBackoff() seed.Backoff { return seed.Backoff{Min: time.Second, Max: 30 * time.Second} }
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -15,7 +15,7 @@
 	"github.com/saltbend/saltbend/internal/token"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // Offsets of the destination connection ID in a long header, in bytes.
 const (
@@ -34,7 +34,7 @@
 	newSecret = "2:101112131415161718191a1b1c1d1e1f"
 )
 
-// peer is a balancer's or a sibling's socket.
+// peer is the socket of a simulated balancer or sibling.
 type peer struct {
 	socket *net.UDPConn
 	codec  *encap.Codec
@@ -64,10 +64,11 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// receive returns the next datagram that is not a probe.
+// receive returns the header and payload of the next datagram that is not a
+// probe.
 func (p *peer) receive(g Gomega) (encap.Header, string) {
 	b := make([]byte, 2048)
-	g.Expect(p.socket.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+	g.Expect(p.socket.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	for {
 		n, err := p.socket.Read(b)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -79,27 +80,27 @@
 	}
 }
 
-func listen(t testing.TB, hand HandFunc) *Conn {
+func listen(t testing.TB, handOff HandOffFunc) *Conn {
 	g := NewWithT(t)
 	c, err := Listen(Options{
 		Data: netip.MustParseAddrPort("127.0.0.1:0"), Service: config.TagOf("results"),
-		Ring: ring(g, oldSecret), Hand: hand,
+		Ring: ring(g, oldSecret), HandOff: handOff,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-// next returns the next payload that reaches QUIC.
-func next(g Gomega, c *Conn) (string, *Flow) {
-	g.Expect(c.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+// nextPayload returns the next payload that c passes to QUIC, and its flow.
+func nextPayload(g Gomega, c *Conn) (string, *Flow) {
+	g.Expect(c.SetReadDeadline(time.Now().Add(waitTimeout))).To(Succeed())
 	b := make([]byte, 2048)
 	n, addr, err := c.ReadFrom(b)
 	g.Expect(err).NotTo(HaveOccurred())
 	return string(b[:n]), addr.(*Flow)
 }
 
-func TestOnlyDatagramsOfTheOwnServiceReachQUIC(t *testing.T) {
+func TestOnlyValidDatagramsForTheServiceReachQUIC(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	b := newPeer(t, ring(g, oldSecret))
@@ -118,7 +119,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	b.send(g, c.Addr(), b.header(), []byte("good"))
 
-	payload, f := next(g, c)
+	payload, f := nextPayload(g, c)
 	g.Expect(payload).To(Equal("good"))
 	g.Expect(f.Key).To(Equal(caller))
 	after := []uint64{droppedService.Get(), droppedForged.Get(), droppedKind.Get(), droppedEmpty.Get(), droppedShort.Get()}
@@ -137,7 +138,7 @@
 	g.Expect(err).To(HaveOccurred())
 }
 
-func TestABalancerThatAsksIsAnswered(t *testing.T) {
+func TestBalancerProbeIsAnsweredUnlessItNamesTheAgent(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	b := newPeer(t, ring(g, oldSecret))
@@ -148,11 +149,11 @@
 	b.send(g, c.Addr(), self, nil)
 	b.send(g, c.Addr(), probe, nil)
 	b.send(g, c.Addr(), b.header(), []byte("good"))
-	next(g, c)
+	nextPayload(g, c)
 	h, _ := b.receive(g)
 	probe.Kind = encap.KindProbeReply
 	g.Expect(h).To(Equal(probe))
-	g.Expect(droppedKind.Get()-before).To(BeEquivalentTo(1), "meant for another at the agent's address")
+	g.Expect(droppedKind.Get()-before).To(BeEquivalentTo(1), "a probe that names the agent's address is for a former balancer")
 }
 
 func initial(dcid string) []byte {
@@ -163,7 +164,7 @@
 	return b
 }
 
-func TestHandedOnOnceAndNeverWhatIsHere(t *testing.T) {
+func TestOnlyNewFlowsAreHandedOffAndOnlyOnce(t *testing.T) {
 	g := NewWithT(t)
 	sibling := newPeer(t, ring(g, oldSecret))
 	c := listen(t, func(encap.Header, []byte) (netip.AddrPort, bool) { return sibling.addr(), true })
@@ -171,12 +172,12 @@
 
 	b.send(g, c.Addr(), b.header(), initial("new-flow"))
 	b.send(g, c.Addr(), b.header(), initial("new-flow")[:300]) // the rest of the ClientHello
-	// What was handed on to here stays, also when it then comes directly.
+	// A flow that a sibling sent here stays, even if a balancer then forwards it.
 	handed := b.header()
-	handed.Kind = encap.KindHandOn
+	handed.Kind = encap.KindHandOff
 	b.send(g, c.Addr(), handed, initial("for-here"))
 	b.send(g, c.Addr(), b.header(), initial("for-here"))
-	// So does what bears a token, and what has a short header.
+	// A flow with a token stays, and so does a packet with a short header.
 	ids, err := NewIDs(ring(g, oldSecret), c.Addr(), config.TagOf("results"), 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	id, err := ids.GenerateConnectionID()
@@ -184,18 +185,18 @@
 	b.send(g, c.Addr(), b.header(), initial(string(id.Bytes())))
 	b.send(g, c.Addr(), b.header(), []byte("\x40short header"))
 	for range 4 {
-		payload, _ := next(g, c)
+		payload, _ := nextPayload(g, c)
 		g.Expect(payload).NotTo(ContainSubstring("new-flow"))
 	}
 	for range 2 {
 		h, payload := sibling.receive(g)
-		g.Expect(h.Kind).To(Equal(encap.KindHandOn))
-		g.Expect(h.Balancer).To(Equal(b.addr()), "the reply's way back stays")
+		g.Expect(h.Kind).To(Equal(encap.KindHandOff))
+		g.Expect(h.Balancer).To(Equal(b.addr()), "the sibling replies through the same balancer")
 		g.Expect(payload[dcidOffset : dcidOffset+8]).To(Equal("new-flow"))
 	}
 }
 
-func TestRefusedNewFlowsAreDroppedAndOpenOnesAreNot(t *testing.T) {
+func TestAdmissionAppliesToNewFlowsOnly(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	c.admit = func(h encap.Header) bool { return h.Revision > 0 }
@@ -211,24 +212,24 @@
 	admitted.Revision = 1
 	b.send(g, c.Addr(), admitted, initial("admitted"))
 	for _, want := range []string{string(id.Bytes()), "admitted"} {
-		payload, _ := next(g, c)
+		payload, _ := nextPayload(g, c)
 		g.Expect(payload[dcidOffset : dcidOffset+len(want)]).To(Equal(want))
 	}
 	g.Expect(droppedFace.Get() - before).To(BeEquivalentTo(1))
 }
 
-func TestRotatedKeysAreTakenUp(t *testing.T) {
+func TestRotatedKeysAreUsed(t *testing.T) {
 	g := NewWithT(t)
 	c := listen(t, nil)
 	both := ring(g, newSecret+","+oldSecret)
 	old, rotated := newPeer(t, ring(g, oldSecret)), newPeer(t, both)
 	c.SetKeys(both)
 	old.send(g, c.Addr(), old.header(), []byte("old"))
-	next(g, c)
+	nextPayload(g, c)
 	other := rotated.header()
-	other.Caller = addr(9, 5001) // a flow that the old balancer has not carried
+	other.Caller = addr(9, 5001) // a flow that only the balancer with both keys carries
 	rotated.send(g, c.Addr(), other, []byte("new"))
-	_, f := next(g, c)
+	_, f := nextPayload(g, c)
 	_, err := c.WriteTo([]byte("answer"), f)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, answer := rotated.receive(g)
@@ -266,7 +267,7 @@
 			return
 		}
 		if dcid, ok := longHeaderDCID(b); ok && len(dcid) > quicid.MaxSize {
-			t.Fatal("longer than a connection ID")
+			t.Fatal("the returned ID is longer than a QUIC connection ID may be")
 		}
 	})
 }
--- a/internal/member/choice_test.go
+++ b/internal/member/choice_test.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-func balancersOf(n int) []member.Member {
+func newBalancers(n int) []member.Member {
 	out := make([]member.Member, n)
 	for i := range out {
 		out[i] = member.Member{Control: addr(i), Incarnation: 1, State: member.StateReady, Role: member.RoleBalancer, DataCentre: "a"}
@@ -19,11 +19,11 @@
 	return out
 }
 
-// A transition that each balancer passes to its neighbours reaches all, in few
-// hops.
+// A transition that each balancer forwards to its neighbours must reach all
+// balancers within ten hops.
 func TestNeighboursReachAllBalancers(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 60, 780} {
-		all := balancersOf(n)
+		all := newBalancers(n)
 		candidates := member.NewCandidates(all)
 		hops := map[int]int{0: 0}
 		queue := []int{0}
@@ -42,13 +42,13 @@
 			}
 		}
 		if len(hops) != n || deepest > 10 {
-			t.Errorf("%d balancers: %d reached in %d hops", n, len(hops), deepest)
+			t.Errorf("%d balancers: %d reached, in up to %d hops; want all within 10", n, len(hops), deepest)
 		}
 	}
 }
 
-func TestRendezvousMovesOnlyTheShareOfWhoLeaves(t *testing.T) {
-	all := balancersOf(50)
+func TestRemovedCandidateMovesOnlyItsOwnKeys(t *testing.T) {
+	all := newBalancers(50)
 	full, fewer := member.NewCandidates(all), member.NewCandidates(all[1:])
 	load := make(map[netip.AddrPort]int)
 	const keys = 3000
@@ -58,34 +58,34 @@
 		for _, w := range full.Choose(key, member.Witnesses, nil) {
 			load[w]++
 			if w != all[0].Control && !slices.Contains(after, w) {
-				t.Fatalf("key %v lost witness %v, which is still there", key, w)
+				t.Fatalf("key %v lost witness %v, which is still a candidate", key, w)
 			}
 		}
 	}
 	mean := keys * member.Witnesses / len(all)
 	for w, n := range load {
 		if n < mean/2 || n > 2*mean {
-			t.Errorf("witness %s has %d members, the mean is %d", w, n, mean)
+			t.Errorf("witness %s has %d members, want between half and twice the mean of %d", w, n, mean)
 		}
 	}
 }
 
-// The quick question has the same answer as the choice.
-func TestChoosesAgreesWithChoose(t *testing.T) {
+// IsChosen is the fast form of Choose and must give the same result.
+func TestIsChosenAgreesWithChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := balancersOf(rapid.IntRange(1, 30).Draw(t, "candidates"))
+		all := newBalancers(rapid.IntRange(1, 30).Draw(t, "candidates"))
 		c := member.NewCandidates(all)
 		key := addr(rapid.IntRange(0, 60).Draw(t, "key"))
 		one := rapid.SampledFrom(all).Draw(t, "one").Control
 		want := slices.Contains(c.Choose(key, member.Witnesses, nil), one)
-		if got := c.Chooses(key, member.Witnesses, one); got != want {
-			t.Fatalf("key %v, candidate %v: %v, want %v", key, one, got, want)
+		if got := c.IsChosen(key, member.Witnesses, one); got != want {
+			t.Fatalf("key %v, candidate %v: chosen %v, want %v", key, one, got, want)
 		}
 	})
 }
 
-func TestRanksOfADataCentreAreDistinct(t *testing.T) {
-	all := balancersOf(9)
+func TestRanksAreDistinctWithinADataCentre(t *testing.T) {
+	all := newBalancers(9)
 	all[3].DataCentre = "b"
 	all[4].State = member.StateDraining
 	seen := make(map[int]bool)
@@ -93,38 +93,38 @@
 		rank := member.Rank(b, all)
 		if b.State != member.StateReady {
 			if rank != -1 {
-				t.Errorf("a draining balancer has rank %d", rank)
+				t.Errorf("draining balancer has rank %d, want -1", rank)
 			}
 			continue
 		}
 		if b.DataCentre == "a" && seen[rank] {
-			t.Errorf("rank %d is taken twice", rank)
+			t.Errorf("two balancers have rank %d", rank)
 		}
 		seen[rank] = seen[rank] || b.DataCentre == "a"
 	}
 	if len(seen) != 7 {
-		t.Errorf("%d ranks, want 7", len(seen))
+		t.Errorf("%d distinct ranks, want 7", len(seen))
 	}
 }
 
-func TestPanicKeepsWhatACutHides(t *testing.T) {
+func TestPanicThresholdRetainsUnreachableMembers(t *testing.T) {
 	for name, c := range map[string]struct {
 		agents, lost int
 		evidence     member.Evidence
 		age          time.Duration
-		kept         bool
+		retained     bool
 	}{
-		"one of seven unreachable":    {7, 1, member.Unreachable, time.Minute, false},
-		"one of two unreachable":      {2, 1, member.Unreachable, time.Second, false},
-		"most unreachable, just now":  {7, 4, member.Unreachable, time.Second, true},
-		"most unreachable, for long":  {7, 4, member.Unreachable, time.Minute, false},
-		"all unreachable, for long":   {7, 7, member.Unreachable, 24 * time.Hour, true},
-		"all refused":                 {7, 7, member.Refused, time.Second, false},
-		"the last one is unreachable": {1, 1, member.Unreachable, time.Hour, true},
+		"one of seven unreachable":             {7, 1, member.Unreachable, time.Minute, false},
+		"one of two unreachable":               {2, 1, member.Unreachable, time.Second, false},
+		"most unreachable, 1 second ago":       {7, 4, member.Unreachable, time.Second, true},
+		"most unreachable, 1 minute ago":       {7, 4, member.Unreachable, time.Minute, false},
+		"all unreachable, 1 day ago":           {7, 7, member.Unreachable, 24 * time.Hour, true},
+		"all refused":                          {7, 7, member.Refused, time.Second, false},
+		"the only one unreachable, 1 hour ago": {1, 1, member.Unreachable, time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := member.NewTable(time.Hour)
-			for _, b := range balancersOf(20) {
+			for _, b := range newBalancers(20) {
 				table.Merge(b, start)
 			}
 			suspects := member.NewSuspects(table)
@@ -136,30 +136,30 @@
 				}
 			}
 			verdicts := suspects.Verdicts()
-			if got := member.NewPanic(table, verdicts).Keeps(verdicts[0], start.Add(c.age)); got != c.kept {
-				t.Errorf("kept: %v, want %v", got, c.kept)
+			if got := member.NewPanic(table, verdicts).Retains(verdicts[0], start.Add(c.age)); got != c.retained {
+				t.Errorf("retained: %v, want %v", got, c.retained)
 			}
 		})
 	}
 }
 
-func TestNeededWitnesses(t *testing.T) {
+func TestRequiredWitnesses(t *testing.T) {
 	for name, c := range map[string]struct {
 		balancers, silent int
 		evidence          member.Evidence
 		age               time.Duration
 		want              int
 	}{
-		"a fleet":                           {5, 0, 0, 0, 2},
-		"one other balancer":                {2, 0, 0, 0, 1},
-		"two others, one is dead":           {3, 1, member.Refused, 0, 1},
-		"two others, one just out of reach": {3, 1, member.Unreachable, 0, 2},
-		"two others, one long out of reach": {3, 1, member.Unreachable, time.Hour, 1},
-		"all others are dead":               {4, 3, member.Refused, 0, 1},
+		"five balancers":                   {5, 0, 0, 0, 2},
+		"one other balancer":               {2, 0, 0, 0, 1},
+		"two others, one refuses":          {3, 1, member.Refused, 0, 1},
+		"two others, one just unreachable": {3, 1, member.Unreachable, 0, 2},
+		"two others, one long unreachable": {3, 1, member.Unreachable, time.Hour, 1},
+		"all others refuse":                {4, 3, member.Refused, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := member.NewTable(time.Hour)
-			all := balancersOf(c.balancers)
+			all := newBalancers(c.balancers)
 			var verdicts []member.Verdict
 			for i, b := range all {
 				table.Merge(b, start)
@@ -167,8 +167,8 @@
 					verdicts = append(verdicts, member.Verdict{Member: b, Evidence: c.evidence, Since: start})
 				}
 			}
-			if got := member.Needed(table, verdicts, all[len(all)-1], start.Add(c.age)); got != c.want {
-				t.Errorf("%d needed, want %d", got, c.want)
+			if got := member.RequiredWitnesses(table, verdicts, all[len(all)-1], start.Add(c.age)); got != c.want {
+				t.Errorf("%d witnesses required, want %d", got, c.want)
 			}
 		})
 	}
--- a/internal/record/parse.go
+++ b/internal/record/parse.go
@@ -8,10 +8,10 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-// Text returns the parsed form of the configuration in a stored value, as the
-// text that processes pass on to each other. It is kept as its writer wrote it,
-// so that a process of an older version passes on what it doesn't know.
-func Text(value []byte) ([]byte, error) {
+// ConfigJSON returns the JSON form of the configuration in a stored value, which is the text that
+// processes send to each other. It is returned byte for byte, so that a process of an older
+// version forwards fields that it doesn't know.
+func ConfigJSON(value []byte) ([]byte, error) {
 	var e struct {
 		Format int             `json:"format"`
 		Config json.RawMessage `json:"config"`
@@ -25,8 +25,8 @@
 	return e.Config, nil
 }
 
-// ParseText returns the configuration that a text says.
-func ParseText(text []byte, revision uint64) (*config.Config, error) {
+// ParseConfigJSON parses the JSON form of a configuration, as returned by ConfigJSON.
+func ParseConfigJSON(text []byte, revision uint64) (*config.Config, error) {
 	c := &config.Config{}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
--- a/internal/sim/overload_test.go
+++ b/internal/sim/overload_test.go
@@ -11,36 +11,36 @@
 	overload       = 1.5
 	overloadLength = 30 * time.Second
 	overloadSeeds  = 4
-	// limit is the length of each agent's queue.
-	limit = 64
+	// queueLimit is the maximum length of each agent's queue.
+	queueLimit = 64
 )
 
-// mixed is 60% of the capacity in lookups, 50% in batches and 40% in reports.
+// mixed offers 60% of the capacity in lookups, 50% in batches and 40% in reports.
 var mixed = []class{
 	{name: "lookup", priority: 0, movable: true, deadline: time.Second, share: 0.6 / overload},
 	{name: "batch", priority: 1, deadline: 2 * time.Second, share: 0.5 / overload},
 	{name: "report", priority: 2, movable: true, deadline: time.Second, share: 0.4 / overload},
 }
 
-// urgent is 130% of the capacity in lookups and 20% in batches.
+// urgent offers 130% of the capacity in lookups and 20% in batches.
 var urgent = []class{
 	{name: "lookup", priority: 0, movable: true, deadline: time.Second, share: 1.3 / overload},
 	{name: "batch", priority: 1, deadline: 2 * time.Second, share: 0.2 / overload},
 }
 
-func shedders() []policy {
-	length := dispatch.Options{IgnoreDeadlines: true}
+func sheddingPolicies() []policy {
+	byLength := dispatch.Options{IgnoreDeadlines: true}
 	return []policy{
-		{name: "chosen", choose: byHash, queue: limit},
-		{name: "by-length", choose: byHash, queue: limit, options: length},
-		{name: "fifo-by-length", choose: byHash, queue: limit, options: length, fifo: true},
-		{name: "fifo-by-deadline", choose: byHash, queue: limit, fifo: true},
-		{name: "fifo-no-shedding", choose: byHash, queue: endless, options: length, fifo: true, endless: true},
-		{name: "no-shedding", choose: byHash, queue: endless, options: length, endless: true},
+		{name: "chosen", choose: byHash, queue: queueLimit},
+		{name: "by-length", choose: byHash, queue: queueLimit, options: byLength},
+		{name: "fifo-by-length", choose: byHash, queue: queueLimit, options: byLength, ignorePriorities: true},
+		{name: "fifo-by-deadline", choose: byHash, queue: queueLimit, ignorePriorities: true},
+		{name: "fifo-no-shedding", choose: byHash, queue: unlimitedQueue, options: byLength, ignorePriorities: true, hideDeadlines: true},
+		{name: "no-shedding", choose: byHash, queue: unlimitedQueue, options: byLength, hideDeadlines: true},
 	}
 }
 
-// BenchmarkOverload offers one and a half times what the service can do.
+// BenchmarkOverload offers 1.5 times the capacity of the service.
 func BenchmarkOverload(b *testing.B) {
 	s := evenService("7x5", 7, 5)
 	for _, mix := range []struct {
@@ -51,13 +51,13 @@
 		for seed := range uint64(overloadSeeds) {
 			loads = append(loads, arrivals(seed, s, overload, overloadLength, mix.classes))
 		}
-		for _, p := range shedders() {
+		for _, p := range sheddingPolicies() {
 			r := pooled(p, s, loads, 500*time.Microsecond)
 			b.Run(mix.name+"/"+p.name, func(b *testing.B) {
 				b.ReportMetric(0, "ns/op")
-				b.ReportMetric(r.quantile(0.5, answeredIn("lookup")).Seconds()*1e3, "lookup-p50-ms")
-				b.ReportMetric(r.quantile(0.99, answeredIn("lookup")).Seconds()*1e3, "lookup-p99-ms")
-				b.ReportMetric(r.quantile(0.99, toldIn).Seconds()*1e3, "told-p99-ms")
+				b.ReportMetric(r.quantile(0.5, answerTime("lookup")).Seconds()*1e3, "lookup-p50-ms")
+				b.ReportMetric(r.quantile(0.99, answerTime("lookup")).Seconds()*1e3, "lookup-p99-ms")
+				b.ReportMetric(r.quantile(0.99, refusalTime).Seconds()*1e3, "told-p99-ms")
 				for _, c := range mix.classes {
 					b.ReportMetric(100*r.inTime(c.name), c.name+"-in-time-%")
 				}
@@ -66,17 +66,18 @@
 	}
 }
 
-// answeredIn gives the time to the answer of a class.
-func answeredIn(name string) func(*work) (time.Duration, bool) {
+// answerTime returns a function for the time until the answer to a request of the
+// class.
+func answerTime(name string) func(*work) (time.Duration, bool) {
 	return func(k *work) (time.Duration, bool) {
 		return k.ended - k.arrival, !k.refused && k.class.name == name
 	}
 }
 
-// toldIn gives the time after which a caller was told to come back.
-func toldIn(k *work) (time.Duration, bool) { return k.ended - k.arrival, k.refused }
+// refusalTime returns the time until a request was refused.
+func refusalTime(k *work) (time.Duration, bool) { return k.ended - k.arrival, k.refused }
 
-// inTime is the share of a class that was answered by its deadline.
+// inTime returns the fraction of a class that was answered by its deadline.
 func (r result) inTime(name string) float64 {
 	good, all := 0, 0
 	for _, k := range r.works {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -1,6 +1,7 @@
-// Package sim measures the scheduler of internal/dispatch in simulated time:
-// the agents of one service, their slots, and messages that take a while.
-// Everything is drawn from fixed seeds. No process imports it.
+// Package sim measures the scheduler of internal/dispatch by discrete-event
+// simulation: the agents of one service, the slots of their upstreams, and the
+// delay of messages between them. All random numbers come from fixed seeds. The
+// package is used by benchmarks only; the daemon does not import it.
 package sim
 
 import (
@@ -16,14 +17,16 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// work is one request of the workload; policies see the same ones.
+// work is one request of the workload. Each policy is run with copies of the same
+// requests.
 type work struct {
 	class   *class
 	arrival time.Duration
 	service time.Duration
 	flow    int
-	// told is the class as the scheduler sees it.
-	told class
+	// scheduled is the class that the scheduler is given; some policies hide
+	// priorities or deadlines from it.
+	scheduled class
 
 	started time.Duration
 	ended   time.Duration
@@ -31,7 +34,7 @@
 	failed  bool
 }
 
-// class is a class of requests.
+// class holds the scheduling parameters of a class of requests.
 type class struct {
 	name     string
 	priority int
@@ -40,37 +43,37 @@
 	share    float64 // of all arrivals
 }
 
-// server is one slot of an upstream.
+// server is one slot of an upstream, which serves one request at a time.
 type server struct {
 	upstream *upstream
 }
 
-// upstream tells how one upstream treats its requests.
+// upstream describes how one upstream serves its requests.
 type upstream struct {
 	slots int
-	// slow multiplies service times at a time.
-	slow func(now time.Duration) float64
-	// broken upstreams answer all requests with an error in a millisecond,
-	// while they claim to be healthy.
+	// slowdown returns the factor of service times at the given time.
+	slowdown func(now time.Duration) float64
+	// A broken upstream answers each request with an error after a millisecond,
+	// while its health endpoint reports it as healthy.
 	broken bool
 }
 
-// node is an agent with its upstream; the ideal queue is one node with the
-// servers of all.
+// node is an agent with its upstream. The ideal policy has a single node with the
+// servers of all upstreams.
 type node struct {
-	addr    netip.AddrPort
-	sched   *dispatch.Scheduler
-	free    []server
-	inHand  float64 // requests in hand, integrated over time
-	since   time.Duration
-	works   map[dispatch.ID]*work
-	wakeAt  time.Duration
-	tracker *health.Tracker
-	limits  dispatch.Limits
+	addr         netip.AddrPort
+	sched        *dispatch.Scheduler
+	free         []server
+	loadIntegral float64 // running and queued requests, integrated over time
+	since        time.Duration
+	works        map[dispatch.ID]*work
+	wakeAt       time.Duration
+	tracker      *health.Tracker
+	limits       dispatch.Limits
 }
 
-// world is one run.
-type world struct {
+// simulation is the state of one simulation run.
+type simulation struct {
 	now      time.Duration
 	events   events
 	nodes    []*node
@@ -112,14 +115,15 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, do func()) {
+// after schedules do to run after the simulated duration d.
+func (w *simulation) after(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now + d, order: w.order, do: do})
 }
 
-func (w *world) clock() time.Time { return epoch.Add(w.now) }
+func (w *simulation) clock() time.Time { return epoch.Add(w.now) }
 
-func (w *world) run() {
+func (w *simulation) run() {
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -127,10 +131,10 @@
 	}
 }
 
-func (w *world) node(addr netip.AddrPort) *node { return w.nodes[addr.Port()-1] }
+func (w *simulation) node(addr netip.AddrPort) *node { return w.nodes[addr.Port()-1] }
 
-// add makes a node with the servers of the upstreams.
-func (w *world) add(upstreams []*upstream, queue int, o dispatch.Options) *node {
+// add creates a node with the servers of the upstreams.
+func (w *simulation) add(upstreams []*upstream, queue int, o dispatch.Options) *node {
 	n := &node{works: map[dispatch.ID]*work{}}
 	for _, u := range upstreams {
 		for range u.slots {
@@ -146,8 +150,8 @@
 	return n
 }
 
-// introduce makes all nodes siblings.
-func (w *world) introduce() {
+// connectSiblings makes all nodes siblings of each other.
+func (w *simulation) connectSiblings() {
 	for _, n := range w.nodes {
 		var others []netip.AddrPort
 		for _, o := range w.nodes {
@@ -159,20 +163,20 @@
 	}
 }
 
-func (w *world) arrive(n *node, id dispatch.ID, k *work) {
+func (w *simulation) arrive(n *node, id dispatch.ID, k *work) {
 	n.works[id] = k
 	w.do(n, n.sched.Arrive(w.clock(), request(id, k)))
 }
 
 func request(id dispatch.ID, k *work) dispatch.Request {
 	return dispatch.Request{
-		ID: id, Priority: k.told.priority, Movable: k.told.movable,
-		Arrived: epoch.Add(k.arrival), Deadline: epoch.Add(k.arrival + k.told.deadline),
+		ID: id, Priority: k.scheduled.priority, Movable: k.scheduled.movable,
+		Arrived: epoch.Add(k.arrival), Deadline: epoch.Add(k.arrival + k.scheduled.deadline),
 	}
 }
 
-// do carries actions out, as the shell would.
-func (w *world) do(n *node, actions []dispatch.Action) {
+// do performs the scheduler's actions, as the request handler does in an agent.
+func (w *simulation) do(n *node, actions []dispatch.Action) {
 	n.account(w.now)
 	for _, a := range slices.Clone(actions) {
 		switch a := a.(type) {
@@ -197,7 +201,7 @@
 	w.wake(n)
 }
 
-func (w *world) send(from *node, to netip.AddrPort, s dispatch.Standing, then func(to *node) []dispatch.Action) {
+func (w *simulation) send(from *node, to netip.AddrPort, s dispatch.Standing, then func(to *node) []dispatch.Action) {
 	w.messages++
 	w.after(w.delay, func() {
 		n := w.node(to)
@@ -208,7 +212,7 @@
 	})
 }
 
-func (w *world) wake(n *node) {
+func (w *simulation) wake(n *node) {
 	at, ok := n.sched.NextWake()
 	due := at.Sub(epoch)
 	if !ok || (n.wakeAt > w.now && n.wakeAt <= due) {
@@ -218,13 +222,13 @@
 	w.after(n.wakeAt-w.now, func() { w.do(n, n.sched.Tick(w.clock())) })
 }
 
-func (w *world) start(n *node, id dispatch.ID) {
+func (w *simulation) start(n *node, id dispatch.ID) {
 	k := n.works[id]
 	k.started = w.now
 	at := w.rng.IntN(len(n.free))
 	s := n.free[at]
 	n.free = slices.Delete(n.free, at, at+1)
-	service := time.Duration(float64(k.service) * s.upstream.slow(w.now))
+	service := time.Duration(float64(k.service) * s.upstream.slowdown(w.now))
 	k.failed = s.upstream.broken
 	if k.failed {
 		service = time.Millisecond
@@ -232,13 +236,14 @@
 	w.after(service, func() {
 		k.ended = w.now
 		n.free = append(n.free, s)
-		w.judge(n, health.Outcome{Good: !k.failed, Latency: service})
+		w.updateHealth(n, health.Outcome{Good: !k.failed, Latency: service})
 		w.do(n, n.sched.Done(w.clock(), id, service, !k.failed))
 	})
 }
 
-// judge has the node judge its upstream, as the shell does.
-func (w *world) judge(n *node, o health.Outcome) {
+// updateHealth updates the health of the node's upstream with an outcome, as the
+// request handler does in an agent.
+func (w *simulation) updateHealth(n *node, o health.Outcome) {
 	if n.tracker == nil {
 		return
 	}
@@ -247,13 +252,13 @@
 	w.do(n, n.sched.SetHealth(w.clock(), v.Slots, v.Draws))
 }
 
-func (w *world) refuse(n *node, a dispatch.Refuse) {
+func (w *simulation) refuse(n *node, a dispatch.Refuse) {
 	k := n.works[a.ID]
 	delete(n.works, a.ID)
 	k.refused, k.ended = true, w.now
 }
 
-func (w *world) push(from *node, p dispatch.Push) {
+func (w *simulation) push(from *node, p dispatch.Push) {
 	k := from.works[p.ID]
 	w.messages++
 	w.after(w.delay, func() {
@@ -262,7 +267,8 @@
 		to.works[p.ID] = k
 		w.do(to, to.sched.ArriveMoved(w.clock(), request(p.ID, k), p.Reservation, p.Admit))
 		if !k.refused {
-			// The owner's end matters to its bookkeeping alone.
+			// When Settled is called matters only to the bookkeeping of the node
+			// that pushed the request, so the end of the request is not awaited.
 			w.after(w.delay, func() { w.do(from, from.sched.Settled(w.clock(), p.ID)) })
 			return
 		}
@@ -272,9 +278,10 @@
 	})
 }
 
-// account integrates what the node had in hand.
+// account adds the running and queued requests since the last call to the
+// integral.
 func (n *node) account(now time.Duration) {
 	l := n.sched.Load()
-	n.inHand += float64(l.Running+l.Queued) * (now - n.since).Seconds()
+	n.loadIntegral += float64(l.Running+l.Queued) * (now - n.since).Seconds()
 	n.since = now
 }
