--- a/cmd/saltbend/explain.go
+++ b/cmd/saltbend/explain.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fail(out, err, exit.Failure)
 	}
-	story := explain.Tell(lines, c.Args.Flow, max(c.Around, 0))
+	story := explain.FlowHistory(lines, c.Args.Flow, max(c.Around, 0))
 	if len(story.Lines) == 0 {
 		return fail(out, errors.Errorf("no line is about the flow %q", c.Args.Flow), exit.Failure)
 	}
@@ -75,9 +75,9 @@
 	return lines, err
 }
 
-func printStory(out std, story explain.Story) {
+func printStory(out std, story explain.History) {
 	for _, s := range story.Skews {
-		fmt.Fprintf(out.out, "The clock of %s is at least %s behind that of %s.\n", s.Behind, s.Least, s.Ahead)
+		fmt.Fprintf(out.out, "The clock of %s is at least %s behind that of %s.\n", s.Behind, s.Minimum, s.Ahead)
 	}
 	w := tabwriter.NewWriter(out.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "TIME\tHOST\tWHAT\tREASON\tFLOW\tPEER\tMORE")
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,8 @@
-// Package explain reads the logs of several processes of the packet face and
-// tells what happened to one flow: its own lines and the changes of belief about
-// the agents that it met, in one order. It is pure but for reading.
+// Package explain reads the logs of several processes of the packet face (the part of
+// saltbend that forwards packets: balancers place each flow on an agent, which runs
+// beside an upstream). It reconstructs what happened to one flow: the log lines of the
+// flow itself and those on the state of the agents that it was placed on, merged in the
+// order of time. Apart from reading the logs it has no side effects.
 package explain
 
 import (
@@ -16,28 +18,32 @@
 	"github.com/pkg/errors"
 )
 
-// Line is one line of a log.
+// Line is one log line.
 type Line struct {
 	At time.Time `json:"time"`
-	// Host is the process's host, or the name of its log until it told.
+	// Host is the host of the process that wrote the line. Until the process has logged
+	// its host, it is the name of the log or of the line's source in the log.
 	Host    string `json:"host"`
 	Part    string `json:"part"`
 	Message string `json:"msg"`
-	// Flow, Agent, Balancer, Reason and Data are the fields that connect lines.
+	// Flow, Agent, Balancer, Reason and Data are the log fields that relate lines of
+	// different processes to each other. Data is the address at which an agent receives
+	// packets, the one that balancers log as Agent.
 	Flow     string `json:"flow,omitempty"`
 	Agent    string `json:"agent,omitempty"`
 	Balancer string `json:"balancer,omitempty"`
 	Reason   string `json:"reason,omitempty"`
 	Data     string `json:"data,omitempty"`
-	// Rest holds the other fields as the log has them.
+	// Rest holds all other log fields as "name=value", sorted by name.
 	Rest string `json:"rest,omitempty"`
 }
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes is the greatest length of a log line. Read fails at a longer one.
 const maxLineBytes = 1 << 20
 
-// Read reads a log. Lines that are no JSON are counted; a word or two before the
-// JSON, as collectors put there, are passed over, and the last names the host.
+// Read parses a log and returns its lines. Lines that are not JSON are skipped and
+// counted. Log collectors may put words, such as a time and a host, before the JSON: the
+// last word is taken as the source of the line, the others are ignored.
 func Read(in io.Reader, name string) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLineBytes)
@@ -53,10 +59,12 @@
 	return lines, skipped, errors.Wrapf(scanner.Err(), "explain: read %s", name)
 }
 
-// known are the fields that Line has or that say nothing here.
-var known = []string{"time", "level", "msg", "part", "host", "flow", "agent", "balancer", "reason", "data"}
+// parsedFields are the log fields that are left out of Line.Rest: those that Line has
+// fields for, and the level.
+var parsedFields = []string{"time", "level", "msg", "part", "host", "flow", "agent", "balancer", "reason", "data"}
 
-// parse reads one line; hosts remembers what each source has told of its host.
+// parse parses one line. hosts maps each source of lines to the host that it has logged
+// last; parse updates it.
 func parse(text, name string, hosts map[string]string) (Line, bool) {
 	prefix, body, found := strings.Cut(text, "{")
 	if !found {
@@ -75,13 +83,13 @@
 		hosts[source] = line.Host
 	}
 	line.Host = cmp.Or(hosts[source], source)
-	line.Rest = rest(all)
+	line.Rest = otherFields(all)
 	return line, true
 }
 
-// rest returns the other fields in the order of their names.
-func rest(all map[string]any) string {
-	for _, name := range known {
+// otherFields formats the fields that are not in parsedFields, sorted by name.
+func otherFields(all map[string]any) string {
+	for _, name := range parsedFields {
 		delete(all, name)
 	}
 	var out []string
@@ -92,65 +100,71 @@
 	return strings.Join(out, " ")
 }
 
-// Skew says that the clock of one host is behind another's: an effect is logged
-// before its cause.
+// Skew is a difference between the clocks of two hosts that shows in the logs: the host
+// Behind logged an effect with an earlier time than the host Ahead logged its cause.
+// Minimum is a lower bound of the difference.
 type Skew struct {
-	Behind string        `json:"behind"`
-	Ahead  string        `json:"ahead"`
-	Least  time.Duration `json:"least_ns"`
+	Behind  string        `json:"behind"`
+	Ahead   string        `json:"ahead"`
+	Minimum time.Duration `json:"least_ns"`
 }
 
-// Story is what happened to a flow.
-type Story struct {
+// History holds the log lines on a flow, by time, and the clock skews that show in them.
+type History struct {
 	Lines []Line `json:"lines"`
 	Skews []Skew `json:"skews"`
 }
 
-// returned starts the lines that tell that the store came back from a copy: what a
-// process knows since then is of another era.
-const returned = "Store came back older"
-
-// Tell returns the lines of the flow, given by its id or a part of it, and those
-// on the agents that it met that were logged within around of them. Of returns of the
-// store each host's last one before that is told, too, however long ago.
-func Tell(all []Line, flow string, around time.Duration) Story {
-	var own []Line
-	met := map[string]bool{}
+// storeRestoredPrefix is the start of the message that a process logs when the store was
+// restored from an older copy. It starts a new era of the store: what the process reads
+// from then on may lack what it had read before.
+const storeRestoredPrefix = "Store came back older"
+
+// FlowHistory returns the log lines on a flow, given by its id or a part of it:
+//   - the lines that carry the flow's id;
+//   - lines without a flow that name an agent of the flow's lines, come from the host of
+//     such an agent or name no agent, if they were logged between the flow's first and
+//     last line or at most around before or after;
+//   - for each host that logged the flow, the last restore of the store before that time,
+//     however long ago: the host decided with what it had read since.
+func FlowHistory(all []Line, flow string, around time.Duration) History {
+	var flowLines []Line
+	agents := map[string]bool{}
 	for _, line := range all {
 		if line.Flow == "" || !strings.Contains(line.Flow, flow) {
 			continue
 		}
-		own = append(own, line)
-		met[line.Agent] = true
+		flowLines = append(flowLines, line)
+		agents[line.Agent] = true
 	}
-	delete(met, "")
-	if len(own) == 0 {
-		return Story{}
+	delete(agents, "")
+	if len(flowLines) == 0 {
+		return History{}
 	}
-	hosts := hostsOf(all, met)
-	first, last := span(own)
+	hosts := hostsOf(all, agents)
+	first, last := span(flowLines)
 	first, last = first.Add(-around), last.Add(around)
-	story := Story{Lines: append(own, lastReturns(all, own, first)...), Skews: skews(own, all)}
+	history := History{Lines: append(flowLines, lastRestores(all, flowLines, first)...), Skews: skews(flowLines, all)}
 	for _, line := range all {
-		belief := line.Flow == "" && (met[line.Agent] || hosts[line.Host] || line.Agent == "")
-		if belief && !line.At.Before(first) && !line.At.After(last) {
-			story.Lines = append(story.Lines, line)
+		related := line.Flow == "" && (agents[line.Agent] || hosts[line.Host] || line.Agent == "")
+		if related && !line.At.Before(first) && !line.At.After(last) {
+			history.Lines = append(history.Lines, line)
 		}
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	return story
+	slices.SortStableFunc(history.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	return history
 }
 
-// lastReturns returns the last return of the store before a time at each host that had
-// to do with the flow.
-func lastReturns(all, own []Line, before time.Time) (out []Line) {
+// lastRestores returns, for each host that logged the flow, its last line before the
+// given time on a restore of the store from a copy.
+func lastRestores(all, flowLines []Line, before time.Time) (out []Line) {
 	latest := map[string]Line{}
 	for _, line := range all {
-		if strings.HasPrefix(line.Message, returned) && line.At.Before(before) && line.At.After(latest[line.Host].At) {
+		if strings.HasPrefix(line.Message, storeRestoredPrefix) && line.At.Before(before) && line.At.After(latest[line.Host].At) {
 			latest[line.Host] = line
 		}
 	}
-	for _, line := range own {
+	for _, line := range flowLines {
 		if last, ok := latest[line.Host]; ok {
 			out = append(out, last)
 			delete(latest, line.Host)
@@ -159,7 +173,7 @@
 	return out
 }
 
-// hostsOf returns the hosts of the agents at the addresses.
+// hostsOf returns the hosts whose agents receive packets at the given addresses.
 func hostsOf(all []Line, agents map[string]bool) map[string]bool {
 	out := map[string]bool{}
 	for _, line := range all {
@@ -183,9 +197,9 @@
 	return first, last
 }
 
-// skews finds agents that have logged a flow's opening before the balancer that
-// placed it there has.
-func skews(own, all []Line) []Skew {
+// skews returns a Skew for each agent that logged the opening of a flow with an earlier
+// time than the balancer logged that it placed the flow on this agent.
+func skews(flowLines, all []Line) []Skew {
 	address := map[string]string{}
 	for _, line := range all {
 		if line.Data != "" {
@@ -193,13 +207,13 @@
 		}
 	}
 	var out []Skew
-	for _, placed := range own {
+	for _, placed := range flowLines {
 		if placed.Message != "placed" && placed.Message != "placed-again" {
 			continue
 		}
-		for _, opened := range own {
+		for _, opened := range flowLines {
 			if opened.Message == "opened" && opened.Flow == placed.Flow && address[opened.Host] == placed.Agent && opened.At.Before(placed.At) {
-				out = append(out, Skew{Behind: opened.Host, Ahead: placed.Host, Least: placed.At.Sub(opened.At)})
+				out = append(out, Skew{Behind: opened.Host, Ahead: placed.Host, Minimum: placed.At.Sub(opened.At)})
 			}
 		}
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -23,47 +23,49 @@
   8.0 side-2 {"time":"2026-03-10T15:00:08Z","msg":"upstream","part":"packet-agent","reason":"left i-1"}`
 )
 
-func read(g *WithT, text, name string) []explain.Line {
+func readLines(g *WithT, text, name string) []explain.Line {
 	lines, _, err := explain.Read(strings.NewReader(text), name)
 	g.Expect(err).NotTo(HaveOccurred())
 	return lines
 }
 
-func TestTellsOneFlowInOneOrder(t *testing.T) {
+func TestFlowHistoryMergesLogsOfAllHostsByTime(t *testing.T) {
 	g := NewWithT(t)
 	_, skipped, err := explain.Read(strings.NewReader(balancerLog), "a.log")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(skipped).To(Equal(1))
-	all := append(read(g, balancerLog, "a.log"), read(g, agentLog, "b.log")...)
-	story := explain.Tell(all, "100.64.0.1:5>", 3*time.Second)
-	var told []string
-	for _, line := range story.Lines {
-		told = append(told, line.Host+" "+line.Message)
+	all := append(readLines(g, balancerLog, "a.log"), readLines(g, agentLog, "b.log")...)
+	history := explain.FlowHistory(all, "100.64.0.1:5>", 3*time.Second)
+	var got []string
+	for _, line := range history.Lines {
+		got = append(got, line.Host+" "+line.Message)
 	}
-	g.Expect(told).To(Equal([]string{
+	g.Expect(got).To(Equal([]string{
 		"front-1 Starting.", "side-2 Started.", "front-1 agent-suspected", "side-2 opened", "front-1 placed", "side-2 upstream", "front-1 reset",
 	}))
-	g.Expect(story.Lines[2].Rest).To(Equal("age_ms=260"))
-	g.Expect(story.Skews).To(Equal([]explain.Skew{{Behind: "side-2", Ahead: "front-1", Least: 100 * time.Millisecond}}))
+	g.Expect(history.Lines[2].Rest).To(Equal("age_ms=260"))
+	g.Expect(history.Skews).To(Equal([]explain.Skew{{Behind: "side-2", Ahead: "front-1", Minimum: 100 * time.Millisecond}}))
 }
 
-func TestTellsNothingOfAFlowThatIsNotThere(t *testing.T) {
+func TestFlowHistoryIsEmptyForAnUnknownFlow(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(explain.Tell(read(g, balancerLog, "a"), "9.9.9.9:9", time.Second).Lines).To(BeEmpty())
+	g.Expect(explain.FlowHistory(readLines(g, balancerLog, "a"), "9.9.9.9:9", time.Second).Lines).To(BeEmpty())
 }
 
-// A flow that is reset long after the store came back from a copy: what was known of it
-// is of that era.
-func TestTellsTheLastReturnOfTheStore(t *testing.T) {
+// The flow is reset long after the store was restored from a copy. The balancer decides
+// with what it has read since the restore, so the history must include the last restore
+// on that host, although it lies outside of the time window; restores on other hosts,
+// earlier and later ones must be left out.
+func TestFlowHistoryIncludesTheLastRestoreOfTheStore(t *testing.T) {
 	g := NewWithT(t)
-	returns := `{"time":"2026-03-10T14:00:00Z","msg":"Store came back older.","part":"registry","host":"front-1","as_of":"1/20"}
+	restores := `{"time":"2026-03-10T14:00:00Z","msg":"Store came back older.","part":"registry","host":"front-1","as_of":"1/20"}
 {"time":"2026-03-10T14:30:00Z","msg":"Store came back older.","part":"registry","as_of":"2/48"}
 {"time":"2026-03-10T15:30:00Z","msg":"Store came back older.","part":"registry","as_of":"3/50"}
 `
 	other := `{"time":"2026-03-10T14:30:00Z","msg":"Store came back older.","part":"registry","host":"front-2","as_of":"2/48"}`
-	all := append(read(g, returns+balancerLog, "a.log"), read(g, other, "c.log")...)
-	story := explain.Tell(all, "100.64.0.1:5>", time.Second)
-	g.Expect(story.Lines[0].Host).To(Equal("front-1"))
-	g.Expect(story.Lines[0].Rest).To(Equal("as_of=2/48"))
-	g.Expect(story.Lines[1].Message).NotTo(HavePrefix("Store came back"))
+	all := append(readLines(g, restores+balancerLog, "a.log"), readLines(g, other, "c.log")...)
+	history := explain.FlowHistory(all, "100.64.0.1:5>", time.Second)
+	g.Expect(history.Lines[0].Host).To(Equal("front-1"))
+	g.Expect(history.Lines[0].Rest).To(Equal("as_of=2/48"))
+	g.Expect(history.Lines[1].Message).NotTo(HavePrefix("Store came back"))
 }
