--- a/cmd/saltbend/timeline.go
+++ b/cmd/saltbend/timeline.go
@@ -44,7 +44,7 @@
 	}
 	reader := &timelineReader{
 		command: c, out: out, access: access, members: members,
-		fleet:  timeline.NewFleet(access.caller, c.PeerTimeout, max(c.Since, 0), time.Now),
+		fleet:  timeline.NewFleetCollector(access.caller, c.PeerTimeout, max(c.Since, 0), time.Now),
 		merger: timeline.NewMerger(),
 		failed: make(map[netip.AddrPort]bool),
 	}
@@ -64,7 +64,7 @@
 	command *timelineCommand
 	out     std
 	access  *fleetAccess
-	fleet   *timeline.Fleet
+	fleet   *timeline.FleetCollector
 	merger  *timeline.Merger
 	members []member.Member
 	failed  map[netip.AddrPort]bool
--- a/internal/timeline/collect.go
+++ b/internal/timeline/collect.go
@@ -8,25 +8,30 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// probes is the number of replies from which a process's clock is estimated
-// before its events are shown; later ones sharpen it.
-const probes = 3
+// minClockSamples is the number of replies from which the offset of a process's clock is
+// estimated before its first events are returned. Later replies improve the estimate.
+const minClockSamples = 3
 
-// Collector reads the event ring of one process, from the oldest kept event
-// on. It is used by one goroutine.
+// Collector reads the events of one process, beginning with the oldest event that the
+// process still holds in its ring. It is not safe for concurrent use.
 type Collector struct {
 	caller peer.Caller
 	addr   netip.AddrPort
-	age    time.Duration
-	now    func() time.Time
-	start  time.Time
+	// age is the maximum age of the events to ask for, 0 for all.
+	age time.Duration
+	now func() time.Time
+	// start is when the process started by its own clock, as its last reply has it. A
+	// change means that another process has replaced it.
+	start time.Time
+	// next is the sequence number of the next event to ask for.
 	next   uint64
 	offset Offset
-	known  bool
+	// calibrated is set once offset is based on minClockSamples replies.
+	calibrated bool
 }
 
-// NewCollector returns a collector of the process at addr. It starts with the
-// events of the given age; 0 means all that are kept.
+// NewCollector returns a collector for the process at addr. It leaves out events that are
+// older than age; 0 means no limit.
 func NewCollector(caller peer.Caller, addr netip.AddrPort, age time.Duration, now func() time.Time) *Collector {
 	return &Collector{caller: caller, addr: addr, age: age, now: now}
 }
@@ -34,12 +39,12 @@
 // Addr returns the control address of the process.
 func (c *Collector) Addr() netip.AddrPort { return c.addr }
 
-// Collect returns the events since the last call. With an error it returns
-// those that came before it.
+// Collect returns the events since the last call. If a request fails, it returns the
+// error together with the events that were received before.
 func (c *Collector) Collect(ctx context.Context) (Log, error) {
 	var log Log
-	for probe := 0; ; probe++ {
-		reply, err := c.ask(ctx)
+	for sample := 0; ; sample++ {
+		reply, err := c.request(ctx)
 		log.Offset = c.offset
 		if err != nil {
 			return log, err
@@ -48,16 +53,16 @@
 			log.Expected = reply.First
 		}
 		log.Events = append(log.Events, reply.Events...)
-		if !reply.More && (c.known || probe+1 >= probes) {
-			c.known = true
+		if !reply.More && (c.calibrated || sample+1 >= minClockSamples) {
+			c.calibrated = true
 			return log, nil
 		}
 	}
 }
 
-// ask makes one request; when the process was replaced since the last one, it
-// asks the new one from its first event on.
-func (c *Collector) ask(ctx context.Context) (SinceReply, error) {
+// request fetches the next events. If the process was replaced since the last request, it
+// repeats the request for the new process, from its first event on.
+func (c *Collector) request(ctx context.Context) (SinceReply, error) {
 	for {
 		var reply SinceReply
 		sample := Sample{Sent: c.now()}
--- a/internal/timeline/collect_test.go
+++ b/internal/timeline/collect_test.go
@@ -14,31 +14,32 @@
 
 var processAddr = netip.MustParseAddrPort("192.0.2.1:4100")
 
-// direct calls a service in this process; the service may be replaced.
-type direct struct {
+// localCaller calls a service in the test's process. Replacing the service simulates a
+// restart of the process at the same address.
+type localCaller struct {
 	service *timeline.Service
 	calls   int
 }
 
-func (d *direct) Call(_ context.Context, _ netip.AddrPort, _ string, args, reply any) error {
+func (d *localCaller) Call(_ context.Context, _ netip.AddrPort, _ string, args, reply any) error {
 	d.calls++
 	return d.service.Since(args.(timeline.SinceArgs), reply.(*timeline.SinceReply))
 }
 
-// tick returns a clock that moves with each reading.
-func tick(start time.Time) func() time.Time {
+// tickingClock returns a clock that advances by a millisecond with each reading.
+func tickingClock(start time.Time) func() time.Time {
 	return func() time.Time {
 		start = start.Add(time.Millisecond)
 		return start
 	}
 }
 
-func TestCollectorFollowsAProcessAndItsSuccessor(t *testing.T) {
+func TestCollectorContinuesWithTheProcessThatReplacesAnother(t *testing.T) {
 	g := NewWithT(t)
-	clock := tick(epoch.Add(time.Hour))
+	clock := tickingClock(epoch.Add(time.Hour))
 	ring := event.NewRing(4096, clock)
-	d := &direct{service: timeline.NewService(processAddr, ring, clock)}
-	c := timeline.NewCollector(d, processAddr, 0, tick(epoch))
+	caller := &localCaller{service: timeline.NewService(processAddr, ring, clock)}
+	c := timeline.NewCollector(caller, processAddr, 0, tickingClock(epoch))
 	for range timeline.MaxEvents + 10 {
 		ring.Add("part", "kind", "")
 	}
@@ -53,9 +54,9 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(log.Events).To(HaveLen(1))
 
-	clock = tick(epoch.Add(2 * time.Hour))
+	clock = tickingClock(epoch.Add(2 * time.Hour))
 	ring = event.NewRing(16, clock)
-	d.service = timeline.NewService(processAddr, ring, clock)
+	caller.service = timeline.NewService(processAddr, ring, clock)
 	ring.Add("part", "first", "")
 	log, err = c.Collect(context.Background())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -64,13 +65,13 @@
 	g.Expect(log.Offset.Ahead).To(BeNumerically("~", 2*time.Hour, 10*time.Second))
 }
 
-func TestCollectorLeavesOutOldEventsWithoutCallingThemLost(t *testing.T) {
+func TestCollectorDoesNotCountEventsPastTheAgeLimitAsLost(t *testing.T) {
 	g := NewWithT(t)
 	now := epoch
 	clock := func() time.Time { return now }
 	const size = 8
 	ring := event.NewRing(size, clock)
-	c := timeline.NewCollector(&direct{service: timeline.NewService(processAddr, ring, clock)}, processAddr, time.Minute, clock)
+	c := timeline.NewCollector(&localCaller{service: timeline.NewService(processAddr, ring, clock)}, processAddr, time.Minute, clock)
 	merger := timeline.NewMerger()
 	collect := func() []timeline.Entry {
 		log, err := c.Collect(context.Background())
--- a/internal/timeline/fleet.go
+++ b/internal/timeline/fleet.go
@@ -11,39 +11,43 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// atOnce bounds the processes that are asked at the same time.
-const atOnce = 64
+// maxConcurrent is the maximum number of processes that are queried at the same time.
+const maxConcurrent = 64
 
-// Fleet collects from many processes, round by round.
-type Fleet struct {
-	caller     peer.Caller
-	now        func() time.Time
+// FleetCollector collects the events of many processes. Each round queries each of them
+// once.
+type FleetCollector struct {
+	caller peer.Caller
+	now    func() time.Time
+	// timeout limits the collecting from one process in one round.
 	timeout    time.Duration
 	age        time.Duration
 	collectors map[netip.AddrPort]*Collector
 }
 
-// NewFleet returns a fleet that gives each process timeout to answer, and
-// starts with its events of the given age; 0 means all that are kept.
-func NewFleet(caller peer.Caller, timeout, age time.Duration, now func() time.Time) *Fleet {
-	return &Fleet{caller: caller, now: now, timeout: timeout, age: age, collectors: make(map[netip.AddrPort]*Collector)}
+// NewFleetCollector returns a collector that waits at most timeout for each process in
+// each round, and leaves out events that are older than age; 0 means no limit.
+func NewFleetCollector(caller peer.Caller, timeout, age time.Duration, now func() time.Time) *FleetCollector {
+	return &FleetCollector{caller: caller, now: now, timeout: timeout, age: age, collectors: make(map[netip.AddrPort]*Collector)}
 }
 
-// Round is what one round of requests brought.
+// Round is the result of one round of requests.
 type Round struct {
-	// Began is the collector's clock before the first request.
+	// Began is the collector's time before the first request.
 	Began time.Time
-	Logs  map[netip.AddrPort]Log
-	// Failed are the processes that didn't answer, or not in full.
+	// Logs holds the new events by process.
+	Logs map[netip.AddrPort]Log
+	// Failed holds the errors of processes that did not answer all requests. Such a
+	// process may have returned a part of its events, which is in Logs.
 	Failed map[netip.AddrPort]error
 }
 
-// Collect asks all processes for their events since the last round.
-func (f *Fleet) Collect(ctx context.Context, processes []netip.AddrPort) Round {
+// Collect queries all processes for their events since the last round.
+func (f *FleetCollector) Collect(ctx context.Context, processes []netip.AddrPort) Round {
 	round := Round{Began: f.now(), Logs: make(map[netip.AddrPort]Log), Failed: make(map[netip.AddrPort]error)}
 	var mu sync.Mutex
 	var group errgroup.Group
-	group.SetLimit(atOnce)
+	group.SetLimit(maxConcurrent)
 	for _, addr := range processes {
 		c := f.collector(addr)
 		group.Go(func() error {
@@ -63,7 +67,7 @@
 	return round
 }
 
-func (f *Fleet) collector(addr netip.AddrPort) *Collector {
+func (f *FleetCollector) collector(addr netip.AddrPort) *Collector {
 	c := f.collectors[addr]
 	if c == nil {
 		c = NewCollector(f.caller, addr, f.age, f.now)
--- a/internal/timeline/merge_test.go
+++ b/internal/timeline/merge_test.go
@@ -11,10 +11,12 @@
 	"github.com/saltbend/saltbend/internal/timeline"
 )
 
-// process is a drawn process: true event times, and a clock that is wrong.
+// process is a random process of a property test.
 type process struct {
-	name  string
+	name string
+	// ahead is the error of the process's clock.
 	ahead time.Duration
+	// truth holds the true times of its events.
 	truth []time.Time
 }
 
@@ -33,15 +35,16 @@
 	return p
 }
 
-// log returns what a collector sees of p over a network with unequal delays.
+// log returns the log that a collector obtains from p if the delays of the request and of
+// the reply differ.
 func (p process) log(t *rapid.T) timeline.Log {
 	delay := rapid.Int64Range(0, int64(20*time.Millisecond))
-	there, back := time.Duration(delay.Draw(t, "there")), time.Duration(delay.Draw(t, "back"))
-	arrived := epoch.Add(time.Minute).Add(there)
+	outward, homeward := time.Duration(delay.Draw(t, "there")), time.Duration(delay.Draw(t, "back"))
+	arrived := epoch.Add(time.Minute).Add(outward)
 	log := timeline.Log{Offset: timeline.Sample{
 		Sent:     epoch.Add(time.Minute),
 		Remote:   arrived.Add(p.ahead),
-		Received: arrived.Add(back),
+		Received: arrived.Add(homeward),
 	}.Offset()}
 	for seq, at := range p.truth {
 		log.Events = append(log.Events, event.Event{Seq: uint64(seq), Time: at.Add(p.ahead), Process: p.name})
@@ -49,7 +52,7 @@
 	return log
 }
 
-func TestMergeIsTrueWithinTheSkewThatItShows(t *testing.T) {
+func TestMergedTimesAndOrderAreCorrectWithinTheReportedSkew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := make(map[string][]time.Time)
 		var logs []timeline.Log
@@ -72,22 +75,22 @@
 			next[e.Process]++
 			at := truth[e.Process][e.Seq]
 			if off := e.At.Sub(at).Abs(); off > e.Skew {
-				t.Fatalf("off by %v, shown as ±%v", off, e.Skew)
+				t.Fatalf("time is off by %v, reported skew is ±%v", off, e.Skew)
 			}
 			for _, earlier := range merged[:i] {
 				sure := earlier.At.Add(earlier.Skew).Before(e.At.Add(-e.Skew))
 				if before := truth[earlier.Process][earlier.Seq]; sure && before.After(at) {
-					t.Fatal("sure order is wrong")
+					t.Fatal("entries whose times differ by more than their skews are in the wrong order")
 				}
 			}
 			if i > 0 && !e.Unsure && truth[merged[i-1].Process][merged[i-1].Seq].After(at) {
-				t.Fatal("wrong order is not marked as unsure")
+				t.Fatal("entry is in the wrong order and not marked as unsure")
 			}
 		}
 	})
 }
 
-func TestMergeKeepsAProcessesOrderWhenItsClockIsSetBack(t *testing.T) {
+func TestMergeKeepsSequenceOrderIfAClockIsSetBack(t *testing.T) {
 	log := timeline.Log{Events: []event.Event{
 		{Seq: 7, Time: epoch.Add(time.Second), Process: "p"},
 		{Seq: 8, Time: epoch, Process: "p"},
@@ -101,7 +104,7 @@
 	}
 }
 
-func TestMergerReleasesOnlyWhatNoLaterRoundCanPrecede(t *testing.T) {
+func TestMergerHoldsBackEventsThatALaterRoundMayPrecede(t *testing.T) {
 	m := timeline.NewMerger()
 	at := func(seq int) event.Event {
 		return event.Event{Seq: uint64(seq), Time: epoch.Add(time.Duration(seq) * time.Second), Process: "p"}
--- a/internal/timeline/merger.go
+++ b/internal/timeline/merger.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Merger merges logs that come in rounds. It is used by one goroutine.
+// Merger merges logs that are collected in rounds. It holds events back until no later
+// round can return an earlier one. It is not safe for concurrent use.
 type Merger struct {
+	// pending holds, by process, the events that were not returned yet.
 	pending map[string]Log
 }
 
-// NewMerger returns a merger that holds nothing.
 func NewMerger() *Merger {
 	return &Merger{pending: make(map[string]Log)}
 }
 
-// Add takes the next events of a process and the newest estimate of its clock.
+// Add appends the next events of a process and replaces the estimate of its clock offset.
 func (m *Merger) Add(process string, log Log) {
-	held := m.pending[process]
-	if len(held.Events) == 0 {
-		held.Expected = log.Expected
+	queued := m.pending[process]
+	if len(queued.Events) == 0 {
+		queued.Expected = log.Expected
 	}
-	held.Events = append(held.Events, log.Events...)
-	held.Offset = log.Offset
-	m.pending[process] = held
+	queued.Events = append(queued.Events, log.Events...)
+	queued.Offset = log.Offset
+	m.pending[process] = queued
 }
 
-// Release returns, in order, the events that have surely happened before the
-// given time. With the time at which a round began, none that a later round
-// brings can belong before them, unless its process didn't answer this time.
+// Release returns and removes, in order, the events that certainly happened before the
+// given time, clock errors included. If that is the time when the last round began, no
+// event of a later round can belong before them, except for events of a process that did
+// not answer in the last round.
 func (m *Merger) Release(before time.Time) []Entry {
 	return m.release(func(l Log) int {
 		for i, e := range l.Events {
@@ -37,25 +39,25 @@
 	})
 }
 
-// Flush returns all events that are held, in order.
+// Flush returns and removes all remaining events, in order.
 func (m *Merger) Flush() []Entry {
 	return m.release(func(l Log) int { return len(l.Events) })
 }
 
-// release merges the first events of each process; count says how many.
+// release merges and removes the first events of each process; count returns how many.
 func (m *Merger) release(count func(Log) int) []Entry {
 	logs := make([]Log, 0, len(m.pending))
-	for process, held := range m.pending {
-		n := count(held)
+	for process, queued := range m.pending {
+		n := count(queued)
 		if n == 0 {
 			continue
 		}
-		part := held
-		part.Events = held.Events[:n]
-		logs = append(logs, part)
-		held.Events = append(held.Events[:0:0], held.Events[n:]...)
-		held.Expected = part.Events[n-1].Seq + 1
-		m.pending[process] = held
+		head := queued
+		head.Events = queued.Events[:n]
+		logs = append(logs, head)
+		queued.Events = append(queued.Events[:0:0], queued.Events[n:]...)
+		queued.Expected = head.Events[n-1].Seq + 1
+		m.pending[process] = queued
 	}
 	return Merge(logs)
 }
--- a/internal/timeline/service.go
+++ b/internal/timeline/service.go
@@ -1,7 +1,8 @@
-// Package timeline collects the event rings of all processes over net/rpc and
-// merges them into one ordered list. Clocks differ: each process's offset is
-// estimated from the times of requests and replies, and the rest of the doubt
-// is shown with each event instead of being hidden.
+// Package timeline collects the recent events of all processes over net/rpc and merges
+// them into one list ordered by time. Each process holds its last events in a ring (see
+// package event). Since clocks differ, the offset of each process's clock is estimated
+// from the times of requests and replies, and each event is returned with the remaining
+// error of its time.
 package timeline
 
 import (
@@ -12,45 +13,47 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// ServiceName is the name under which the net/rpc methods are registered.
+// ServiceName is the net/rpc name of the service.
 const ServiceName = "Timeline"
 
-// methodSince is the method that collectors call.
+// methodSince is the net/rpc name of Service.Since.
 const methodSince = ServiceName + ".Since"
 
-// MaxEvents bounds the events of one reply; a collector asks again for more.
+// MaxEvents is the maximum number of events in one reply. A collector repeats its request
+// if there are more.
 const MaxEvents = 1024
 
-// maxDetail bounds the text of one event in a reply, in bytes.
+// maxDetail is the maximum length of an event's detail in a reply, in bytes.
 const maxDetail = 512
 
-// SinceArgs asks for the events from a sequence number on.
+// SinceArgs requests the events with a sequence number of at least Seq.
 type SinceArgs struct {
 	Seq uint64
-	// Age leaves out events that are older by the process's own clock; 0 asks
-	// for all that are kept. Without it the rings of a large fleet are millions of events.
+	// Age is the maximum age of the events by the process's own clock; 0 means no limit.
+	// Without a limit the rings of a large fleet hold millions of events.
 	Age time.Duration
 }
 
 // SinceReply holds events of one process, oldest first.
 type SinceReply struct {
-	// Start is when the process started, by its own clock: another one means
-	// that it is another process, which numbers its events from 0 again.
+	// Start is when the process started, by its own clock. If it differs from that of an
+	// earlier reply, another process has taken the address, and its events are numbered
+	// from 0 again.
 	Start time.Time
-	// Now is the process's clock while it answered.
+	// Now is the process's time when it answered.
 	Now time.Time
-	// First is the sequence number that the first event should have: the one
-	// that was asked for, or a later one where older events were left out. A
-	// gap after it means that the ring has dropped events.
+	// First is the sequence number that the first event has if none was dropped: the one
+	// that was requested, or a higher one if events were left out because of their age.
+	// If the first event has a higher one, the ring has dropped those between.
 	First  uint64
 	Events []event.Event
-	// Next is the sequence number to ask for next; More says that there are
-	// events already.
+	// Next is the sequence number to request next.
 	Next uint64
+	// More is set if the process already holds further events.
 	More bool
 }
 
-// Service answers for the event ring of a process.
+// Service serves the event ring of a process over net/rpc.
 type Service struct {
 	process string
 	ring    *event.Ring
@@ -58,21 +61,21 @@
 	start   time.Time
 }
 
-// NewService returns the receiver to register as ServiceName. The process is
-// named by its control address.
+// NewService returns the receiver to register under ServiceName. The events are returned
+// with the given control address as the name of their process.
 func NewService(process netip.AddrPort, ring *event.Ring, now func() time.Time) *Service {
 	return &Service{process: process.String(), ring: ring, now: now, start: now()}
 }
 
-// Register lets collectors read the ring of the process that p serves.
+// Register registers the service on p, so that collectors can read the ring.
 func Register(p *peer.Peer, ring *event.Ring) error {
 	return p.Register(ServiceName, NewService(p.Addr(), ring, time.Now))
 }
 
-// Since is called over net/rpc.
+// Since returns events from the ring. It is called over net/rpc.
 func (s *Service) Since(args SinceArgs, reply *SinceReply) error {
 	now := s.now()
-	events, first := recent(s.ring.Since(args.Seq), args, now)
+	events, first := withinAge(s.ring.Since(args.Seq), args, now)
 	more := len(events) > MaxEvents
 	if more {
 		events = events[:MaxEvents]
@@ -87,8 +90,9 @@
 	return nil
 }
 
-// recent leaves out the events before the first one that is young enough.
-func recent(events []event.Event, args SinceArgs, now time.Time) (young []event.Event, first uint64) {
+// withinAge drops the events before the first one that is not older than args.Age. It
+// returns the remaining events and the value for SinceReply.First.
+func withinAge(events []event.Event, args SinceArgs, now time.Time) (kept []event.Event, first uint64) {
 	if args.Age <= 0 {
 		return events, args.Seq
 	}
