--- a/cmd/saltbend/apply.go
+++ b/cmd/saltbend/apply.go
@@ -69,7 +69,7 @@
 	if !c.json() {
 		c.print(out, res)
 	}
-	var spread *survey.InForce
+	var spread *survey.Rollout
 	if c.Wait && res.Revision > 0 {
 		spread = c.await(ctx, out, fleet, res.Revision)
 	}
@@ -91,11 +91,11 @@
 }
 
 // await waits until the revision is in force everywhere and tells who is late.
-func (c *applyCommand) await(ctx context.Context, out std, fleet *fleetAccess, revision uint64) *survey.InForce {
+func (c *applyCommand) await(ctx context.Context, out std, fleet *fleetAccess, revision uint64) *survey.Rollout {
 	ctx, cancel := context.WithTimeout(ctx, c.WaitTime)
 	defer cancel()
 	start := time.Now()
-	spread := fleet.asker.Await(ctx, fleet.first, revision, waitInterval, func(f survey.InForce) {
+	spread := fleet.asker.Await(ctx, fleet.first, revision, waitInterval, func(f survey.Rollout) {
 		fmt.Fprintf(out.err, "%v: revision %d is in force on %s.\n", time.Since(start).Round(time.Millisecond), revision, describe(f))
 	})
 	return &spread
@@ -108,7 +108,7 @@
 }
 
 // exitCode returns the tool's exit code; spread is nil where it did not wait.
-func exitCode(v apply.Verdict, spread *survey.InForce) int {
+func exitCode(v apply.Verdict, spread *survey.Rollout) int {
 	switch v {
 	case apply.Refused:
 		return exit.Usage
@@ -119,7 +119,7 @@
 	case apply.Unavailable:
 		return exit.Unavailable
 	}
-	if spread != nil && !spread.Everywhere() {
+	if spread != nil && !spread.Complete() {
 		return exit.Late
 	}
 	return exit.OK
--- a/cmd/saltbend/peers.go
+++ b/cmd/saltbend/peers.go
@@ -20,7 +20,7 @@
 // fleet is the way to the processes of the fleet.
 type fleetAccess struct {
 	caller *peer.Peer
-	asker  survey.Asker
+	asker  survey.Client
 	first  []netip.AddrPort
 }
 
@@ -55,7 +55,7 @@
 	}
 	return &fleetAccess{
 		caller: caller,
-		asker:  survey.Asker{Caller: caller, Timeout: p.PeerTimeout},
+		asker:  survey.Client{Caller: caller, Timeout: p.PeerTimeout},
 		first:  first,
 	}, nil
 }
--- a/cmd/saltbend/result.go
+++ b/cmd/saltbend/result.go
@@ -33,7 +33,7 @@
 	Late      []netip.AddrPort `json:"late"`
 }
 
-func viewResult(res apply.Result, spread *survey.InForce) resultView {
+func viewResult(res apply.Result, spread *survey.Rollout) resultView {
 	v := resultView{Verdict: res.Verdict, Base: res.Base, Revision: res.Revision,
 		Winner: viewOf(res.Winner), Findings: res.Findings, Diff: res.Diff}
 	if res.Err != nil {
@@ -46,7 +46,7 @@
 }
 
 // describe tells how far a revision has spread and who is late.
-func describe(f survey.InForce) string {
+func describe(f survey.Rollout) string {
 	if f.Balancers == 0 {
 		return "no balancer that can be asked"
 	}
--- a/internal/survey/inforce.go
+++ b/internal/survey/inforce.go
@@ -13,87 +13,89 @@
 	"github.com/saltbend/saltbend/internal/wait"
 )
 
-// membersEvery is the number of rounds after which the list of balancers is
-// read again: some may have come or gone.
-const membersEvery = 8
+// membersRefreshRounds is the number of rounds after which the list of balancers is read
+// again, since balancers may have joined or left.
+const membersRefreshRounds = 8
 
-// InForce tells how far a revision has spread.
-type InForce struct {
-	// Balancers is the number of live balancers, Done of those that act on the
-	// revision or a later one.
+// Rollout is the progress of the roll-out of a configuration revision.
+type Rollout struct {
+	// Balancers is the number of live balancers, Done the number of those that have the
+	// revision or a later one in force.
 	Balancers, Done int
-	// Late are the others.
+	// Late holds the control addresses of the other live balancers.
 	Late []netip.AddrPort
 }
 
-// Everywhere reports whether the revision is in force on every balancer.
-func (f InForce) Everywhere() bool { return f.Balancers > 0 && len(f.Late) == 0 }
+// Complete reports whether the revision is in force on every balancer, and there is one.
+func (f Rollout) Complete() bool { return f.Balancers > 0 && len(f.Late) == 0 }
 
-// Await asks the balancers, in rounds, until all act on the revision or ctx
-// ends; it returns the last state. Each change of the state is passed to
-// progress. Only those that are late are asked again.
-func (a Asker) Await(ctx context.Context, first []netip.AddrPort, revision uint64, interval time.Duration, progress func(InForce)) InForce {
+// Await polls the balancers at the interval until all have the revision in force or ctx
+// ends, and returns the last state. It calls progress with the first state and after each
+// change. Balancers that have the revision in force are not queried again.
+func (c Client) Await(ctx context.Context, peers []netip.AddrPort, revision uint64, interval time.Duration, progress func(Rollout)) Rollout {
 	done := make(map[netip.AddrPort]bool)
-	var state InForce
+	var state Rollout
 	var known []netip.AddrPort
 	for round := 0; ; round++ {
-		if round%membersEvery == 0 || len(known) == 0 {
-			known = a.liveBalancers(ctx, first, known)
+		if round%membersRefreshRounds == 0 || len(known) == 0 {
+			known = c.liveBalancers(ctx, peers, known)
 		}
-		a.askLate(ctx, known, done, revision)
-		if next := spread(known, done); round == 0 || !equal(next, state) {
+		c.pollLate(ctx, known, done, revision)
+		if next := rolloutState(known, done); round == 0 || !equal(next, state) {
 			state = next
 			progress(state)
 		}
-		if state.Everywhere() || wait.For(ctx, interval) != nil {
+		if state.Complete() || wait.For(ctx, interval) != nil {
 			return state
 		}
 	}
 }
 
-// liveBalancers reads the list of balancers; without an answer the last one
-// stands.
-func (a Asker) liveBalancers(ctx context.Context, first, last []netip.AddrPort) []netip.AddrPort {
-	members, err := a.Members(ctx, slices.Concat(first, last))
+// liveBalancers reads the list of balancers. If no process answers, it returns the last
+// list.
+func (c Client) liveBalancers(ctx context.Context, peers, last []netip.AddrPort) []netip.AddrPort {
+	members, err := c.Members(ctx, slices.Concat(peers, last))
 	if err != nil {
 		return last
 	}
 	known := make(map[netip.AddrPort]member.Member)
-	learn(known, members)
+	mergeNewest(known, members)
 	return balancers(known)
 }
 
-// askLate asks the balancers that are not done and notes those that now are.
-func (a Asker) askLate(ctx context.Context, known []netip.AddrPort, done map[netip.AddrPort]bool, revision uint64) {
+// pollLate queries the balancers that are not done and marks in done those that now have
+// the revision in force.
+func (c Client) pollLate(ctx context.Context, known []netip.AddrPort, done map[netip.AddrPort]bool, revision uint64) {
 	answers := make([]bool, len(known))
 	var group errgroup.Group
-	group.SetLimit(atOnce)
+	group.SetLimit(maxConcurrent)
 	for i, addr := range known {
 		if done[addr] {
 			continue
 		}
 		group.Go(func() error {
-			answers[i] = a.acts(ctx, addr, revision)
+			answers[i] = c.hasInForce(ctx, addr, revision)
 			return nil
 		})
 	}
 	_ = group.Wait() // the functions return no error
-	for i, yes := range answers {
-		done[known[i]] = done[known[i]] || yes
+	for i, inForce := range answers {
+		done[known[i]] = done[known[i]] || inForce
 	}
 }
 
-// acts reports whether the balancer acts on the revision or a later one.
-func (a Asker) acts(ctx context.Context, addr netip.AddrPort, revision uint64) bool {
-	limited, cancel := context.WithTimeout(ctx, a.Timeout)
+// hasInForce reports whether the balancer answered that it has the revision or a later
+// one in force.
+func (c Client) hasInForce(ctx context.Context, addr netip.AddrPort, revision uint64) bool {
+	limited, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	var status control.Status
-	err := a.Caller.Call(limited, addr, methodStatus, control.StatusArgs{}, &status)
+	err := c.Caller.Call(limited, addr, methodStatus, control.StatusArgs{}, &status)
 	return err == nil && status.InForce >= revision
 }
 
-func spread(known []netip.AddrPort, done map[netip.AddrPort]bool) InForce {
-	f := InForce{Balancers: len(known)}
+func rolloutState(known []netip.AddrPort, done map[netip.AddrPort]bool) Rollout {
+	f := Rollout{Balancers: len(known)}
 	for _, addr := range known {
 		if done[addr] {
 			f.Done++
@@ -104,6 +106,6 @@
 	return f
 }
 
-func equal(a, b InForce) bool {
+func equal(a, b Rollout) bool {
 	return a.Balancers == b.Balancers && slices.Equal(a.Late, b.Late)
 }
--- a/internal/survey/members.go
+++ b/internal/survey/members.go
@@ -1,5 +1,7 @@
-// Package survey asks a running fleet what it knows, for the operators' tool:
-// which processes there are and what each has in force.
+// Package survey queries a running fleet for the operators' tool: which processes there
+// are, in which state, and which revision of the configuration each has in force. The
+// processes are balancers, which know the whole fleet, and agents, which run beside the
+// upstreams and know only the members of their own service.
 package survey
 
 import (
@@ -15,44 +17,47 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// methodMembers is the method that tells the members a process knows.
+// methodMembers is the net/rpc method that returns the members that a process knows.
 const methodMembers = "Control.Members"
 
-// ErrNoAnswer says that none of the given processes answered.
+// ErrNoAnswer is returned if none of the given processes answered.
 var ErrNoAnswer = errors.New("survey: no process answered")
 
-// Asker asks processes of the fleet.
-type Asker struct {
+// Client queries processes of the fleet.
+type Client struct {
 	Caller peer.Caller
-	// Timeout bounds each call.
+	// Timeout limits each call.
 	Timeout time.Duration
 }
 
-// Members returns the members that the first processes to answer know. At
-// least one balancer is asked where one can be found, since an agent knows
-// only its own service.
-func (a Asker) Members(ctx context.Context, first []netip.AddrPort) ([]member.Member, error) {
+// Members returns the members of the fleet. It queries the given processes one after the
+// other until a balancer has answered. If none of them is a balancer, it goes on with the
+// balancers that the agents among them know, since an agent knows only its own service.
+// If no balancer answers, it returns what the agents know.
+func (c Client) Members(ctx context.Context, peers []netip.AddrPort) ([]member.Member, error) {
 	known := make(map[netip.AddrPort]member.Member)
 	cause := error(ErrNoAnswer)
-	if a.askUntilBalancer(ctx, first, known, &cause) {
+	if c.queryUntilBalancer(ctx, peers, known, &cause) {
 		return sorted(known), nil
 	}
-	a.askUntilBalancer(ctx, balancers(known), known, &cause)
+	c.queryUntilBalancer(ctx, balancers(known), known, &cause)
 	if len(known) == 0 {
 		return nil, cause
 	}
 	return sorted(known), nil
 }
 
-// askUntilBalancer asks one after the other until a balancer has answered.
-func (a Asker) askUntilBalancer(ctx context.Context, addrs []netip.AddrPort, known map[netip.AddrPort]member.Member, cause *error) bool {
+// queryUntilBalancer queries the processes one after the other until a balancer has
+// answered, and adds the members that they return to known. It reports whether a balancer
+// answered, and sets cause to the last error.
+func (c Client) queryUntilBalancer(ctx context.Context, addrs []netip.AddrPort, known map[netip.AddrPort]member.Member, cause *error) bool {
 	for _, addr := range addrs {
-		members, err := a.members(ctx, addr)
+		members, err := c.members(ctx, addr)
 		if err != nil {
 			*cause = errors.Wrap(ErrNoAnswer, err.Error())
 			continue
 		}
-		learn(known, members)
+		mergeNewest(known, members)
 		if len(members) > 0 && members[0].Role == member.RoleBalancer {
 			return true
 		}
@@ -60,14 +65,15 @@
 	return false
 }
 
-func (a Asker) members(ctx context.Context, addr netip.AddrPort) ([]member.Member, error) {
-	limited, cancel := context.WithTimeout(ctx, a.Timeout)
+func (c Client) members(ctx context.Context, addr netip.AddrPort) ([]member.Member, error) {
+	limited, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	var members []member.Member
-	err := a.Caller.Call(limited, addr, methodMembers, control.Empty{}, &members)
+	err := c.Caller.Call(limited, addr, methodMembers, control.Empty{}, &members)
 	return members, err
 }
 
+// balancers returns the control addresses of the balancers that are not gone.
 func balancers(known map[netip.AddrPort]member.Member) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, m := range sorted(known) {
@@ -78,7 +84,7 @@
 	return out
 }
 
-// sorted returns the members in the order of role and address.
+// sorted returns the members sorted by role and address.
 func sorted(known map[netip.AddrPort]member.Member) []member.Member {
 	out := make([]member.Member, 0, len(known))
 	for _, m := range known {
--- a/internal/survey/status.go
+++ b/internal/survey/status.go
@@ -11,57 +11,59 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// methodStatus is the method that tells what a process knows and does.
+// methodStatus is the net/rpc method that returns the status of a process.
 const methodStatus = "Control.Status"
 
-// atOnce bounds the processes that are asked at the same time.
-const atOnce = 64
+// maxConcurrent is the maximum number of processes that are queried at the same time.
+const maxConcurrent = 64
 
-// Answer is what a balancer said about itself, or why it didn't.
+// Answer is a balancer's reply to a status request, or the error if it did not reply.
 type Answer struct {
 	Status control.Status
 	Err    error
 }
 
-// Process is what the survey found out about one process.
+// Process is the state of one process.
 type Process struct {
 	Member member.Member
-	// Revision is the configuration revision in force there, Late tells that a
-	// newer one is known somewhere.
+	// Revision is the configuration revision that the process has in force.
 	Revision uint64
-	Late     bool
-	// Answer is what a balancer said; agents aren't asked, balancers know them.
+	// Late is set if another process knows a newer revision and this one is not gone.
+	Late bool
+	// Answer is the balancer's answer. It is nil for agents: they are not queried, since
+	// balancers report their state and revision.
 	Answer *Answer
 }
 
 // Report is the state of a fleet.
 type Report struct {
-	// Newest is the newest configuration revision that any process knows.
+	// Newest is the highest configuration revision that any process knows.
 	Newest    uint64
 	Processes []Process
 }
 
-// Status asks all balancers that the first ones to answer know.
-func (a Asker) Status(ctx context.Context, first []netip.AddrPort) (Report, error) {
-	members, err := a.Members(ctx, first)
+// Status returns the state of the fleet: it reads the members (see Members) and queries
+// all balancers among them.
+func (c Client) Status(ctx context.Context, peers []netip.AddrPort) (Report, error) {
+	members, err := c.Members(ctx, peers)
 	if err != nil {
 		return Report{}, err
 	}
-	return Summarise(members, a.ask(ctx, members)), nil
+	return Summarise(members, c.queryBalancers(ctx, members)), nil
 }
 
-// ask asks each balancer for its status.
-func (a Asker) ask(ctx context.Context, members []member.Member) map[netip.AddrPort]Answer {
+// queryBalancers requests the status of each balancer among the members.
+func (c Client) queryBalancers(ctx context.Context, members []member.Member) map[netip.AddrPort]Answer {
 	answers := make(map[netip.AddrPort]Answer)
 	var mu sync.Mutex
 	var group errgroup.Group
-	group.SetLimit(atOnce)
+	group.SetLimit(maxConcurrent)
 	for _, m := range members {
 		if m.Role != member.RoleBalancer {
 			continue
 		}
 		group.Go(func() error {
-			answer := a.status(ctx, m.Control)
+			answer := c.status(ctx, m.Control)
 			mu.Lock()
 			defer mu.Unlock()
 			answers[m.Control] = answer
@@ -72,25 +74,25 @@
 	return answers
 }
 
-func (a Asker) status(ctx context.Context, addr netip.AddrPort) (answer Answer) {
-	limited, cancel := context.WithTimeout(ctx, a.Timeout)
+func (c Client) status(ctx context.Context, addr netip.AddrPort) (answer Answer) {
+	limited, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	answer.Err = a.Caller.Call(limited, addr, methodStatus, control.StatusArgs{Witnessed: true}, &answer.Status)
+	answer.Err = c.Caller.Call(limited, addr, methodStatus, control.StatusArgs{Witnessed: true}, &answer.Status)
 	return answer
 }
 
-// Summarise puts together what the members' list and the balancers say. It is
-// pure.
+// Summarise combines the list of members with the balancers' answers. It has no side
+// effects.
 func Summarise(members []member.Member, answers map[netip.AddrPort]Answer) Report {
 	known := make(map[netip.AddrPort]member.Member)
-	learn(known, members)
+	mergeNewest(known, members)
 	var report Report
 	for _, answer := range answers {
 		if answer.Err != nil {
 			continue
 		}
-		learn(known, []member.Member{answer.Status.Self})
-		learn(known, answer.Status.Witnessed)
+		mergeNewest(known, []member.Member{answer.Status.Self})
+		mergeNewest(known, answer.Status.Witnessed)
 		report.Newest = max(report.Newest, answer.Status.Adopted)
 	}
 	for _, m := range sorted(known) {
@@ -110,10 +112,10 @@
 	return report
 }
 
-// learn keeps the newest record of each member. A revision comes with renewals
-// and without a new version of the record, so the highest of one incarnation
-// counts.
-func learn(known map[netip.AddrPort]member.Member, members []member.Member) {
+// mergeNewest adds the members to known and keeps the newest record of each. Renewals of
+// a record may carry a new revision without a new version of the record, so among records
+// of the same incarnation the highest revision is kept.
+func mergeNewest(known map[netip.AddrPort]member.Member, members []member.Member) {
 	for _, m := range members {
 		old, ok := known[m.Control]
 		if !ok {
--- a/internal/survey/status_test.go
+++ b/internal/survey/status_test.go
@@ -29,7 +29,7 @@
 	return m
 }
 
-func TestStatusNamesWhoIsLate(t *testing.T) {
+func TestSummariseMarksProcessesBehindTheNewestRevisionAsLate(t *testing.T) {
 	g := NewWithT(t)
 	members := []member.Member{balancer(1, 5), balancer(2, 4), balancer(3, 4), agent(11, 4), agent(12, 4)}
 	answers := map[netip.AddrPort]survey.Answer{
@@ -46,7 +46,7 @@
 	g.Expect(late).To(Equal(map[netip.AddrPort]bool{addr(1): true, addr(2): false, addr(3): true, addr(11): false, addr(12): true}))
 }
 
-func TestReportDoesNotDependOnTheOrderOfAnswers(t *testing.T) {
+func TestSummariseDoesNotDependOnTheOrderOfRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []member.Member
 		for range rapid.IntRange(0, 12).Draw(t, "records") {
@@ -59,12 +59,13 @@
 		want := survey.Summarise(records, nil)
 		got := survey.Summarise(rapid.Permutation(records).Draw(t, "order"), nil)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Fatalf("%v, in another order %v", got, want)
+			t.Fatalf("report of permuted records is %v, want %v", got, want)
 		}
 	})
 }
 
-// fleet answers Control.Members; a missing address is unreachable.
+// fleet answers Control.Members with the members by address of the queried process. A
+// process without an entry is unreachable.
 type fleet map[netip.AddrPort][]member.Member
 
 func (f fleet) Call(_ context.Context, a netip.AddrPort, _ string, _, reply any) error {
@@ -76,17 +77,17 @@
 	return nil
 }
 
-func TestMembersAreTakenFromABalancer(t *testing.T) {
+func TestMembersQueriesABalancerThatAnAgentKnows(t *testing.T) {
 	g := NewWithT(t)
 	all := []member.Member{balancer(2, 0), balancer(1, 0), agent(11, 0), agent(12, 0)}
 	f := fleet{
 		addr(11): {agent(11, 0), balancer(1, 0), balancer(2, 0)},
 		addr(2):  all,
 	}
-	asker := survey.Asker{Caller: f, Timeout: 1}
-	members, err := asker.Members(context.Background(), []netip.AddrPort{addr(9), addr(11)})
+	client := survey.Client{Caller: f, Timeout: 1}
+	members, err := client.Members(context.Background(), []netip.AddrPort{addr(9), addr(11)})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(members).To(ConsistOf(all))
-	_, err = asker.Members(context.Background(), []netip.AddrPort{addr(9)})
+	_, err = client.Members(context.Background(), []netip.AddrPort{addr(9)})
 	g.Expect(err).To(MatchError(survey.ErrNoAnswer))
 }
