--- a/cmd/saltbend/apply.go
+++ b/cmd/saltbend/apply.go
@@ -35,23 +35,25 @@
 	fileArgument
 }
 
-// Pauses between attempts to find out about a lost answer.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = 2 * time.Second
-	idBytes    = 12
-	// waitInterval is the time between two rounds of asking who is late.
+	// initialPause and maxPause are the first and the longest pause between attempts to
+	// find out whether a write took effect whose answer was lost.
+	initialPause = 50 * time.Millisecond
+	maxPause     = 2 * time.Second
+	// changeIDBytes is the length of a random change id before its encoding as hex.
+	changeIDBytes = 12
+	// waitInterval is the time between two rounds of polling the late balancers.
 	waitInterval = 250 * time.Millisecond
 )
 
-func (c *applyCommand) run(ctx context.Context, out std) int {
+func (c *applyCommand) run(ctx context.Context, out streams) int {
 	s, err := c.storeFlags.open()
 	if err != nil {
 		return fail(out, err, exit.Usage)
 	}
 	defer s.Close()
 	var fleet *fleetAccess
-	if c.Wait { // wrong flags are told before anything is written
+	if c.Wait { // so that wrong flags are reported before anything is written
 		fleet, err = c.peerFlags.open()
 		if err != nil {
 			return fail(out, err, exit.Usage)
@@ -69,46 +71,47 @@
 	if !c.json() {
 		c.print(out, res)
 	}
-	var spread *survey.Rollout
+	var rollout *survey.Rollout
 	if c.Wait && res.Revision > 0 {
-		spread = c.await(ctx, out, fleet, res.Revision)
+		rollout = c.await(ctx, out, fleet, res.Revision)
 	}
 	if c.json() {
-		printJSON(out, viewResult(res, spread))
+		printJSON(out, viewResult(res, rollout))
 	}
-	return exitCode(res.Verdict, spread)
+	return exitCode(res.Verdict, rollout)
 }
 
-// submit validates and writes the file within the time for it.
-func (c *applyCommand) submit(ctx context.Context, out std, s store.Store, text []byte) (apply.Result, error) {
+// submit validates the file and writes it to the store, within c.Timeout.
+func (c *applyCommand) submit(ctx context.Context, out streams, s store.Store, text []byte) (apply.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	req := apply.Request{File: c.Args.File, Text: text, Operator: c.Operator, Base: c.Base, DryRun: c.DryRun}
 	return apply.Run(ctx, req, apply.Env{
-		Store: s, Now: time.Now, NewID: newID, Pause: apply.Backoff(firstPause, maxPause),
+		Store: s, Now: time.Now, NewID: newID, Pause: apply.Backoff(initialPause, maxPause),
 		Progress: func(note string) { fmt.Fprintln(out.err, note) },
 	})
 }
 
-// await waits until the revision is in force everywhere and tells who is late.
-func (c *applyCommand) await(ctx context.Context, out std, fleet *fleetAccess, revision uint64) *survey.Rollout {
+// await waits until the revision is in force on every balancer, for at most c.WaitTime,
+// and prints the progress with the late balancers.
+func (c *applyCommand) await(ctx context.Context, out streams, fleet *fleetAccess, revision uint64) *survey.Rollout {
 	ctx, cancel := context.WithTimeout(ctx, c.WaitTime)
 	defer cancel()
 	start := time.Now()
-	spread := fleet.asker.Await(ctx, fleet.first, revision, waitInterval, func(f survey.Rollout) {
-		fmt.Fprintf(out.err, "%v: revision %d is in force on %s.\n", time.Since(start).Round(time.Millisecond), revision, describe(f))
+	rollout := fleet.client.Await(ctx, fleet.peers, revision, waitInterval, func(f survey.Rollout) {
+		fmt.Fprintf(out.err, "%v: revision %d is in force on %s.\n", time.Since(start).Round(time.Millisecond), revision, describeRollout(f))
 	})
-	return &spread
+	return &rollout
 }
 
 func newID() record.ChangeID {
-	b := make([]byte, idBytes)
+	b := make([]byte, changeIDBytes)
 	rand.Read(b) // never fails
 	return record.ChangeID(hex.EncodeToString(b))
 }
 
-// exitCode returns the tool's exit code; spread is nil where it did not wait.
-func exitCode(v apply.Verdict, spread *survey.Rollout) int {
+// exitCode returns the tool's exit code; rollout is nil if apply did not wait.
+func exitCode(v apply.Verdict, rollout *survey.Rollout) int {
 	switch v {
 	case apply.Refused:
 		return exit.Usage
@@ -119,7 +122,7 @@
 	case apply.Unavailable:
 		return exit.Unavailable
 	}
-	if spread != nil && !spread.Complete() {
+	if rollout != nil && !rollout.Complete() {
 		return exit.Late
 	}
 	return exit.OK
--- a/cmd/saltbend/apply_test.go
+++ b/cmd/saltbend/apply_test.go
@@ -21,7 +21,7 @@
 	bad   = "version: 1\nservices: [{name: a, faces: ['192.0.2.1:1'], clases: []}]\n"
 )
 
-// startStore runs a stand-in of the store and points the tool at it.
+// startStore runs a fake store and makes the tool use it through SALTBEND_STORE.
 func startStore(t *testing.T) (*storefake.Store, *httpstore.Client) {
 	t.Helper()
 	fake := storefake.New()
@@ -36,7 +36,7 @@
 	return fake, client
 }
 
-func write(t *testing.T, text string) string {
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -45,9 +45,9 @@
 	return path
 }
 
-func TestConfigurationFromFileToStore(t *testing.T) {
+func TestValidateApplyAndGetExitCodesAndOutput(t *testing.T) {
 	fake, _ := startStore(t)
-	a, b, broken := write(t, fileA), write(t, fileB), write(t, bad)
+	a, b, broken := writeConfig(t, fileA), writeConfig(t, fileB), writeConfig(t, bad)
 	steps := []struct {
 		name string
 		args []string
@@ -73,7 +73,7 @@
 	}
 	for _, step := range steps {
 		g := NewWithT(t)
-		code, out, errs := tool(step.args...)
+		code, out, errs := runTool(step.args...)
 		g.Expect(code).To(Equal(step.code), "%s: %s%s", step.name, out, errs)
 		g.Expect(out).To(ContainSubstring(step.out), step.name)
 		g.Expect(errs).To(ContainSubstring(step.errs), step.name)
@@ -81,17 +81,17 @@
 	g := NewWithT(t)
 	fake.SetFaults(storefake.Faults{Down: true})
 	for _, args := range [][]string{{"apply", a}, {"get"}} {
-		code, _, errs := tool(args...)
+		code, _, errs := runTool(args...)
 		g.Expect(code).To(Equal(exit.Unavailable))
 		g.Expect(errs).To(ContainSubstring("unavailable"))
 	}
 	fake.SetFaults(storefake.Faults{LoseAnswer: 1})
-	code, out, errs := tool("apply", a)
+	code, out, errs := runTool("apply", a)
 	g.Expect(code).To(Equal(exit.OK), errs)
 	g.Expect(out).To(ContainSubstring("Accepted as revision 3"))
 }
 
-func TestApplyTellsThatItDoesNotKnow(t *testing.T) {
+func TestApplyReportsUnknownOutcomeIfTheAnswerIsLost(t *testing.T) {
 	g := NewWithT(t)
 	written := false
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,27 +106,27 @@
 		}
 	}))
 	defer server.Close()
-	code, _, errs := tool("apply", "--store", server.URL, "--timeout=300ms", write(t, fileA))
+	code, _, errs := runTool("apply", "--store", server.URL, "--timeout=300ms", writeConfig(t, fileA))
 	g.Expect(code).To(Equal(exit.Unknown))
 	g.Expect(errs).To(ContainSubstring("not known whether"))
 }
 
-func TestApplyWaitsUntilInForce(t *testing.T) {
+func TestApplyWithWaitListsBalancersThatAreLate(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("SALTBEND_SECRETS", fleetSecret)
 	_, s := startStore(t)
 	a := startBalancerWithStore(t, s)
 	b := startBalancer(t, a.Addr())
 	t.Setenv("SALTBEND_PEERS", a.Addr().String())
-	balancers := func() int { _, out, _ := tool("status"); return strings.Count(out, "balancer") }
-	g.Eventually(balancers, patience).Should(Equal(2))
+	balancers := func() int { _, out, _ := runTool("status"); return strings.Count(out, "balancer") }
+	g.Eventually(balancers, eventuallyTimeout).Should(Equal(2))
 
-	code, _, errs := tool("apply", "--wait", write(t, fileA))
+	code, _, errs := runTool("apply", "--wait", writeConfig(t, fileA))
 	g.Expect(code).To(Equal(exit.OK), errs)
 	g.Expect(errs).To(ContainSubstring("is in force on 2 of 2 balancers"))
 
 	g.Expect(b.Close()).To(Succeed())
-	code, out, errs := tool("apply", "--wait", "--wait-timeout=500ms", "--output=json", write(t, fileB))
+	code, out, errs := runTool("apply", "--wait", "--wait-timeout=500ms", "--output=json", writeConfig(t, fileB))
 	g.Expect(code).To(Equal(exit.Late), errs)
 	g.Expect(errs).To(ContainSubstring("late: " + b.Addr().String()))
 	g.Expect(out).To(ContainSubstring(`"done": 1`))
--- a/cmd/saltbend/entries.go
+++ b/cmd/saltbend/entries.go
@@ -10,14 +10,14 @@
 	"github.com/saltbend/saltbend/internal/timeline"
 )
 
-// Forms of a time and of its error in a table.
+// Format of the tables.
 const (
-	timeForm      = "2006-01-02 15:04:05.000000"
+	timeFormat    = "2006-01-02 15:04:05.000000"
 	skewPrecision = 10 * time.Microsecond
 	tablePadding  = 2
 )
 
-// entryView is the JSON form of one event of the time line.
+// entryView is the JSON form of one event of the timeline.
 type entryView struct {
 	Time    time.Time  `json:"time"`
 	SkewNS  int64      `json:"skew_ns"`
@@ -30,8 +30,8 @@
 	Detail  string     `json:"detail,omitempty"`
 }
 
-// printEntriesJSON prints one object a line.
-func printEntriesJSON(out std, entries []timeline.Entry) {
+// printEntriesJSON prints one JSON object per line.
+func printEntriesJSON(out streams, entries []timeline.Entry) {
 	enc := json.NewEncoder(out.out)
 	for _, e := range entries {
 		view := entryView{
@@ -45,9 +45,9 @@
 	}
 }
 
-// printEntries prints a table; while following, each round is aligned by
-// itself.
-func printEntries(out std, entries []timeline.Entry, header bool) {
+// printEntries prints a table. With --follow it is called once per round and aligns the
+// columns of each round separately.
+func printEntries(out streams, entries []timeline.Entry, header bool) {
 	w := tabwriter.NewWriter(out.out, 0, 0, tablePadding, ' ', 0)
 	if header {
 		fmt.Fprintln(w, "  TIME (UTC)\tERROR\tPROCESS\tPART\tEVENT\tDETAIL")
@@ -56,13 +56,14 @@
 		if e.Lost > 0 {
 			fmt.Fprintf(w, "  \t\t%s\t\t(%d events before are no longer kept)\t\n", e.Process, e.Lost)
 		}
-		fmt.Fprintf(w, "%s %s\t±%v\t%s\t%s\t%s\t%s\n", mark(e), e.At.UTC().Format(timeForm),
+		fmt.Fprintf(w, "%s %s\t±%v\t%s\t%s\t%s\t%s\n", orderMark(e), e.At.UTC().Format(timeFormat),
 			e.Skew.Round(skewPrecision), e.Process, e.Part, e.Kind, dash(e.Detail))
 	}
 	w.Flush()
 }
 
-func mark(e timeline.Entry) string {
+// orderMark returns "~" if the previous entry may have happened after this one.
+func orderMark(e timeline.Entry) string {
 	if e.Unsure {
 		return "~"
 	}
--- a/cmd/saltbend/explain.go
+++ b/cmd/saltbend/explain.go
@@ -30,25 +30,25 @@
 	} `positional-args:"yes"`
 }
 
-func (c *explainCommand) run(_ context.Context, out std) int {
+func (c *explainCommand) run(_ context.Context, out streams) int {
 	lines, err := c.read(out)
 	if err != nil {
 		return fail(out, err, exit.Failure)
 	}
-	story := explain.FlowHistory(lines, c.Args.Flow, max(c.Around, 0))
-	if len(story.Lines) == 0 {
+	history := explain.FlowHistory(lines, c.Args.Flow, max(c.Around, 0))
+	if len(history.Lines) == 0 {
 		return fail(out, errors.Errorf("no line is about the flow %q", c.Args.Flow), exit.Failure)
 	}
 	if c.json() {
-		printJSON(out, story)
+		printJSON(out, history)
 		return exit.OK
 	}
-	printStory(out, story)
+	printHistory(out, history)
 	return exit.OK
 }
 
-// read reads all logs.
-func (c *explainCommand) read(out std) (all []explain.Line, err error) {
+// read reads all logs, or standard input if none is given.
+func (c *explainCommand) read(out streams) (all []explain.Line, err error) {
 	if len(c.Args.Files) == 0 {
 		return readLog(out, os.Stdin, "stdin")
 	}
@@ -58,7 +58,7 @@
 			return nil, errors.Wrap(err, "read a log")
 		}
 		lines, err := readLog(out, file, name)
-		_ = file.Close() // it was only read
+		_ = file.Close() // nothing was written, so no data can be lost
 		if err != nil {
 			return nil, err
 		}
@@ -67,21 +67,21 @@
 	return all, nil
 }
 
-func readLog(out std, in io.Reader, name string) ([]explain.Line, error) {
+func readLog(out streams, in io.Reader, name string) ([]explain.Line, error) {
 	lines, skipped, err := explain.Read(in, name)
 	if skipped > 0 {
-		fmt.Fprintf(out.err, "%s: %d lines are no JSON and were passed over.\n", name, skipped)
+		fmt.Fprintf(out.err, "%s: %d lines are not JSON and were skipped.\n", name, skipped)
 	}
 	return lines, err
 }
 
-func printStory(out std, story explain.History) {
-	for _, s := range story.Skews {
+func printHistory(out streams, history explain.History) {
+	for _, s := range history.Skews {
 		fmt.Fprintf(out.out, "The clock of %s is at least %s behind that of %s.\n", s.Behind, s.Minimum, s.Ahead)
 	}
 	w := tabwriter.NewWriter(out.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "TIME\tHOST\tWHAT\tREASON\tFLOW\tPEER\tMORE")
-	for _, l := range story.Lines {
+	for _, l := range history.Lines {
 		peer := l.Agent
 		if peer == "" {
 			peer = l.Balancer
--- a/cmd/saltbend/fleet_test.go
+++ b/cmd/saltbend/fleet_test.go
@@ -23,26 +23,26 @@
 )
 
 const (
-	patience    = 20 * time.Second
-	fleetSecret = "1:000102030405060708090a0b0c0d0e0f"
-	otherSecret = "1:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff"
+	eventuallyTimeout = 20 * time.Second
+	fleetSecret       = "1:000102030405060708090a0b0c0d0e0f"
+	otherSecret       = "1:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff"
 )
 
-// startBalancer runs the control side of a balancer.
+// startBalancer runs the control part of a balancer, without forwarding.
 func startBalancer(t *testing.T, join ...netip.AddrPort) *peer.Peer {
 	t.Helper()
 	return startBalancerWithStore(t, nil, join...)
 }
 
-// startBalancerWithStore runs the control side of a balancer that may be a
-// seed.
+// startBalancerWithStore runs the control part of a balancer that has access to the store
+// and may therefore become a seed.
 func startBalancerWithStore(t *testing.T, s store.Store, join ...netip.AddrPort) *peer.Peer {
 	t.Helper()
 	p, _ := startNode(t, s, join...)
 	return p
 }
 
-// startNode is startBalancerWithStore for a test that looks into the process.
+// startNode is startBalancerWithStore for tests that also need the control node.
 func startNode(t *testing.T, s store.Store, join ...netip.AddrPort) (*peer.Peer, *control.Node) {
 	t.Helper()
 	g := NewWithT(t)
@@ -67,15 +67,15 @@
 	return p, node
 }
 
-// tool runs the tool and returns its exit code and streams.
-func tool(args ...string) (code int, out, errs string) {
+// runTool runs the tool and returns its exit code, standard output and standard error.
+func runTool(args ...string) (code int, out, errs string) {
 	var stdout, stderr bytes.Buffer
-	code = run(context.Background(), args, std{out: &stdout, err: &stderr})
+	code = run(context.Background(), args, streams{out: &stdout, err: &stderr})
 	return code, stdout.String(), stderr.String()
 }
 
-// parse reads JSON lines.
-func parse[T any](g *WithT, text string) (out []T) {
+// parseJSONLines decodes a sequence of JSON values.
+func parseJSONLines[T any](g *WithT, text string) (out []T) {
 	dec := json.NewDecoder(strings.NewReader(text))
 	for dec.More() {
 		var v T
@@ -85,7 +85,7 @@
 	return out
 }
 
-func TestStatusAndTimelineOfAFleet(t *testing.T) {
+func TestStatusAndTimelineWithAndWithoutAnUnreachableBalancer(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("SALTBEND_SECRETS", fleetSecret)
 	a := startBalancer(t)
@@ -93,45 +93,46 @@
 	t.Setenv("SALTBEND_PEERS", "127.0.0.1:1,"+a.Addr().String())
 
 	controls := func() (out []netip.AddrPort) {
-		code, text, _ := tool("status", "--output", "json")
+		code, text, _ := runTool("status", "--output", "json")
 		g.Expect(code).To(Equal(exit.OK))
-		for _, p := range parse[statusView](g, text)[0].Processes {
+		for _, p := range parseJSONLines[statusView](g, text)[0].Processes {
 			out = append(out, p.Control)
 		}
 		return out
 	}
-	g.Eventually(controls, patience).Should(ConsistOf(a.Addr(), b.Addr()))
-	code, text, _ := tool("status")
+	g.Eventually(controls, eventuallyTimeout).Should(ConsistOf(a.Addr(), b.Addr()))
+	code, text, _ := runTool("status")
 	g.Expect(code).To(Equal(exit.OK))
 	g.Expect(text).To(ContainSubstring("No process that answered knows a configuration."))
 
-	code, text, errs := tool("timeline", "--part", "test", "--output", "json")
+	code, text, errs := runTool("timeline", "--part", "test", "--output", "json")
 	g.Expect(code).To(Equal(exit.OK), errs)
-	entries := parse[entryView](g, text)
+	entries := parseJSONLines[entryView](g, text)
 	g.Expect(entries).To(HaveLen(2))
-	// Their order isn't checked: on a busy machine it may be within the error.
+	// The order isn't checked: on a busy machine the difference of the times may be
+	// smaller than their errors.
 	g.Expect([]string{entries[0].Process, entries[1].Process}).To(ConsistOf(a.Addr().String(), b.Addr().String()))
 	g.Expect(entries[0].SkewNS).To(BeNumerically(">", 0))
 
 	g.Expect(b.Close()).To(Succeed())
-	code, text, errs = tool("timeline", "--part", "test")
+	code, text, errs = runTool("timeline", "--part", "test")
 	g.Expect(code).To(Equal(exit.Failure))
 	g.Expect(text).To(ContainSubstring("Balancer started."))
 	g.Expect(errs).To(ContainSubstring("No answer from " + b.Addr().String()))
-	code, text, _ = tool("status")
+	code, text, _ = runTool("status")
 	g.Expect(code).To(Equal(exit.Failure))
 	g.Expect(text).To(ContainSubstring("no answer: peer: unreachable"))
 }
 
-func TestFleetCommandsTellWhatIsWrong(t *testing.T) {
+func TestFleetCommandsReportInvalidFlagsAndFailedCalls(t *testing.T) {
 	a := startBalancer(t)
 	peerFlag := "--peer=" + a.Addr().String()
 	cases := []struct {
-		name    string
-		secrets string
-		args    []string
-		code    int
-		says    []string
+		name       string
+		secrets    string
+		args       []string
+		code       int
+		wantErrors []string
 	}{
 		{"all findings together", "", []string{"--peer=host:1", "--peer-timeout=0s"}, exit.Usage, []string{"SALTBEND_PEERS", "SALTBEND_PEER_TIMEOUT", "SALTBEND_SECRETS"}},
 		{"no peer", fleetSecret, nil, exit.Usage, []string{"no process is given"}},
@@ -143,10 +144,10 @@
 			t.Run(command+" "+c.name, func(t *testing.T) {
 				g := NewWithT(t)
 				t.Setenv("SALTBEND_SECRETS", c.secrets)
-				code, out, errs := tool(append([]string{command}, c.args...)...)
+				code, out, errs := runTool(append([]string{command}, c.args...)...)
 				g.Expect(code).To(Equal(c.code), errs)
 				g.Expect(out).To(BeEmpty())
-				for _, text := range c.says {
+				for _, text := range c.wantErrors {
 					g.Expect(errs).To(ContainSubstring(text))
 				}
 			})
@@ -154,7 +155,7 @@
 	}
 }
 
-func TestTimelineFollowsUntilItIsInterrupted(t *testing.T) {
+func TestTimelineFollowPrintsNewEventsUntilInterrupted(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("SALTBEND_SECRETS", fleetSecret)
 	a := startBalancer(t)
@@ -163,17 +164,17 @@
 	lines := make(lineWriter, 64)
 	code := make(chan int, 1)
 	go func() {
-		code <- run(ctx, []string{"timeline", "--follow", "--interval=10ms", "--output=json", "--peer", a.Addr().String()}, std{out: lines, err: &bytes.Buffer{}})
+		code <- run(ctx, []string{"timeline", "--follow", "--interval=10ms", "--output=json", "--peer", a.Addr().String()}, streams{out: lines, err: &bytes.Buffer{}})
 	}()
-	g.Eventually(lines, patience).Should(Receive(ContainSubstring("Balancer started.")))
+	g.Eventually(lines, eventuallyTimeout).Should(Receive(ContainSubstring("Balancer started.")))
 	b := startBalancer(t, a.Addr())
-	g.Eventually(lines, patience).Should(Receive(SatisfyAll(
+	g.Eventually(lines, eventuallyTimeout).Should(Receive(SatisfyAll(
 		ContainSubstring("Balancer started."), ContainSubstring(b.Addr().String()))))
 	cancel()
-	g.Eventually(code, patience).Should(Receive(Equal(exit.OK)))
+	g.Eventually(code, eventuallyTimeout).Should(Receive(Equal(exit.OK)))
 }
 
-// lineWriter hands on what is written.
+// lineWriter sends each write to the channel.
 type lineWriter chan string
 
 // Write implements io.Writer.
--- a/cmd/saltbend/get.go
+++ b/cmd/saltbend/get.go
@@ -21,8 +21,8 @@
 	storeFlags
 }
 
-// heldView is the JSON form of what the store holds.
-type heldView struct {
+// storedView is the JSON form of the configuration in the store.
+type storedView struct {
 	Revision uint64          `json:"revision"`
 	ID       record.ChangeID `json:"change"`
 	Operator string          `json:"operator"`
@@ -30,41 +30,41 @@
 	Text     string          `json:"text,omitempty"`
 }
 
-func viewOf(h *apply.Held) *heldView {
-	if h == nil {
+func viewStored(stored *apply.Held) *storedView {
+	if stored == nil {
 		return nil
 	}
-	return &heldView{Revision: h.Revision, ID: h.Record.ID, Operator: h.Record.Operator, Time: h.Record.Time}
+	return &storedView{Revision: stored.Revision, ID: stored.Record.ID, Operator: stored.Record.Operator, Time: stored.Record.Time}
 }
 
-// String tells which change it is.
-func (v *heldView) String() string {
+// String describes the change for people.
+func (v *storedView) String() string {
 	return fmt.Sprintf("revision %d by %s at %s (change %s)", v.Revision, v.Operator, v.Time.Format(time.RFC3339), v.ID)
 }
 
-func (c *getCommand) run(ctx context.Context, out std) int {
+func (c *getCommand) run(ctx context.Context, out streams) int {
 	s, err := c.open()
 	if err != nil {
 		return fail(out, err, exit.Usage)
 	}
 	defer s.Close()
-	held, err := apply.Current(ctx, s)
+	stored, err := apply.Current(ctx, s)
 	if errors.Is(err, apply.ErrUnreadable) {
 		return fail(out, err, exit.Failure)
 	}
 	if err != nil {
 		return fail(out, err, exit.Unavailable)
 	}
-	if held == nil {
+	if stored == nil {
 		return fail(out, errors.New("The store holds no configuration yet."), exit.Failure)
 	}
-	view := viewOf(held)
+	view := viewStored(stored)
 	if c.json() {
-		view.Text = held.Record.Text
+		view.Text = stored.Record.Text
 		printJSON(out, view)
 		return exit.OK
 	}
 	fmt.Fprintf(out.err, "This is %s.\n", view)
-	fmt.Fprint(out.out, held.Record.Text)
+	fmt.Fprint(out.out, stored.Record.Text)
 	return exit.OK
 }
--- a/cmd/saltbend/main.go
+++ b/cmd/saltbend/main.go
@@ -1,5 +1,6 @@
-// Command saltbend is the operators' tool: it checks and submits configuration
-// files, and shows what the fleet does with them.
+// Command saltbend is the operators' tool: it checks and submits configuration files,
+// shows the state and the events of the fleet (the balancers and agents of one
+// installation) and analyses its logs.
 package main
 
 import (
@@ -18,57 +19,57 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	code := run(ctx, os.Args[1:], std{out: os.Stdout, err: os.Stderr})
+	code := run(ctx, os.Args[1:], streams{out: os.Stdout, err: os.Stderr})
 	stop()
 	os.Exit(code)
 }
 
-// std are the standard streams of the process.
-type std struct {
+// streams are the standard output and the standard error of the process.
+type streams struct {
 	out, err io.Writer
 }
 
 // command is a subcommand: its fields are its flags and arguments.
 type command interface {
-	// run does the work and returns the exit code.
-	run(ctx context.Context, out std) int
+	// run executes the command and returns the exit code.
+	run(ctx context.Context, out streams) int
 }
 
-// entry is a command's place in the help.
-type entry struct {
+// subcommand is a command with its name and its texts in the help.
+type subcommand struct {
 	name, short, long string
 	command           command
 }
 
 // commands lists the subcommands.
-func commands() []entry {
-	return []entry{
+func commands() []subcommand {
+	return []subcommand{
 		{"validate", "check a configuration file", validateHelp, &validateCommand{}},
 		{"apply", "submit a configuration file", applyHelp, &applyCommand{}},
 		{"get", "print the configuration in the store", getHelp, &getCommand{}},
 		{"status", "show the members and the configuration in force at each", statusHelp, &statusCommand{}},
 		{"timeline", "print the events of all processes in one order", timelineHelp, &timelineCommand{}},
-		{"packet-status", "show what balancers of the packet face believe", packetStatusHelp, &packetStatusCommand{}},
+		{"packet-status", "show the state that balancers of the packet face report", packetStatusHelp, &packetStatusCommand{}},
 		{"packet-validate", "check a settings file of the users' platform", packetValidateHelp, &packetValidateCommand{}},
-		{"explain", "tell from logs what happened to one flow of the packet face", explainHelp, &explainCommand{}},
-		{"report", "draw what became of requests over time", reportHelp, &reportCommand{}},
+		{"explain", "show from logs what happened to one flow of the packet face", explainHelp, &explainCommand{}},
+		{"report", "plot the outcomes of requests over time", reportHelp, &reportCommand{}},
 		{"version", "print the version", "Prints the version of this tool.", &versionCommand{}},
 	}
 }
 
 // newParser returns the parser of the command line.
-func newParser(all []entry) *flags.Parser {
+func newParser(all []subcommand) *flags.Parser {
 	parser := flags.NewNamedParser("saltbend", flags.HelpFlag|flags.PassDoubleDash)
 	for _, e := range all {
 		if _, err := parser.AddCommand(e.name, e.short, e.long, e.command); err != nil {
-			panic(err) // a fault in the tags
+			panic(err) // the struct tags of the command are invalid
 		}
 	}
 	return parser
 }
 
 // run runs the tool and returns its exit code.
-func run(ctx context.Context, args []string, out std) int {
+func run(ctx context.Context, args []string, out streams) int {
 	all := commands()
 	parser := newParser(all)
 	rest, err := parser.ParseArgs(args)
--- a/cmd/saltbend/options.go
+++ b/cmd/saltbend/options.go
@@ -13,14 +13,14 @@
 	"github.com/saltbend/saltbend/internal/store/httpstore"
 )
 
-// outputFlags choose the form of the answer on standard output.
+// outputFlags select the format of the output.
 type outputFlags struct {
 	Output string `long:"output" env:"SALTBEND_OUTPUT" default:"table" choice:"table" choice:"json" description:"form of the answer on standard output"`
 }
 
 func (o outputFlags) json() bool { return o.Output == "json" }
 
-// storeFlags say how to reach the store.
+// storeFlags are the flags for access to the store.
 type storeFlags struct {
 	Store        []string      `long:"store" env:"SALTBEND_STORE" env-delim:"," value-name:"URL" description:"base URL of the platform's key-value service; may be repeated (required)"`
 	StoreTimeout time.Duration `long:"store-timeout" env:"SALTBEND_STORE_TIMEOUT" default:"5s" description:"time for one call of the store"`
@@ -40,7 +40,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// read returns the file's bytes, at most one more than a file may have.
+// read returns the content of the file. It reads at most one byte more than the maximum
+// size of a configuration, so that the parser can reject a file that is too large.
 func (f fileArgument) read() ([]byte, error) {
 	in := os.Stdin
 	if f.Args.File != "-" {
@@ -55,8 +56,8 @@
 	return data, errors.Wrap(err, "read the configuration")
 }
 
-// printJSON prints v on standard output.
-func printJSON(out std, v any) {
+// printJSON prints v as indented JSON on standard output.
+func printJSON(out streams, v any) {
 	enc := json.NewEncoder(out.out)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(v); err != nil {
@@ -64,8 +65,8 @@
 	}
 }
 
-// fail prints an error and returns the exit code.
-func fail(out std, err error, code int) int {
+// fail prints the error and returns code.
+func fail(out streams, err error, code int) int {
 	fmt.Fprintln(out.err, err)
 	return code
 }
--- a/cmd/saltbend/packetstatus.go
+++ b/cmd/saltbend/packetstatus.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 
 	"github.com/saltbend/saltbend/internal/exit"
-	beliefs "github.com/saltbend/saltbend/internal/packetface/report"
+	packetreport "github.com/saltbend/saltbend/internal/packetface/report"
 	"github.com/saltbend/saltbend/internal/settings"
 )
 
@@ -35,10 +35,10 @@
 	Control netip.AddrPort `json:"control"`
 	Error   string         `json:"error,omitempty"`
 	Late    bool           `json:"late,omitempty"`
-	*beliefs.Balancer
+	*packetreport.Balancer
 }
 
-func (c *packetStatusCommand) run(ctx context.Context, out std) int {
+func (c *packetStatusCommand) run(ctx context.Context, out streams) int {
 	first, err := parseAddresses(c.Args.Control)
 	if err != nil {
 		return fail(out, err, exit.Usage)
@@ -67,7 +67,8 @@
 	return out, nil
 }
 
-// ask asks the balancers and all seeds that they name, each once.
+// ask queries the balancers and, recursively, the balancers that they list as seeds (other
+// balancers that their settings name), each once.
 func (c *packetStatusCommand) ask(ctx context.Context, queue []netip.AddrPort) []balancerView {
 	views := []balancerView{}
 	asked := make(map[netip.AddrPort]bool)
@@ -90,14 +91,14 @@
 func (c *packetStatusCommand) askOne(ctx context.Context, control netip.AddrPort) balancerView {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	b, err := beliefs.Fetch(ctx, control)
+	b, err := packetreport.Fetch(ctx, control)
 	if err != nil {
 		return balancerView{Control: control, Error: err.Error()}
 	}
 	return balancerView{Control: control, Balancer: &b}
 }
 
-// markLate marks balancers with an older configuration than another has.
+// markLate marks the balancers that have an older configuration than another one.
 func markLate(views []balancerView) {
 	newest := uint64(0)
 	for _, v := range views {
@@ -110,7 +111,7 @@
 	}
 }
 
-func printBalancers(out std, views []balancerView) {
+func printBalancers(out streams, views []balancerView) {
 	w := tabwriter.NewWriter(out.out, 0, 0, tablePadding, ' ', 0)
 	fmt.Fprintln(w, "CONTROL\tHOST\tDATA CENTRE\tSTATE\tVERSION\tROUTES\tAGENTS\tSUSPECTED\tLIST\tSTORE\tFLOWS\tNOTE")
 	for _, v := range views {
@@ -120,22 +121,24 @@
 		}
 		note := balancerNote(v)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t%d\t%s\n", v.Control, dash(v.Host), v.DataCentre,
-			readiness(v.Balancer), v.Version, v.Routes, len(v.Balancer.Agents), suspected(v.Balancer), listText(v.Balancer),
-			ageText(v.StoreAgeMS), v.Flows, dash(note))
+			readiness(v.Balancer), v.Version, v.Routes, len(v.Balancer.Agents), countSuspected(v.Balancer), formatList(v.Balancer),
+			formatAge(v.StoreAgeMS), v.Flows, dash(note))
 	}
 	w.Flush()
 }
 
-// balancerNote says what stands out at a balancer, and whose watch of the store it
-// relies on.
+// balancerNote returns the NOTE column of a balancer: an older configuration, data centres
+// under evacuation, an era of the store that has not settled yet (the store was restored
+// from a copy, and lost data may still be written again), and whether the balancer
+// receives changes of the store through another balancer or passes them on to others.
 func balancerNote(v balancerView) string {
 	var notes []string
 	if v.Late {
 		notes = append(notes, "older configuration")
 	}
 	for _, e := range v.Evacuations {
-		known := time.Duration(e.KnownForMS) * time.Millisecond
-		notes = append(notes, fmt.Sprintf("%s evacuated at %s, known for %s", e.DataCentre, e.At, known))
+		age := time.Duration(e.KnownForMS) * time.Millisecond
+		notes = append(notes, fmt.Sprintf("%s evacuated at %s, known for %s", e.DataCentre, e.At, age))
 	}
 	if v.Settling {
 		notes = append(notes, fmt.Sprintf("settling in era %d", v.Era))
@@ -149,7 +152,7 @@
 	return strings.Join(notes, ", ")
 }
 
-func printAgents(out std, views []balancerView) {
+func printAgents(out streams, views []balancerView) {
 	w := tabwriter.NewWriter(out.out, 0, 0, tablePadding, ' ', 0)
 	fmt.Fprintln(w, "BALANCER\tAGENT\tDATA CENTRE\tSERVICE\tSTATE\tRUNNING\tSLOTS\tFLOWS\tHEARD\tNOTE")
 	for _, v := range views {
@@ -158,13 +161,13 @@
 		}
 		for _, a := range v.Balancer.Agents {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", v.Host, a.Address, a.DataCentre, a.Service, a.State,
-				a.Running, a.Slots, a.Flows, ageText(a.HeardAgeMS), dash(agentNote(a)))
+				a.Running, a.Slots, a.Flows, formatAge(a.HeardAgeMS), dash(agentNote(a)))
 		}
 	}
 	w.Flush()
 }
 
-func readiness(b *beliefs.Balancer) string {
+func readiness(b *packetreport.Balancer) string {
 	switch {
 	case b.Stopping:
 		return "stopping"
@@ -174,7 +177,7 @@
 	return "not ready"
 }
 
-func suspected(b *beliefs.Balancer) (n int) {
+func countSuspected(b *packetreport.Balancer) (n int) {
 	for _, a := range b.Agents {
 		if a.Suspected {
 			n++
@@ -183,22 +186,23 @@
 	return n
 }
 
-// listText says how new a list of agents is, and whether agents know a newer one.
-func listText(b *beliefs.Balancer) string {
+// formatList returns the store's position of the list of agents, and the newer position
+// that agents have reported, if there is one.
+func formatList(b *packetreport.Balancer) string {
 	if b.ListOutdated {
 		return fmt.Sprintf("%s, outdated by %s", b.ListAsOf, b.ListHeard)
 	}
 	return b.ListAsOf
 }
 
-func ageText(ms int64) string {
-	if ms == beliefs.Never {
+func formatAge(ms int64) string {
+	if ms == packetreport.Never {
 		return "never"
 	}
 	return (time.Duration(ms) * time.Millisecond).String() + " ago"
 }
 
-func agentNote(a beliefs.Agent) string {
+func agentNote(a packetreport.Agent) string {
 	switch {
 	case a.Suspected && a.Unlisted:
 		return "silent, not in the store"
--- a/cmd/saltbend/packetvalidate.go
+++ b/cmd/saltbend/packetvalidate.go
@@ -21,13 +21,13 @@
 	fileArgument
 }
 
-// settingsReport is the JSON form of a check of settings.
+// settingsReport is the JSON form of the result of a check of settings.
 type settingsReport struct {
 	Valid    bool     `json:"valid"`
 	Findings []string `json:"findings"`
 }
 
-func (c *packetValidateCommand) run(_ context.Context, out std) int {
+func (c *packetValidateCommand) run(_ context.Context, out streams) int {
 	text, err := c.read()
 	if err != nil {
 		return fail(out, err, exit.Usage)
--- a/cmd/saltbend/packetvalidate_test.go
+++ b/cmd/saltbend/packetvalidate_test.go
@@ -14,7 +14,7 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-func TestPacketValidate(t *testing.T) {
+func TestPacketValidateExitCodesAndFindings(t *testing.T) {
 	g := NewWithT(t)
 	site, err := packetplatform.NewSite(t.TempDir())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -27,32 +27,32 @@
 		name, path, role string
 		code             int
 		out, err         string
-		// findings is the least number of lines that tell of one.
+		// findings is the minimum number of findings that are printed.
 		findings int
 	}{
 		{"a balancer's", balancer.Settings, "balancer", exit.OK, "valid for the role balancer: host front-1 in hall", "", 0},
 		{"an agent's", agent.Settings, "agent", exit.OK, "valid for the role agent: host side-1 in hall", "", 0},
-		{"all findings together", file(t, "{}"), "balancer", exit.Usage, "", "is missing", 4},
+		{"all findings together", writeSettings(t, "{}"), "balancer", exit.Usage, "", "is missing", 4},
 		{"not enough for an agent", balancer.Settings, "agent", exit.Usage, "", "is missing", 3},
-		{"no JSON", file(t, "{\n\n]"), "balancer", exit.Usage, "", "settings.json:3", 1},
+		{"no JSON", writeSettings(t, "{\n\n]"), "balancer", exit.Usage, "", "settings.json:3", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			var out, errs bytes.Buffer
-			g.Expect(run(context.Background(), []string{"packet-validate", "--role", c.role, c.path}, std{out: &out, err: &errs})).To(Equal(c.code))
+			g.Expect(run(context.Background(), []string{"packet-validate", "--role", c.role, c.path}, streams{out: &out, err: &errs})).To(Equal(c.code))
 			g.Expect(out.String()).To(ContainSubstring(c.out))
 			g.Expect(errs.String()).To(ContainSubstring(c.err))
 			g.Expect(strings.Count(errs.String(), c.path)).To(BeNumerically(">=", c.findings), errs.String())
 			out.Reset()
-			g.Expect(run(context.Background(), []string{"packet-validate", "--output", "json", "--role", c.role, c.path}, std{out: &out, err: &errs})).To(Equal(c.code))
+			g.Expect(run(context.Background(), []string{"packet-validate", "--output", "json", "--role", c.role, c.path}, streams{out: &out, err: &errs})).To(Equal(c.code))
 			g.Expect(out.String()).To(ContainSubstring("\"findings\": ["))
 		})
 	}
 }
 
-// file writes a settings file.
-func file(t *testing.T, text string) string {
+// writeSettings writes a settings file and returns its path.
+func writeSettings(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/saltbend/peers.go
+++ b/cmd/saltbend/peers.go
@@ -9,7 +9,7 @@
 	"github.com/saltbend/saltbend/internal/survey"
 )
 
-// peerFlags say how to reach the processes of the fleet.
+// peerFlags are the flags for access to the processes of the fleet.
 type peerFlags struct {
 	Peers       []settings.Address `long:"peer" env:"SALTBEND_PEERS" env-delim:"," value-name:"IP:PORT" description:"control address of a process to ask first, best a balancer; may be repeated (required)"`
 	Secrets     settings.Secret    `long:"secrets" env:"SALTBEND_SECRETS" value-name:"ID:HEX[,ID:HEX]" default-mask:"-" description:"fleet secrets, the current one first; a process list shows flags, so prefer the environment or --secrets-file"`
@@ -17,26 +17,26 @@
 	PeerTimeout time.Duration      `long:"peer-timeout" env:"SALTBEND_PEER_TIMEOUT" default:"3s" value-name:"DURATION" description:"time for one call of a process"`
 }
 
-// fleet is the way to the processes of the fleet.
+// fleetAccess is an authenticated client of the fleet's processes.
 type fleetAccess struct {
 	caller *peer.Peer
-	asker  survey.Client
-	first  []netip.AddrPort
+	client survey.Client
+	peers  []netip.AddrPort
 }
 
-// open checks the flags, all findings together, and returns the way to the
-// fleet. The caller closes it.
+// open checks the flags and returns the client. Its error holds all findings on the flags.
+// Whoever calls open must close the caller of the result.
 func (p *peerFlags) open() (*fleetAccess, error) {
 	var f settings.Findings
 	if len(p.Peers) == 0 {
 		f = append(f, settings.Finding{Place: "--peer (SALTBEND_PEERS)", What: "no process is given", Remedy: "give the control address of a balancer"})
 	}
-	var first []netip.AddrPort
+	var peers []netip.AddrPort
 	for _, a := range p.Peers {
 		if _, err := a.Parse(); err != nil {
 			f = append(f, settings.Finding{Place: "--peer (SALTBEND_PEERS)", What: err.Error(), Remedy: "give numbers, such as 192.0.2.1:4100"})
 		}
-		first = append(first, a.AddrPort())
+		peers = append(peers, a.AddrPort())
 	}
 	if p.PeerTimeout <= 0 {
 		f.Add("peer-timeout", "the time is not positive", "give a duration such as 3s")
@@ -55,7 +55,7 @@
 	}
 	return &fleetAccess{
 		caller: caller,
-		asker:  survey.Client{Caller: caller, Timeout: p.PeerTimeout},
-		first:  first,
+		client: survey.Client{Caller: caller, Timeout: p.PeerTimeout},
+		peers:  peers,
 	}, nil
 }
--- a/cmd/saltbend/race_test.go
+++ b/cmd/saltbend/race_test.go
@@ -20,47 +20,48 @@
 )
 
 const (
-	racers          = 5
-	changesPerRacer = 10
+	operators          = 5
+	changesPerOperator = 10
 )
 
-// history notes which revision a process has in force since when.
-type history struct {
-	mu   sync.Mutex
-	seen []seenRevision
+// revisionLog records the revisions that a balancer or the store has had, with the times
+// when they were first observed.
+type revisionLog struct {
+	mu       sync.Mutex
+	observed []observedRevision
 }
 
-type seenRevision struct {
+type observedRevision struct {
 	revision uint64
 	at       time.Time
 }
 
-func (h *history) add(revision uint64) {
+func (h *revisionLog) add(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.seen = append(h.seen, seenRevision{revision, time.Now()})
+	h.observed = append(h.observed, observedRevision{revision, time.Now()})
 }
 
-// since returns when the process first had the revision or a later one.
-func (h *history) since(revision uint64) (time.Time, bool) {
+// firstReached returns the time when the revision or a later one was first observed.
+func (h *revisionLog) firstReached(revision uint64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	i := slices.IndexFunc(h.seen, func(s seenRevision) bool { return s.revision >= revision })
+	i := slices.IndexFunc(h.observed, func(s observedRevision) bool { return s.revision >= revision })
 	if i < 0 {
 		return time.Time{}, false
 	}
-	return h.seen[i].at, true
+	return h.observed[i].at, true
 }
 
-func (h *history) rises() bool {
+func (h *revisionLog) nonDecreasing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.IsSortedFunc(h.seen, func(a, b seenRevision) int { return int(a.revision) - int(b.revision) })
+	return slices.IsSortedFunc(h.observed, func(a, b observedRevision) int { return int(a.revision) - int(b.revision) })
 }
 
-// follow notes each revision that the node puts in force.
-func follow(ctx context.Context, n *control.Node) *history {
-	h := &history{}
+// observeNode records each revision that the node puts in force, until ctx ends.
+func observeNode(ctx context.Context, n *control.Node) *revisionLog {
+	h := &revisionLog{}
 	go func() {
 		for {
 			changed := n.Changed()
@@ -77,9 +78,9 @@
 	return h
 }
 
-// followStore notes each revision that the store accepts.
-func followStore(ctx context.Context, s *httpstore.Client) *history {
-	h := &history{}
+// observeStore records each revision that the store accepts, until ctx ends.
+func observeStore(ctx context.Context, s *httpstore.Client) *revisionLog {
+	h := &revisionLog{}
 	go func() {
 		after := uint64(0)
 		for ctx.Err() == nil {
@@ -93,14 +94,15 @@
 	return h
 }
 
-// TestRacingChangesComeIntoForceEverywhere lets operators race with the tool,
-// while the store loses answers, and watches all balancers.
-func TestRacingChangesComeIntoForceEverywhere(t *testing.T) {
+// Several operators apply changes concurrently while the store loses the answers to 30 % of
+// the writes. Each apply must report a revision of its own, each revision must come into
+// force on all balancers, and no balancer may go back to an older revision.
+func TestConcurrentAppliesComeIntoForceOnAllBalancers(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("SALTBEND_SECRETS", fleetSecret)
 	fake, client := startStore(t)
 	var first netip.AddrPort
-	var nodes []*history
+	var nodes []*revisionLog
 	for range 5 {
 		var join []netip.AddrPort
 		if first.IsValid() {
@@ -108,70 +110,70 @@
 		}
 		p, n := startNode(t, client, join...)
 		first = p.Addr()
-		nodes = append(nodes, follow(t.Context(), n))
+		nodes = append(nodes, observeNode(t.Context(), n))
 	}
 	t.Setenv("SALTBEND_PEERS", first.String())
-	balancers := func() int { _, out, _ := tool("status"); return strings.Count(out, "balancer") }
-	g.Eventually(balancers, patience).Should(Equal(len(nodes)))
-	accepted := followStore(t.Context(), client)
+	balancers := func() int { _, out, _ := runTool("status"); return strings.Count(out, "balancer") }
+	g.Eventually(balancers, eventuallyTimeout).Should(Equal(len(nodes)))
+	accepted := observeStore(t.Context(), client)
 	fake.SetFaults(storefake.Faults{LoseAnswer: 0.3})
 
-	revisions := raceWithTool(t)
-	g.Expect(revisions).To(HaveLen(racers * changesPerRacer))
+	revisions := applyConcurrently(t)
+	g.Expect(revisions).To(HaveLen(operators * changesPerOperator))
 	var times []time.Duration
 	for _, revision := range revisions {
-		at, ok := accepted.since(revision)
+		at, ok := accepted.firstReached(revision)
 		g.Expect(ok).To(BeTrue())
 		for i, n := range nodes {
-			in, ok := n.since(revision)
-			g.Expect(ok).To(BeTrue(), "balancer %d has not revision %d", i, revision)
+			in, ok := n.firstReached(revision)
+			g.Expect(ok).To(BeTrue(), "balancer %d does not have revision %d", i, revision)
 			times = append(times, in.Sub(at))
 		}
 	}
 	for i, n := range nodes {
-		g.Expect(n.rises()).To(BeTrue(), "balancer %d fell back", i)
+		g.Expect(n.nonDecreasing()).To(BeTrue(), "balancer %d went back to an older revision", i)
 	}
 	slices.Sort(times)
-	t.Logf("from the store's acceptance to in force at a balancer: p50 %v, p99 %v, max %v",
+	t.Logf("time from acceptance by the store until in force on a balancer: p50 %v, p99 %v, max %v",
 		times[len(times)/2], times[len(times)*99/100], times[len(times)-1])
 }
 
-// raceWithTool returns the revisions that the operators were told, which are
-// all different.
-func raceWithTool(t *testing.T) []uint64 {
+// applyConcurrently applies changes by several operators at the same time. It returns the
+// revisions that apply reported, and fails the test if two of them are equal.
+func applyConcurrently(t *testing.T) []uint64 {
 	var mu sync.Mutex
-	told := map[uint64]string{}
-	var racing sync.WaitGroup
-	for racer := range racers {
-		racing.Go(func() {
-			for n := range changesPerRacer {
-				revision := applyUntilAccepted(t, racer, n)
+	accepted := map[uint64]string{}
+	var group sync.WaitGroup
+	for operator := range operators {
+		group.Go(func() {
+			for n := range changesPerOperator {
+				revision := applyUntilAccepted(t, operator, n)
 				mu.Lock()
-				if other, twice := told[revision]; twice {
-					t.Errorf("operators %d and %s were both told revision %d", racer, other, revision)
+				if other, duplicate := accepted[revision]; duplicate {
+					t.Errorf("apply reported to operators %d and %s the same revision %d", operator, other, revision)
 				}
-				told[revision] = fmt.Sprint(racer)
+				accepted[revision] = fmt.Sprint(operator)
 				mu.Unlock()
 			}
 		})
 	}
-	racing.Wait()
+	group.Wait()
 	var revisions []uint64
-	for revision := range told {
+	for revision := range accepted {
 		revisions = append(revisions, revision)
 	}
 	return revisions
 }
 
-func applyUntilAccepted(t *testing.T, racer, n int) (revision uint64) {
-	path := write(t, fmt.Sprintf("# %d %d\n", racer, n)+fileA)
+func applyUntilAccepted(t *testing.T, operator, n int) (revision uint64) {
+	path := writeConfig(t, fmt.Sprintf("# %d %d\n", operator, n)+fileA)
 	for t.Context().Err() == nil {
-		code, out, errs := tool("apply", "--wait", path)
+		code, out, errs := runTool("apply", "--wait", path)
 		switch code {
 		case exit.OK:
 			_, after, _ := strings.Cut(out, "Accepted as revision ")
 			if _, err := fmt.Sscanf(after, "%d", &revision); err != nil {
-				t.Errorf("no revision in %q", out)
+				t.Errorf("apply printed no revision in %q", out)
 			}
 			return revision
 		case exit.Conflict:
--- a/cmd/saltbend/report.go
+++ b/cmd/saltbend/report.go
@@ -24,7 +24,7 @@
 	} `positional-args:"yes"`
 }
 
-func (c *reportCommand) run(_ context.Context, out std) int {
+func (c *reportCommand) run(_ context.Context, out streams) int {
 	var days []dayplot.Day
 	for _, name := range c.Args.Files {
 		read, err := readDays(name)
@@ -33,7 +33,7 @@
 		}
 		days = append(days, read...)
 	}
-	if err := c.write(days); err != nil {
+	if err := c.writePage(days); err != nil {
 		return fail(out, err, exit.Failure)
 	}
 	fmt.Fprintf(out.out, "%s shows %d days.\n", c.Out, len(days))
@@ -45,17 +45,17 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read a report")
 	}
-	defer file.Close() // it is only read
+	defer file.Close() // nothing is written, so no data can be lost
 	return dayplot.Read(name, file)
 }
 
-func (c *reportCommand) write(days []dayplot.Day) error {
+func (c *reportCommand) writePage(days []dayplot.Day) error {
 	file, err := os.Create(c.Out)
 	if err != nil {
 		return errors.Wrap(err, "write the page")
 	}
 	if err := dayplot.Write(file, days); err != nil {
-		_ = file.Close() // the first error counts
+		_ = file.Close() // the first error is returned
 		return err
 	}
 	return errors.Wrap(file.Close(), "write the page")
--- a/cmd/saltbend/result.go
+++ b/cmd/saltbend/result.go
@@ -10,43 +10,43 @@
 	"github.com/saltbend/saltbend/internal/survey"
 )
 
-// maxLateShown bounds the late balancers that a progress line names.
+// maxLateShown is the maximum number of late balancers that a progress line lists.
 const maxLateShown = 5
 
-// resultView is the JSON form of an apply.
+// resultView is the JSON form of the result of an apply.
 type resultView struct {
 	// Verdict is empty after a dry run without findings.
 	Verdict  apply.Verdict       `json:"verdict"`
 	Base     uint64              `json:"base"`
 	Revision uint64              `json:"revision,omitempty"`
-	Winner   *heldView           `json:"winner,omitempty"`
+	Winner   *storedView         `json:"winner,omitempty"`
 	Findings config.Findings     `json:"findings,omitempty"`
 	Diff     []config.Difference `json:"diff,omitempty"`
 	Error    string              `json:"error,omitempty"`
 	InForce  *inForceView        `json:"in_force,omitempty"`
 }
 
-// inForceView is the JSON form of how far a revision has spread.
+// inForceView is the JSON form of the progress of a roll-out.
 type inForceView struct {
 	Balancers int              `json:"balancers"`
 	Done      int              `json:"done"`
 	Late      []netip.AddrPort `json:"late"`
 }
 
-func viewResult(res apply.Result, spread *survey.Rollout) resultView {
+func viewResult(res apply.Result, rollout *survey.Rollout) resultView {
 	v := resultView{Verdict: res.Verdict, Base: res.Base, Revision: res.Revision,
-		Winner: viewOf(res.Winner), Findings: res.Findings, Diff: res.Diff}
+		Winner: viewStored(res.Winner), Findings: res.Findings, Diff: res.Diff}
 	if res.Err != nil {
 		v.Error = res.Err.Error()
 	}
-	if spread != nil {
-		v.InForce = &inForceView{Balancers: spread.Balancers, Done: spread.Done, Late: append([]netip.AddrPort{}, spread.Late...)}
+	if rollout != nil {
+		v.InForce = &inForceView{Balancers: rollout.Balancers, Done: rollout.Done, Late: append([]netip.AddrPort{}, rollout.Late...)}
 	}
 	return v
 }
 
-// describe tells how far a revision has spread and who is late.
-func describe(f survey.Rollout) string {
+// describeRollout describes the progress of a roll-out and lists the late balancers.
+func describeRollout(f survey.Rollout) string {
 	if f.Balancers == 0 {
 		return "no balancer that can be asked"
 	}
@@ -65,8 +65,8 @@
 	return text + "; late: " + strings.Join(names, ", ")
 }
 
-// print tells the result to people.
-func (c *applyCommand) print(out std, res apply.Result) {
+// print prints the result as text.
+func (c *applyCommand) print(out streams, res apply.Result) {
 	printDiff(out, res.Diff)
 	switch res.Verdict {
 	case apply.Refused:
@@ -76,7 +76,7 @@
 	case apply.Unchanged:
 		fmt.Fprintf(out.out, "The store holds this file already, as revision %d.\n", res.Revision)
 	case apply.Replaced:
-		fmt.Fprintf(out.out, "Accepted as revision %d; since replaced by %s.\n", res.Revision, viewOf(res.Winner))
+		fmt.Fprintf(out.out, "Accepted as revision %d; since replaced by %s.\n", res.Revision, viewStored(res.Winner))
 	case apply.Conflict:
 		printConflict(out, res)
 	case apply.Unknown:
@@ -88,10 +88,10 @@
 	}
 }
 
-func printConflict(out std, res apply.Result) {
+func printConflict(out streams, res apply.Result) {
 	winner := "another change"
 	if res.Winner != nil {
-		winner = viewOf(res.Winner).String()
+		winner = viewStored(res.Winner).String()
 	}
 	fmt.Fprintf(out.err, "Not accepted: based on revision %d, but the store holds %s. Nothing was written.\n", res.Base, winner)
 	fmt.Fprintln(out.err, "Look at it with saltbend get, merge, and apply again.")
--- a/cmd/saltbend/status.go
+++ b/cmd/saltbend/status.go
@@ -44,7 +44,7 @@
 	Error      string         `json:"error,omitempty"`
 }
 
-// What a balancer said about the store.
+// States of the store as a balancer reports them.
 const (
 	storeNone        = "none"
 	storeReachable   = "reachable"
@@ -52,13 +52,13 @@
 	storeNotAsked    = "not asked"
 )
 
-func (c *statusCommand) run(ctx context.Context, out std) int {
+func (c *statusCommand) run(ctx context.Context, out streams) int {
 	access, err := c.open()
 	if err != nil {
 		return fail(out, err, exit.Usage)
 	}
 	defer access.caller.Close()
-	report, err := access.asker.Status(ctx, access.first)
+	report, err := access.client.Status(ctx, access.peers)
 	if err != nil {
 		return fail(out, err, exit.Unavailable)
 	}
@@ -90,12 +90,12 @@
 	default:
 		s := p.Answer.Status
 		v.Seed, v.Suspected = s.Seed, s.Suspected
-		v.Store = storeText(s.Store.Configured, s.Store.Reachable, s.Store.LastContact)
+		v.Store = formatStoreState(s.Store.Configured, s.Store.Reachable, s.Store.LastContact)
 	}
 	return v
 }
 
-func storeText(configured, reachable bool, contact time.Time) string {
+func formatStoreState(configured, reachable bool, contact time.Time) string {
 	switch {
 	case !configured:
 		return storeNone
@@ -107,7 +107,7 @@
 	return storeUnreachable + " since " + contact.UTC().Format(time.RFC3339)
 }
 
-func printStatus(out std, view statusView) {
+func printStatus(out streams, view statusView) {
 	late := 0
 	w := tabwriter.NewWriter(out.out, 0, 0, tablePadding, ' ', 0)
 	fmt.Fprintln(w, "CONTROL\tROLE\tDATA CENTRE\tSERVICE\tSTATE\tREVISION\tSEED\tSTORE\tNOTE")
--- a/cmd/saltbend/table.go
+++ b/cmd/saltbend/table.go
@@ -7,10 +7,10 @@
 	"github.com/saltbend/saltbend/internal/config"
 )
 
-// fleet stands in the table for what concerns no single service.
-const fleet = "(fleet)"
+// fleetLabel is shown in place of a service for differences that concern the whole fleet.
+const fleetLabel = "(fleet)"
 
-func printDiff(out std, diff []config.Difference) {
+func printDiff(out streams, diff []config.Difference) {
 	if len(diff) == 0 {
 		return
 	}
@@ -19,13 +19,14 @@
 	for _, d := range diff {
 		service := d.Service
 		if service == "" {
-			service = fleet
+			service = fleetLabel
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", d.Op, service, dash(d.Field), dash(d.Old), dash(d.New))
 	}
 	w.Flush()
 }
 
+// dash returns "-" for an empty cell of a table.
 func dash(s string) string {
 	if s == "" {
 		return "-"
--- a/cmd/saltbend/timeline.go
+++ b/cmd/saltbend/timeline.go
@@ -19,8 +19,8 @@
 Exit code 0: printed; 1: not all processes answered; 2: wrong flags; 5: no process
 answered.`
 
-// refreshRounds is the number of rounds after which the members are asked for
-// again while following.
+// refreshRounds is the number of rounds after which --follow reads the list of members
+// again.
 const refreshRounds = 10
 
 type timelineCommand struct {
@@ -32,13 +32,13 @@
 	Interval time.Duration `long:"interval" value-name:"DURATION" env:"SALTBEND_INTERVAL" default:"1s" description:"time between two rounds of collecting with --follow"`
 }
 
-func (c *timelineCommand) run(ctx context.Context, out std) int {
+func (c *timelineCommand) run(ctx context.Context, out streams) int {
 	access, err := c.open()
 	if err != nil {
 		return fail(out, err, exit.Usage)
 	}
 	defer access.caller.Close()
-	members, err := access.asker.Members(ctx, access.first)
+	members, err := access.client.Members(ctx, access.peers)
 	if err != nil {
 		return fail(out, err, exit.Unavailable)
 	}
@@ -59,19 +59,21 @@
 	return exit.OK
 }
 
-// timelineReader prints the time line round by round.
+// timelineReader collects and prints the timeline round by round.
 type timelineReader struct {
 	command *timelineCommand
-	out     std
+	out     streams
 	access  *fleetAccess
 	fleet   *timeline.FleetCollector
 	merger  *timeline.Merger
 	members []member.Member
-	failed  map[netip.AddrPort]bool
+	// failed holds the processes that did not answer in the last round.
+	failed map[netip.AddrPort]bool
+	// printed is set once the header of the table was printed.
 	printed bool
 }
 
-// follow prints until ctx ends.
+// follow collects and prints events until ctx ends.
 func (r *timelineReader) follow(ctx context.Context) int {
 	ticker := time.NewTicker(max(r.command.Interval, time.Millisecond))
 	defer ticker.Stop()
@@ -90,10 +92,11 @@
 	}
 }
 
-// refresh learns of processes that joined; those that left are asked on, since
-// their last events may not have been read.
+// refresh reads the list of members again, which adds processes that have joined. Members
+// that have left stay on the list and are still queried, since their last events may not
+// have been read yet.
 func (r *timelineReader) refresh(ctx context.Context) {
-	members, err := r.access.asker.Members(ctx, append(addrsOf(r.members), r.access.first...))
+	members, err := r.access.client.Members(ctx, append(addrsOf(r.members), r.access.peers...))
 	if err != nil {
 		fmt.Fprintln(r.out.err, err)
 		return
@@ -101,18 +104,19 @@
 	r.members = members
 }
 
-// round collects once from all members and returns when it began.
+// round collects once from all members and returns the time when it began.
 func (r *timelineReader) round(ctx context.Context) time.Time {
 	round := r.fleet.Collect(ctx, addrsOf(r.members))
 	for addr, log := range round.Logs {
 		r.merger.Add(addr.String(), log)
-		r.note(addr, round.Failed[addr])
+		r.reportReachability(addr, round.Failed[addr])
 	}
 	return round.Began
 }
 
-// note tells once when a process stops answering and when it answers again.
-func (r *timelineReader) note(addr netip.AddrPort, err error) {
+// reportReachability prints a line when a process stops answering and when it answers
+// again.
+func (r *timelineReader) reportReachability(addr netip.AddrPort, err error) {
 	switch {
 	case err != nil && !r.failed[addr]:
 		r.failed[addr] = true
@@ -124,7 +128,7 @@
 }
 
 func (r *timelineReader) print(entries []timeline.Entry) {
-	entries = slices.DeleteFunc(entries, func(e timeline.Entry) bool { return !r.command.wants(e, time.Now()) })
+	entries = slices.DeleteFunc(entries, func(e timeline.Entry) bool { return !r.command.matches(e, time.Now()) })
 	if r.command.json() {
 		printEntriesJSON(r.out, entries)
 		return
@@ -133,8 +137,8 @@
 	r.printed = true
 }
 
-// wants tells whether the filters let the entry through.
-func (c *timelineCommand) wants(e timeline.Entry, now time.Time) bool {
+// matches reports whether the entry passes the filters --part and --since.
+func (c *timelineCommand) matches(e timeline.Entry, now time.Time) bool {
 	if len(c.Parts) > 0 && !slices.Contains(c.Parts, e.Part) {
 		return false
 	}
--- a/cmd/saltbend/validate.go
+++ b/cmd/saltbend/validate.go
@@ -21,13 +21,13 @@
 	fileArgument
 }
 
-// report is the JSON form of a validation.
-type report struct {
+// validationReport is the JSON form of the result of a validation.
+type validationReport struct {
 	Valid    bool            `json:"valid"`
 	Findings config.Findings `json:"findings"`
 }
 
-func (c *validateCommand) run(_ context.Context, out std) int {
+func (c *validateCommand) run(_ context.Context, out streams) int {
 	previous, err := c.previous()
 	if err != nil {
 		return fail(out, err, exit.Usage)
@@ -39,7 +39,7 @@
 	parsed, findings := config.ParseNext(data, 0, previous)
 	findings = findings.In(c.Args.File)
 	if c.json() {
-		printJSON(out, report{Valid: len(findings) == 0, Findings: append(config.Findings{}, findings...)})
+		printJSON(out, validationReport{Valid: len(findings) == 0, Findings: append(config.Findings{}, findings...)})
 	}
 	if len(findings) > 0 {
 		return refuse(out, findings, c.json())
@@ -50,7 +50,8 @@
 	return exit.OK
 }
 
-// previous reads the file that is to be followed, nil where none is given.
+// previous reads the configuration that the file is to replace. It returns nil if none is
+// given.
 func (c *validateCommand) previous() (*config.Config, error) {
 	if c.Previous == "" {
 		return nil, nil
@@ -63,8 +64,9 @@
 	return previous, findings.In(c.Previous).Err()
 }
 
-// refuse prints findings for people, unless they were printed as JSON.
-func refuse(out std, findings config.Findings, printed bool) int {
+// refuse prints the findings as text, unless they were printed as JSON, and returns the
+// exit code.
+func refuse(out streams, findings config.Findings, printed bool) int {
 	if !printed {
 		fmt.Fprintln(out.err, findings.Error())
 		fmt.Fprintf(out.err, "The file has %d findings; nothing was written.\n", len(findings))
@@ -74,7 +76,7 @@
 
 type versionCommand struct{}
 
-func (versionCommand) run(_ context.Context, out std) int {
+func (versionCommand) run(_ context.Context, out streams) int {
 	fmt.Fprintln(out.out, version.Version())
 	return exit.OK
 }
