--- a/cmd/saltbendd/main.go
+++ b/cmd/saltbendd/main.go
@@ -1,5 +1,8 @@
-// Command saltbendd is the daemon of saltbend: one process of the fleet, in the
-// role of a balancer or of an agent beside an upstream.
+// Command saltbendd is the daemon of saltbend: it runs one process of the fleet, either a
+// balancer or an agent beside an upstream. The role balancer spreads the callers' flows
+// over agents, which terminate their QUIC connections. The roles packet-balancer and
+// packet-agent are those of the packet face, which passes packets to the upstreams without
+// terminating connections and takes its settings from the users' platform.
 package main
 
 import (
@@ -12,13 +15,13 @@
 func main() {
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	os.Exit(run(os.Args[1:], std{out: os.Stdout, err: os.Stderr}, signals))
+	os.Exit(run(os.Args[1:], streams{out: os.Stdout, err: os.Stderr}, signals))
 }
 
-// signalBuffer holds signals that come in while one is being handled.
+// signalBuffer is the number of signals that can wait while another one is handled.
 const signalBuffer = 8
 
-// std are the standard streams of the process.
-type std struct {
+// streams are the standard output and the standard error of the process.
+type streams struct {
 	out, err io.Writer
 }
--- a/cmd/saltbendd/packet.go
+++ b/cmd/saltbendd/packet.go
@@ -21,8 +21,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// packetSettings are the flags of the roles of the packet face. What differs
-// from host to host comes from the platform's settings file.
+// packetSettings are the flags of the roles of the packet face. Settings that differ
+// between hosts come from the platform's settings file.
 type packetSettings struct {
 	Settings  string   `long:"settings" env:"SALTBEND_SETTINGS" value-name:"PATH" description:"the platform's settings file of this host (default: where the platform says)"`
 	LogFormat string   `long:"log-format" env:"SALTBEND_LOG_FORMAT" default:"json" choice:"json" choice:"text" description:"format of the log on standard output"`
@@ -31,6 +31,7 @@
 	Without   []string `long:"without" env:"SALTBEND_WITHOUT" env-delim:"," value-name:"POLICY" description:"switch a decision off, to measure what it is worth; may be given several times"`
 	CheckOnly bool     `long:"check" env:"SALTBEND_CHECK" description:"check the settings, report all findings and exit"`
 
+	// needsUpstream is set for an agent: its settings file must describe the upstream.
 	needsUpstream bool
 }
 
@@ -56,7 +57,7 @@
 	return s.parse(text)
 }
 
-// parse checks the text of the settings file.
+// parse parses the text of the settings file and checks it for the role.
 func (s *packetSettings) parse(text []byte) (platform.Host, error) {
 	host, err := platform.ParseHost(s.path(), text)
 	switch {
@@ -69,6 +70,7 @@
 	return host, err
 }
 
+// check returns the findings on the settings file and on the flags.
 func (s *packetSettings) check() settings.Findings {
 	var f settings.Findings
 	_, err := s.host()
@@ -84,19 +86,19 @@
 	return f
 }
 
-// Bounds of the log on standard output.
 const (
-	// logQueue is the number of lines that wait while nobody reads them.
-	logQueue = 1024
-	// logEndTime bounds the writing of the last lines at the end.
-	logEndTime = 200 * time.Millisecond
+	// logQueueLines is the number of log lines that can wait while nobody reads standard
+	// output. Further lines are dropped, so that logging never blocks the role.
+	logQueueLines = 1024
+	// logFlushTimeout limits the writing of the remaining lines before the process exits.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 // servePacket runs a role of the packet face until it ends or a signal stops it.
-func servePacket(name string, s *packetSettings, run func(packet.Env) error, out std, signals <-chan os.Signal) int {
-	lines := logging.NewBounded(out.out, logQueue)
+func servePacket(name string, s *packetSettings, run func(packet.Env) error, out streams, signals <-chan os.Signal) int {
+	lines := logging.NewBounded(out.out, logQueueLines)
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(s.LogLevel)) // the parser knows only these
+	_ = level.UnmarshalText([]byte(s.LogLevel)) // the flag accepts only valid levels
 	logger := logging.New(lines, s.LogFormat, level)
 	daemon := logging.Part(logger, part)
 	code := runPacket(name, s, run, logger, daemon, signals)
@@ -105,26 +107,29 @@
 	}
 	select {
 	case <-lines.Close():
-	case <-time.After(logEndTime):
+	case <-time.After(logFlushTimeout):
 	}
 	return code
 }
 
-// serveMetrics serves metrics at a port that does not differ from day to day, for
-// those who only know that. A process without it is of as much use.
+// serveMetrics serves metrics at the fixed port of --metrics-port, for monitoring that
+// cannot discover ports. An error is only logged: the role works without metrics.
 func (s *packetSettings) serveMetrics(host platform.Host, log *slog.Logger) {
 	if s.Metrics == 0 {
 		return
 	}
 	addr := netip.AddrPortFrom(host.Packets.Addr(), s.Metrics)
-	if _, err := ops.Listen(addr); err != nil { // it ends with the process
+	if _, err := ops.Listen(addr); err != nil { // served until the process exits
 		log.Error("Metrics port not served.", "address", addr.String(), "error", err.Error())
 	}
 }
 
+// runPacket runs the role until it ends or a second stop signal arrives, and returns the
+// exit code. The first SIGTERM or SIGINT asks the role to stop. The settings file is read
+// again on SIGHUP and every settingsPollInterval.
 func runPacket(name string, s *packetSettings, run func(packet.Env) error, logger, daemon *slog.Logger, signals <-chan os.Signal) int {
 	host, err := s.host()
-	policies, _ := policy.Without(s.Without) // check has found names that there are none of
+	policies, _ := policy.Without(s.Without) // check has reported unknown names
 	if err != nil {
 		daemon.Error("Settings refused.", "error", err.Error())
 		return exit.Usage
@@ -137,13 +142,13 @@
 	go func() {
 		done <- run(packet.Env{Logger: logger, Host: host, Stop: stop, Changes: watched.changes, Policies: policies})
 	}()
-	poll := time.NewTicker(settingsPoll)
+	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
 	stopping := false
 	for {
 		select {
 		case err := <-done:
-			return result(err, daemon)
+			return exitCode(err, daemon)
 		case <-poll.C:
 			watched.poll()
 		case sig := <-signals:
--- a/cmd/saltbendd/packetreload.go
+++ b/cmd/saltbendd/packetreload.go
@@ -9,82 +9,88 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// settingsPoll is the time between two looks whether the settings file has
-// changed: the platform may change it without a signal.
-const settingsPoll = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for changes,
+// since the platform may change it without sending a signal.
+const settingsPollInterval = 2 * time.Second
 
-// watchedSettings hands changes of a settings file on to the running role.
+// watchedSettings detects changes of the settings file and passes them to the running
+// role.
 type watchedSettings struct {
 	settings *packetSettings
 	log      *slog.Logger
-	// text was read last, host is what the role goes by.
-	text    []byte
-	host    platform.Host
+	// lastText is the content of the file when it was last read; nil before that.
+	lastText []byte
+	// current holds the settings of the last valid version of the file.
+	current platform.Host
+	// changes holds the latest changes that the role has not received yet.
 	changes chan platform.Changeable
 }
 
 func newWatchedSettings(s *packetSettings, host platform.Host, log *slog.Logger) *watchedSettings {
-	return &watchedSettings{settings: s, host: host, log: log, changes: make(chan platform.Changeable, 1)}
+	return &watchedSettings{settings: s, current: host, log: log, changes: make(chan platform.Changeable, 1)}
 }
 
-// poll reads the file and takes it over if it has changed since the last look.
-// One that can't be read is tried again at the next.
+// poll reads the file and applies it if it has changed since it was last read. If the file
+// can't be read, the next poll tries again.
 func (w *watchedSettings) poll() {
 	text, err := platform.ReadSettings(w.settings.path())
-	if err != nil || bytes.Equal(text, w.text) {
+	if err != nil || bytes.Equal(text, w.lastText) {
 		return
 	}
-	first := w.text == nil
-	w.text = text
+	first := w.lastText == nil
+	w.lastText = text
 	host, err := w.settings.parse(text)
-	if first && err == nil && reflect.DeepEqual(host, w.host) {
-		return // as it was at the start
+	if first && err == nil && reflect.DeepEqual(host, w.current) {
+		return // unchanged since the start of the process
 	}
-	w.take(host, err)
+	w.apply(host, err)
 }
 
-// reload reads the file on request and tells what came of it.
+// reload reads and applies the file at an operator's request (SIGHUP) and logs the result,
+// also if nothing has changed.
 func (w *watchedSettings) reload() {
 	text, err := platform.ReadSettings(w.settings.path())
 	if err != nil {
 		w.log.Error("Settings not read again.", "error", err.Error())
 		return
 	}
-	w.text = text
+	w.lastText = text
 	host, err := w.settings.parse(text)
-	w.take(host, err)
+	w.apply(host, err)
 }
 
-// take hands on what may change while the process runs, and tells what takes
-// effect at the next start only.
-func (w *watchedSettings) take(host platform.Host, err error) {
+// apply passes on the settings that may change while the process runs, and logs a warning
+// if other settings differ, which take effect only at the next start.
+func (w *watchedSettings) apply(host platform.Host, err error) {
 	if err != nil {
 		w.log.Error("Settings not read again.", "error", err.Error())
 		return
 	}
-	fixed := host
-	fixed.Changeable, fixed.FirstStart = w.host.Changeable, w.host.FirstStart
-	same := reflect.DeepEqual(fixed, w.host)
-	if host.Changeable == w.host.Changeable && same {
+	// Compare only the settings that can't change while the process runs.
+	withCurrent := host
+	withCurrent.Changeable, withCurrent.FirstStart = w.current.Changeable, w.current.FirstStart
+	fixedUnchanged := reflect.DeepEqual(withCurrent, w.current)
+	if host.Changeable == w.current.Changeable && fixedUnchanged {
 		w.log.Info("Settings read again, nothing differs.")
 	}
-	if host.Changeable != w.host.Changeable {
+	if host.Changeable != w.current.Changeable {
 		w.log.Info("Settings changed.", "store", host.Store.String(), "grace_ms", host.Grace.Milliseconds(),
 			"drain_ms", host.DrainWithin.Milliseconds(), "heartbeat_ms", host.HeartbeatEvery.Milliseconds(),
 			"flow_max_age_ms", host.FlowMaxAge.Milliseconds(), "seeds", host.Seeds)
-		w.hand(host.Changeable)
+		w.publish(host.Changeable)
 	}
-	if !same {
+	if !fixedUnchanged {
 		w.log.Warn("Addresses, data centre or service differ; they take effect at the next start.",
 			"packets", host.Packets.String(), "dc", host.DataCentre, "service", host.Service)
 	}
-	w.host = host
+	w.current = host
 }
 
-// hand leaves the newest changes for the role.
-func (w *watchedSettings) hand(c platform.Changeable) {
+// publish puts the settings into the channel to the role, in place of earlier ones that
+// the role has not received yet.
+func (w *watchedSettings) publish(c platform.Changeable) {
 	select {
-	case <-w.changes: // the latest counts
+	case <-w.changes: // replaced by the newer settings
 	default:
 	}
 	w.changes <- c
--- a/cmd/saltbendd/run.go
+++ b/cmd/saltbendd/run.go
@@ -19,14 +19,15 @@
 	"github.com/saltbend/saltbend/internal/version"
 )
 
-// role is a subcommand: its settings and how to run it.
+// role is a subcommand with its settings and the function that runs it.
 type role struct {
 	name, short string
 	settings    any
 	common      *settings.Common
 	check       func() settings.Findings
 	run         func(context.Context, settings.Env) error
-	// packet runs a role of the packet face, which has settings of its own.
+	// packet runs a role of the packet face. It is nil for the other roles, which use
+	// run and common instead of packet and packetSettings.
 	packet         func(packet.Env) error
 	packetSettings *packetSettings
 }
@@ -48,12 +49,12 @@
 			run: func(ctx context.Context, env settings.Env) error { return balancer.Run(ctx, *b, env) },
 		},
 		{
-			name: "agent", short: "end the flows of one upstream beside it",
+			name: "agent", short: "terminate the callers' flows beside one upstream",
 			settings: a, common: &a.Common, check: a.Check,
 			run: func(ctx context.Context, env settings.Env) error { return agent.Run(ctx, *a, env) },
 		},
 		packetRole("packet-balancer", "spread the flows of the packet face over its agents", packet.RunBalancer, &packetSettings{}),
-		packetRole("packet-agent", "guard one upstream of the packet face beside it", packet.RunAgent, &packetSettings{needsUpstream: true}),
+		packetRole("packet-agent", "admit the packets of one upstream of the packet face, beside it", packet.RunAgent, &packetSettings{needsUpstream: true}),
 	}
 }
 
@@ -62,7 +63,7 @@
 }
 
 // run runs the program and returns its exit code.
-func run(args []string, out std, signals <-chan os.Signal) int {
+func run(args []string, out streams, signals <-chan os.Signal) int {
 	chosen, code := parse(args, out)
 	if chosen == nil {
 		return code
@@ -91,7 +92,7 @@
 	parser := flags.NewNamedParser("saltbendd", flags.HelpFlag|flags.PassDoubleDash)
 	parser.SubcommandsOptional = true
 	if _, err := parser.AddGroup("Global options", "", global); err != nil {
-		panic(err) // a fault in the tags
+		panic(err) // the struct tags of the flags are invalid
 	}
 	for _, r := range all {
 		if _, err := parser.AddCommand(r.name, r.short, exitHelp, r.settings); err != nil {
@@ -101,13 +102,14 @@
 	return parser
 }
 
-// exitHelp tells the exit codes; scripts and supervisors rely on them.
+// exitHelp documents the exit codes, on which scripts and supervisors rely.
 const exitHelp = `Exit code 0: stopped as asked; 1: failed while starting or running; 2: wrong flags or
 environment, all findings are printed; 130: a second SIGTERM or SIGINT ended the process
 before its work was done. SIGHUP reads --secrets-file again.`
 
-// parse returns the chosen role, or nil and the exit code.
-func parse(args []string, out std) (*role, int) {
+// parse parses the command line. It returns the chosen role, or nil and the exit code if
+// the process is to exit at once.
+func parse(args []string, out streams) (*role, int) {
 	var global globalOptions
 	all := roles()
 	parser := newParser(&global, all)
@@ -120,7 +122,7 @@
 		fmt.Fprintln(out.out, version.Version())
 		return nil, exit.OK
 	}
-	if err = complete(parser, rest, err); err != nil {
+	if err = checkCommandLine(parser, rest, err); err != nil {
 		fmt.Fprintln(out.err, err)
 		return nil, exit.Usage
 	}
@@ -132,8 +134,8 @@
 	panic("unreachable: the parser knows only these roles")
 }
 
-// complete returns what is wrong with a parsed command line, if anything.
-func complete(parser *flags.Parser, rest []string, err error) error {
+// checkCommandLine returns err, or an error if there is an extra argument or no role.
+func checkCommandLine(parser *flags.Parser, rest []string, err error) error {
 	switch {
 	case err != nil:
 		return err
@@ -146,7 +148,7 @@
 }
 
 // serve runs the role until it ends or a signal stops it.
-func serve(r *role, out std, signals <-chan os.Signal) int {
+func serve(r *role, out streams, signals <-chan os.Signal) int {
 	ring, err := r.common.LoadRing()
 	if err != nil {
 		fmt.Fprintln(out.err, err)
@@ -161,10 +163,10 @@
 		Keys:    settings.NewKeys(ring),
 		Ready:   func(a settings.Addresses) { settings.LogReady(daemon, a) },
 	}
-	env.Events.Add(part, eventStart, r.name+" "+env.Version)
+	env.Events.Add(part, eventStarted, r.name+" "+env.Version)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan error, 1)
 	go func() { done <- r.run(ctx, env) }()
-	return wait(r, env, daemon, done, cancel, signals)
+	return waitForRole(r, env, daemon, done, cancel, signals)
 }
--- a/cmd/saltbendd/run_test.go
+++ b/cmd/saltbendd/run_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	patience = 20 * time.Second
-	secret1  = "1:000102030405060708090a0b0c0d0e0f"
-	secret3  = "3:aaaaaaaaaaaaaaaabbbbbbbbbbbbbbbb"
-	secret2  = "2:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff"
+	eventuallyTimeout = 20 * time.Second
+	secret1           = "1:000102030405060708090a0b0c0d0e0f"
+	secret3           = "3:aaaaaaaaaaaaaaaabbbbbbbbbbbbbbbb"
+	secret2           = "2:f0f1f2f3f4f5f6f7f8f9fafbfcfdfeff"
 )
 
-func TestCommandLine(t *testing.T) {
+func TestCommandLineExitCodesAndOutput(t *testing.T) {
 	t.Setenv("SALTBEND_SECRETS", secret1)
 	cases := []struct {
 		name     string
@@ -47,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			var out, errs bytes.Buffer
-			g.Expect(run(c.args, std{out: &out, err: &errs}, nil)).To(Equal(c.code), errs.String())
+			g.Expect(run(c.args, streams{out: &out, err: &errs}, nil)).To(Equal(c.code), errs.String())
 			g.Expect(out.String()).To(ContainSubstring(c.out))
 			g.Expect(errs.String()).To(ContainSubstring(c.err))
 			if c.err == "" {
@@ -57,13 +57,13 @@
 	}
 }
 
-// stub returns a role that runs f.
-func stub(f func(context.Context, settings.Env) error) *role {
+// stubRole returns a role with valid settings that runs f.
+func stubRole(f func(context.Context, settings.Env) error) *role {
 	common := &settings.Common{Secrets: secret1, LogFormat: settings.FormatJSON, LogLevel: "info"}
 	return &role{name: "stub", common: common, run: f}
 }
 
-func TestExitCodes(t *testing.T) {
+func TestServeReturnsTheExitCodeOfFailuresAndSignals(t *testing.T) {
 	untilStopped := func(ctx context.Context, _ settings.Env) error {
 		<-ctx.Done()
 		return nil
@@ -87,7 +87,7 @@
 				signals <- s
 			}
 			var log bytes.Buffer
-			g.Expect(serve(stub(c.run), std{out: &log, err: &log}, signals)).To(Equal(c.code))
+			g.Expect(serve(stubRole(c.run), streams{out: &log, err: &log}, signals)).To(Equal(c.code))
 			for _, line := range strings.Split(strings.TrimSpace(log.String()), "\n") {
 				g.Expect(line).To(ContainSubstring(`"part":"daemon"`))
 			}
@@ -95,14 +95,14 @@
 	}
 }
 
-func TestSIGHUPReadsTheSecretsAgain(t *testing.T) {
+func TestSIGHUPReloadsValidSecretsAndKeepsTheOldOnesOtherwise(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "secrets")
 	write := func(text string) { g.Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed()) }
 	write(secret1)
 	rings := make(chan *keyring.Ring, 1)
 	envs := make(chan settings.Env, 1)
-	r := stub(func(ctx context.Context, env settings.Env) error {
+	r := stubRole(func(ctx context.Context, env settings.Env) error {
 		env.Keys.OnChange(func(ring *keyring.Ring) { rings <- ring })
 		envs <- env
 		<-ctx.Done()
@@ -112,24 +112,26 @@
 	signals := make(chan os.Signal, signalBuffer)
 	code := make(chan int, 1)
 	var log bytes.Buffer
-	go func() { code <- serve(r, std{out: &log, err: &log}, signals) }()
+	go func() { code <- serve(r, streams{out: &log, err: &log}, signals) }()
 	var env settings.Env
-	g.Eventually(envs, patience).Should(Receive(&env))
+	g.Eventually(envs, eventuallyTimeout).Should(Receive(&env))
 
 	write(secret1 + "," + secret2)
 	signals <- syscall.SIGHUP
 	var ring *keyring.Ring
-	g.Eventually(rings, patience).Should(Receive(&ring))
+	g.Eventually(rings, eventuallyTimeout).Should(Receive(&ring))
 	g.Expect(ring.Derive(keyring.PurposePeer, 1)).To(HaveLen(2))
 
 	for _, refused := range []string{"nonsense", secret3, secret3 + "," + secret1} {
 		write(refused)
 		signals <- syscall.SIGHUP
-		// The signal is taken once the next one finds an empty channel.
-		g.Eventually(signals, patience).Should(BeEmpty())
+		// An empty channel means that the daemon has received the signal. It may read
+		// the file only after the next write, which does not matter: each of these
+		// texts is refused.
+		g.Eventually(signals, eventuallyTimeout).Should(BeEmpty())
 	}
 	signals <- syscall.SIGTERM
-	g.Eventually(code, patience).Should(Receive(Equal(exit.OK)))
+	g.Eventually(code, eventuallyTimeout).Should(Receive(Equal(exit.OK)))
 	g.Expect(env.Keys.Ring()).To(BeIdenticalTo(ring))
 	g.Expect(strings.Count(log.String(), "Secrets not read again.")).To(Equal(3))
 	g.Expect(log.String()).To(ContainSubstring(keyring.ErrOrder.Error()))
--- a/cmd/saltbendd/signals.go
+++ b/cmd/saltbendd/signals.go
@@ -11,29 +11,29 @@
 	"github.com/saltbend/saltbend/internal/settings"
 )
 
-// Kinds of events of the daemon.
+// Kinds of the daemon's events.
 const (
-	eventStart     event.Kind = "started"
-	eventStop      event.Kind = "stopping"
-	eventKeys      event.Kind = "secrets-reloaded"
-	eventKeysError event.Kind = "secrets-refused"
+	eventStarted         event.Kind = "started"
+	eventStopping        event.Kind = "stopping"
+	eventSecretsReloaded event.Kind = "secrets-reloaded"
+	eventSecretsRefused  event.Kind = "secrets-refused"
 )
 
 // part names the daemon in logs and events.
 const part = "daemon"
 
-// wait returns the exit code when the role has ended. The first SIGTERM or
-// SIGINT cancels the role's context, the second ends at once; SIGHUP reads the
-// secrets again.
-func wait(r *role, env settings.Env, log *slog.Logger, done <-chan error, cancel context.CancelFunc, signals <-chan os.Signal) int {
+// waitForRole waits until the role has ended and returns the exit code. The first SIGTERM
+// or SIGINT cancels the role's context; the second one makes waitForRole return at once.
+// SIGHUP reloads the secrets.
+func waitForRole(r *role, env settings.Env, log *slog.Logger, done <-chan error, cancel context.CancelFunc, signals <-chan os.Signal) int {
 	stopping := false
 	for {
 		select {
 		case err := <-done:
-			return result(err, log)
+			return exitCode(err, log)
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
-				reload(r.common, env, log)
+				reloadSecrets(r.common, env, log)
 				continue
 			}
 			if stopping {
@@ -42,13 +42,14 @@
 			}
 			stopping = true
 			log.Info("Stopping.", slog.String("signal", sig.String()))
-			env.Events.Add(part, eventStop, sig.String())
+			env.Events.Add(part, eventStopping, sig.String())
 			cancel()
 		}
 	}
 }
 
-func result(err error, log *slog.Logger) int {
+// exitCode logs how the role ended and returns the exit code.
+func exitCode(err error, log *slog.Logger) int {
 	if err != nil {
 		log.Error("Role failed.", slog.String("error", err.Error()))
 		return exit.Failure
@@ -57,19 +58,20 @@
 	return exit.OK
 }
 
-// reload puts the secrets of the file in force. When they are wrong, or would
-// cut this process off from those that weren't told yet, the old ones stay.
-func reload(c *settings.Common, env settings.Env, log *slog.Logger) {
+// reloadSecrets reads the secrets file and puts its secrets in force. It keeps the old
+// secrets if the file is invalid, or if its current secret is not among the old ones:
+// processes that have not reloaded the file yet would refuse this process's messages.
+func reloadSecrets(c *settings.Common, env settings.Env, log *slog.Logger) {
 	ring, err := c.LoadRing()
 	if err == nil {
 		err = ring.MayFollow(env.Keys.Ring())
 	}
 	if err != nil {
 		log.Error("Secrets not read again.", slog.String("error", err.Error()))
-		env.Events.Add(part, eventKeysError, err.Error())
+		env.Events.Add(part, eventSecretsRefused, err.Error())
 		return
 	}
 	env.Keys.Set(ring)
 	log.Info("Secrets read again.")
-	env.Events.Add(part, eventKeys, "")
+	env.Events.Add(part, eventSecretsReloaded, "")
 }
