--- a/internal/dayplot/day.go
+++ b/internal/dayplot/day.go
@@ -1,5 +1,6 @@
-// Package dayplot shows what became of requests over a day, with the faults that
-// came meanwhile: a report of the soak or of the users' bench, in one HTML file.
+// Package dayplot plots the outcomes of requests over the time of a test run, with the
+// injected faults marked, into one HTML file. Its input are reports of this project's soak
+// test or of a day on the users' test bench.
 package dayplot
 
 import (
@@ -14,39 +15,39 @@
 	"github.com/pkg/errors"
 )
 
-// Day is what a report tells of one day or one seed.
+// Day is the report of one run: a day on the bench or one seed of the soak test.
 type Day struct {
 	Title string
 	// Step is the length of a window.
 	Step    time.Duration
 	Windows []Window
 	Marks   []Mark
-	// Findings are what must not have been.
+	// Findings are the rules that the run has violated.
 	Findings []string
 }
 
-// Window counts the requests of one stretch of time.
+// Window counts the requests of one time window by their outcome.
 type Window struct {
-	// At is its begin, counted from the start of the load.
+	// At is the start of the window, counted from the start of the load.
 	At time.Duration
-	// Served were answered in time, Late later; Refused were told so at once, Failed
-	// had no answer.
+	// Served requests were answered in time, Late ones after their time, Refused ones
+	// were rejected at once, and Failed ones got no answer.
 	Served, Late, Refused, Failed int
 }
 
-// Mark is a fault or planned work.
+// Mark is the time span of a fault or of planned work.
 type Mark struct {
 	From, To time.Duration
 	Label    string
 }
 
-// ErrReport says that a text is no report.
-var ErrReport = errors.New("dayplot: no report of a soak or a bench day")
+// ErrReport is returned for a text that is not a report.
+var ErrReport = errors.New("dayplot: not a report of a soak or a bench day")
 
-// maxLine bounds a report of the soak in bytes.
-const maxLine = 8 << 20
+// maxLineBytes is the maximum length of one soak report, which is one line.
+const maxLineBytes = 8 << 20
 
-// Read reads the report of one bench day, or reports of the soak, one a line.
+// Read reads the report of one bench day, or soak reports, one per line.
 func Read(name string, in io.Reader) ([]Day, error) {
 	text, err := io.ReadAll(in)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return soakDays(name, text)
 }
 
-// benchJSON is what is used of a report of the users' bench.
+// benchJSON holds the used fields of a report of the users' bench.
 type benchJSON struct {
 	Windows []struct {
 		Name    string `json:"name"`
@@ -76,7 +77,7 @@
 	Breaks map[string]any `json:"breaks"`
 }
 
-// benchDay reads the report of a bench day; ok is false if it is none.
+// benchDay parses the report of a bench day; ok is false if the text is not one.
 func benchDay(name string, text []byte) (day Day, ok bool) {
 	var raw benchJSON
 	if err := json.Unmarshal(text, &raw); err != nil || len(raw.Windows) < 2 {
@@ -100,7 +101,7 @@
 	return day, true
 }
 
-// soakJSON is what is used of a report of the soak.
+// soakJSON holds the used fields of a soak report.
 type soakJSON struct {
 	Seed   *uint64
 	Faults []struct {
@@ -114,10 +115,10 @@
 	Findings, Late []string
 }
 
-// soakDays reads reports of the soak, one a line.
+// soakDays parses soak reports, one per line.
 func soakDays(name string, text []byte) (days []Day, err error) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
 		var raw soakJSON
 		if err := json.Unmarshal(lines.Bytes(), &raw); err != nil || raw.Seed == nil {
--- a/internal/dayplot/day_test.go
+++ b/internal/dayplot/day_test.go
@@ -18,7 +18,7 @@
 "Seconds": [{"Answered": 10, "Late": 1}, {"Answered": 8, "Reset": 2, "TimedOut": 1}], "Findings": ["a"], "Late": ["b"]}`
 )
 
-func TestReports(t *testing.T) {
+func TestReadAndWriteBenchAndSoakReports(t *testing.T) {
 	g := NewWithT(t)
 	days, err := dayplot.Read("day.json", strings.NewReader(benchDay))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -41,11 +41,11 @@
 	g.Expect(dayplot.Write(&page, append(days, soaked...))).To(Succeed())
 	g.Expect(page.String()).To(ContainSubstring("<svg"))
 	g.Expect(page.String()).To(ContainSubstring("140 served, 5 late, 3 refused, 7 failed"))
-	g.Expect(page.String()).NotTo(ContainSubstring("<script>"), "what a report says is no markup")
-	g.Expect(page.String()).NotTo(MatchRegexp(`(src|href)="http`), "nothing is fetched")
+	g.Expect(page.String()).NotTo(ContainSubstring("<script>"), "text of a report must be escaped")
+	g.Expect(page.String()).NotTo(MatchRegexp(`(src|href)="http`), "the page must not load other resources")
 }
 
-func TestNoReports(t *testing.T) {
+func TestReadRejectsTextsThatAreNotReports(t *testing.T) {
 	for _, text := range []string{"", "{}", "[1]", `{"windows": []}`, "{\n"} {
 		_, err := dayplot.Read("x", strings.NewReader(text))
 		NewWithT(t).Expect(err).To(MatchError(dayplot.ErrReport), text)
--- a/internal/dayplot/page.go
+++ b/internal/dayplot/page.go
@@ -16,16 +16,17 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of a plot on the page.
+// Dimensions of a plot on the page.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	// headroom is the part of the height above the highest line, for the legend.
+	// headroom is the height of the plot relative to its highest value, which leaves
+	// space for the legend.
 	headroom     = 1.4
 	legendOffset = 0.3 * vg.Centimeter
 )
 
-// series are the lines of a plot.
+// series are the curves of a plot.
 var series = []struct {
 	name  string
 	color color.RGBA
@@ -37,7 +38,7 @@
 	{"failed", color.RGBA{R: 200, A: 255}, func(w Window) int { return w.Failed }},
 }
 
-// markColor is that of the time of a fault.
+// markColor fills the area of a mark.
 var markColor = color.RGBA{R: 120, G: 120, B: 120, A: 40}
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{"s": asSeconds}).Parse(`<!DOCTYPE html>
@@ -61,7 +62,7 @@
 	Total Window
 }
 
-// Write writes one HTML file with all days; it needs nothing from outside.
+// Write writes one HTML page with all days. The page loads no other resources.
 func Write(out io.Writer, days []Day) error {
 	drawn := make([]drawnDay, 0, len(days))
 	for _, day := range days {
@@ -102,7 +103,7 @@
 	}
 	p.Y.Max *= headroom
 	for _, mark := range day.Marks {
-		area, err := plotter.NewPolygon(box(mark, p.Y.Max))
+		area, err := plotter.NewPolygon(markArea(mark, p.Y.Max))
 		if err != nil {
 			return "", err
 		}
@@ -113,7 +114,7 @@
 	p.Draw(draw.New(canvas))
 	var svg bytes.Buffer
 	_, err := canvas.WriteTo(&svg)
-	return withoutHead(svg.String()), err
+	return svgElement(svg.String()), err
 }
 
 func points(day Day, count func(Window) int) plotter.XYs {
@@ -124,14 +125,15 @@
 	return out
 }
 
-// box is the stretch of time of a mark, over the whole height.
-func box(m Mark, top float64) plotter.XYs {
+// markArea returns the rectangle of a mark, over the whole height of the plot.
+func markArea(m Mark, top float64) plotter.XYs {
 	from, to := m.From.Seconds(), m.To.Seconds()
 	return plotter.XYs{{X: from}, {X: to}, {X: to, Y: top}, {X: from, Y: top}}
 }
 
-// withoutHead drops what stands before the svg element, which a page must not have.
-func withoutHead(svg string) string {
+// svgElement drops the XML declaration and other text before the svg element, which is
+// not allowed inside an HTML page.
+func svgElement(svg string) string {
 	if i := strings.Index(svg, "<svg"); i >= 0 {
 		return svg[i:]
 	}
