--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -11,8 +11,8 @@
 	"github.com/saltbend/saltbend/internal/logging"
 )
 
-// With nobody to read, writing goes on and drops are counted.
-func TestBoundedNeverBlocks(t *testing.T) {
+// The underlying writer is a pipe that nobody reads at first, so each write to it blocks.
+func TestBoundedDropsAndCountsWritesIfTheWriterBlocks(t *testing.T) {
 	g := NewWithT(t)
 	reader, writer := io.Pipe()
 	b := logging.NewBounded(writer, 4)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging builds the process's structured logger: short sentences with
-// a fixed prefix for each part.
+// Package logging builds the structured logger of a process. Each part (component) of the
+// process logs with its own value of the attribute "part".
 package logging
 
 import (
@@ -7,7 +7,7 @@
 	"log/slog"
 )
 
-// partKey is the attribute that carries the fixed prefix of a part.
+// partKey is the key of the attribute that names the part.
 const partKey = "part"
 
 // New returns a logger that writes to w in the given format, "json" or "text".
@@ -19,7 +19,7 @@
 	return slog.New(slog.NewTextHandler(w, opts))
 }
 
-// Part returns the logger of one part of the process.
+// Part returns a logger for the given part of the process.
 func Part(l *slog.Logger, part string) *slog.Logger {
 	return l.With(partKey, part)
 }
--- a/internal/logging/once_test.go
+++ b/internal/logging/once_test.go
@@ -9,7 +9,7 @@
 	"github.com/saltbend/saltbend/internal/logging"
 )
 
-func TestEachTextIsLoggedOnceAndNotTooMany(t *testing.T) {
+func TestOnceAcceptsEachTextOnceAndALimitedNumberOfTexts(t *testing.T) {
 	g := NewWithT(t)
 	var o logging.Once
 	g.Expect(o.First("a")).To(BeTrue())
