--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event keeps the last events of a process in a ring, from which the
-// CLI builds one time line over all processes.
+// Package event holds the last events of a process in a ring buffer. The command-line tool
+// collects the rings of all processes and merges them into one timeline.
 package event
 
 import (
@@ -7,27 +7,29 @@
 	"time"
 )
 
-// Kind names what happened: a few words in lower case with hyphens between
-// them. The values are listed in docs/operations/settings.md.
+// Kind is the kind of an event: a few lower-case words joined by hyphens. The values are
+// listed in docs/operations/settings.md.
 type Kind string
 
-// Event is one thing that happened in a process.
+// Event is one event of a process.
 type Event struct {
-	// Seq rises by one with each event of a process; a gap means that the ring
-	// has dropped events.
+	// Seq increases by one with each event of a process. A gap means that the ring has
+	// dropped events.
 	Seq  uint64
 	Time time.Time
-	// Process is the control address of the process, Part its component.
+	// Process is the control address of the process. A Ring leaves it empty; package
+	// timeline sets it.
 	Process string
-	Part    string
-	Kind    Kind
-	Detail  string
+	// Part is the component of the process that recorded the event.
+	Part   string
+	Kind   Kind
+	Detail string
 }
 
-// DefaultRingSize is the number of events a process keeps.
+// DefaultRingSize is the number of events that a process holds.
 const DefaultRingSize = 4096
 
-// Ring keeps the newest events. It is safe for concurrent use.
+// Ring is a ring buffer of the newest events. It is safe for concurrent use.
 type Ring struct {
 	mu     sync.Mutex
 	events []Event
@@ -35,12 +37,12 @@
 	now    func() time.Time
 }
 
-// NewRing returns a ring of size events that reads the time from now.
+// NewRing returns a ring that holds size events and takes their times from now.
 func NewRing(size int, now func() time.Time) *Ring {
 	return &Ring{events: make([]Event, 0, size), now: now}
 }
 
-// Add records an event of the part.
+// Add records an event of the part. If the ring is full, it replaces the oldest event.
 func (r *Ring) Add(part string, kind Kind, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +55,7 @@
 	r.events[e.Seq%uint64(cap(r.events))] = e
 }
 
-// Since returns the kept events with a sequence number of at least seq, oldest
+// Since returns the events in the ring with a sequence number of at least seq, oldest
 // first.
 func (r *Ring) Since(seq uint64) []Event {
 	r.mu.Lock()
--- a/internal/event/ring_test.go
+++ b/internal/event/ring_test.go
@@ -25,7 +25,7 @@
 		}
 		for i, e := range got {
 			if e.Seq != first+uint64(i) {
-				t.Fatalf("event %d at place %d, want %d", e.Seq, i, first+uint64(i))
+				t.Fatalf("event %d at index %d, want %d", e.Seq, i, first+uint64(i))
 			}
 		}
 	})
--- a/internal/exit/exit.go
+++ b/internal/exit/exit.go
@@ -1,26 +1,25 @@
-// Package exit names the exit codes that the daemon and the command-line tool
-// share.
+// Package exit defines the exit codes of the daemon and of the command-line tool.
 package exit
 
 // Exit codes of saltbendd and saltbend.
 const (
-	// OK says that all was done as asked.
+	// OK: the command succeeded, or the daemon stopped after a stop signal.
 	OK = 0
-	// Failure says that the work failed while it ran.
+	// Failure: the command or the daemon failed while starting or running.
 	Failure = 1
-	// Usage says that flags, environment or an input file are wrong; nothing
-	// was started.
+	// Usage: flags, environment or an input file are invalid. Nothing was started or
+	// written.
 	Usage = 2
-	// Conflict says that another operator's change won; nothing was written.
+	// Conflict: another operator's change was accepted first. Nothing was written.
 	Conflict = 3
-	// Unknown says that a write may have taken effect.
+	// Unknown: the outcome of a write is unknown; it may have taken effect.
 	Unknown = 4
-	// Unavailable says that the store or the peers were not reached; nothing
-	// was written.
+	// Unavailable: the store or the queried processes could not be reached. Nothing was
+	// written.
 	Unavailable = 5
-	// Late says that a change was accepted but is not yet in force everywhere.
+	// Late: a process does not have the newest revision of the configuration in force
+	// yet. After an apply, the change was accepted all the same.
 	Late = 6
-	// Forced says that a second signal ended the process before its work was
-	// done.
+	// Forced: a second stop signal ended the process before its work was done.
 	Forced = 130
 )
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,6 @@
-// Package ops serves the operations endpoints of a process over HTTP: metrics,
-// liveness, readiness with the reasons against it, and what a role adds.
+// Package ops serves the operations endpoints of a process over HTTP: metrics, liveness,
+// readiness with the reasons why a process is not ready, and further endpoints of its
+// role.
 package ops
 
 import (
@@ -16,13 +17,13 @@
 	"github.com/pkg/errors"
 )
 
-// Timeouts against clients that never finish.
+// Timeouts that protect the server from clients which keep connections open.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = time.Minute
 )
 
-// Check returns the reasons why a part is not ready; none means ready.
+// Check returns the reasons why a part of the process is not ready, or none if it is.
 type Check func() []string
 
 // Server serves the operations endpoints.
@@ -54,11 +55,11 @@
 	mux.HandleFunc("GET /metrics", serveMetrics)
 	mux.HandleFunc("GET /livez", serveLive)
 	mux.HandleFunc("GET /readyz", s.serveReady)
-	go s.http.Serve(listener) // ends with an error that only says: closed
+	go s.http.Serve(listener) // returns ErrServerClosed once the server is closed
 	return s, nil
 }
 
-// Addr returns the address that is served.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() netip.AddrPort {
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
@@ -68,14 +69,15 @@
 	s.mux.Handle(pattern, handler)
 }
 
-// HandleJSON adds an endpoint that answers with the value as JSON.
+// HandleJSON adds an endpoint that calls value for each request and returns the result as
+// JSON.
 func (s *Server) HandleJSON(pattern string, value func() any) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, value())
 	})
 }
 
-// EnablePprof serves the profiles of net/http/pprof.
+// EnablePprof adds the endpoints of net/http/pprof.
 func (s *Server) EnablePprof() {
 	s.mux.HandleFunc("/debug/pprof/", pprof.Index)
 	s.mux.HandleFunc("/debug/pprof/cmdline", pprof.Cmdline)
@@ -84,14 +86,15 @@
 	s.mux.HandleFunc("/debug/pprof/trace", pprof.Trace)
 }
 
-// AddCheck adds a reason that readiness depends on.
+// AddCheck adds a check to the readiness endpoint.
 func (s *Server) AddCheck(check Check) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.checks = append(s.checks, check)
 }
 
-// Close stops serving; running requests may end until ctx does.
+// Close stops the server. Running requests may finish until ctx ends; then they are
+// aborted.
 func (s *Server) Close(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err != nil {
 		return s.http.Close()
@@ -110,10 +113,10 @@
 	}{true})
 }
 
-// Readiness is the answer of /readyz.
+// Readiness is the response body of /readyz.
 type Readiness struct {
 	Ready bool `json:"ready"`
-	// Findings say why the process is not ready.
+	// Findings are the reasons why the process is not ready.
 	Findings []string `json:"findings"`
 }
 
@@ -139,6 +142,6 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error here means that the client has gone.
+	// An error means that the client has closed the connection.
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -13,7 +13,7 @@
 	"github.com/saltbend/saltbend/internal/ops"
 )
 
-func TestEndpoints(t *testing.T) {
+func TestServerServesReadinessMetricsPprofAndAddedEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	s, err := ops.Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait lets a goroutine wait for a time that can be cut short.
+// Package wait provides a sleep that ends early when a context ends.
 package wait
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d. It returns the error of ctx as soon as ctx ends before.
+// For waits for d and returns nil. If ctx ends before, it returns the error of ctx at
+// once.
 func For(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
