--- a/cmd/saltbendd/packet.go
+++ b/cmd/saltbendd/packet.go
@@ -112,8 +112,9 @@
 	return code
 }
 
-// serveMetrics serves metrics at the fixed port of --metrics-port, for monitoring that
-// cannot discover ports. An error is only logged: the role works without metrics.
+// serveMetrics serves metrics at the port of --metrics-port, which, unlike a port chosen at
+// start, is always the same, for monitoring that is configured with a fixed port. An error
+// is only logged, since the role works without metrics.
 func (s *packetSettings) serveMetrics(host platform.Host, log *slog.Logger) {
 	if s.Metrics == 0 {
 		return
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -126,7 +126,7 @@
 //     such an agent or name no agent, if they were logged between the flow's first and
 //     last line or at most around before or after;
 //   - for each host that logged the flow, the last restore of the store before that time,
-//     however long ago: the host decided with what it had read since.
+//     however long ago, since the host has acted on the restored state from then on.
 func FlowHistory(all []Line, flow string, around time.Duration) History {
 	var flowLines []Line
 	agents := map[string]bool{}
--- a/internal/survey/members.go
+++ b/internal/survey/members.go
@@ -31,9 +31,9 @@
 }
 
 // Members returns the members of the fleet. It queries the given processes one after the
-// other until a balancer has answered. If none of them is a balancer, it goes on with the
-// balancers that the agents among them know, since an agent knows only its own service.
-// If no balancer answers, it returns what the agents know.
+// other until a balancer has answered. If only agents answer, it goes on with the balancers
+// that these know, since the list of an agent covers only its own service. If no balancer
+// answers at all, it returns the members that the agents know.
 func (c Client) Members(ctx context.Context, peers []netip.AddrPort) ([]member.Member, error) {
 	known := make(map[netip.AddrPort]member.Member)
 	cause := error(ErrNoAnswer)
--- a/internal/survey/rollout.go
+++ b/internal/survey/rollout.go
@@ -26,7 +26,8 @@
 	Late []netip.AddrPort
 }
 
-// Complete reports whether the revision is in force on every balancer, and there is one.
+// Complete reports whether there are live balancers and the revision is in force on all of
+// them.
 func (f Rollout) Complete() bool { return f.Balancers > 0 && len(f.Late) == 0 }
 
 // Await polls the balancers at the interval until all have the revision in force or ctx
--- a/internal/timeline/merge_test.go
+++ b/internal/timeline/merge_test.go
@@ -39,12 +39,12 @@
 // the reply differ.
 func (p process) log(t *rapid.T) timeline.Log {
 	delay := rapid.Int64Range(0, int64(20*time.Millisecond))
-	outward, homeward := time.Duration(delay.Draw(t, "there")), time.Duration(delay.Draw(t, "back"))
-	arrived := epoch.Add(time.Minute).Add(outward)
+	requestDelay, replyDelay := time.Duration(delay.Draw(t, "there")), time.Duration(delay.Draw(t, "back"))
+	arrived := epoch.Add(time.Minute).Add(requestDelay)
 	log := timeline.Log{Offset: timeline.Sample{
 		Sent:     epoch.Add(time.Minute),
 		Remote:   arrived.Add(p.ahead),
-		Received: arrived.Add(homeward),
+		Received: arrived.Add(replyDelay),
 	}.Offset()}
 	for seq, at := range p.truth {
 		log.Events = append(log.Events, event.Event{Seq: uint64(seq), Time: at.Add(p.ahead), Process: p.name})
