--- a/cmd/saltbend/apply_test.go
+++ b/cmd/saltbend/apply_test.go
@@ -111,7 +111,7 @@
 	g.Expect(errs).To(ContainSubstring("not known whether"))
 }
 
-func TestApplyWithWaitListsBalancersThatAreLate(t *testing.T) {
+func TestApplyWithWaitReturnsOnceInForceOrListsLateBalancers(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("SALTBEND_SECRETS", fleetSecret)
 	_, s := startStore(t)
