--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
-# Targets of saltbend; `make help` lists them.
+# Build, test and benchmark targets of saltbend; `make help` lists them.
 
 GO ?= go
 BIN ?= bin
-# SKIP and SKIP_SPECS in the environment are regular expressions of tests and
-# integration specs to pass over; .ci/run fills them from KNOWN-RED.txt.
+# The environment variables SKIP and SKIP_SPECS are regular expressions that match
+# the tests and the integration specs to skip; .ci/run sets them from KNOWN-RED.txt.
 
 .PHONY: help build test unit integration demo soak bed ablation bench bench-capacity bench-fleet model lint
 
@@ -13,49 +13,50 @@
 build: ## build saltbendd and saltbend into bin/
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-test: unit integration ## run every test
+test: unit integration ## run all tests
 
-unit: ## unit, property and fuzz-seed tests under the race detector
+unit: ## run the unit, property and fuzz-seed tests with the race detector
 	$(GO) test -race -timeout 5m $${SKIP:+-skip "$$SKIP"} ./internal/... ./cmd/... ./platform
 
-# The tests build the programs that they start, which the cache of results does not see.
-integration: ## tests of the stand-ins, and with real processes on loopback
+# These tests build the programs that they start. The test cache does not detect
+# changes of those programs, so -count=1 disables it.
+integration: ## run the tests of the test doubles, and the tests with real processes on loopback
 	$(GO) test -count=1 $${SKIP:+-skip "$$SKIP"} $$($(GO) list ./test/... | grep -v /test/integration)
 	$(GO) test -count=1 -timeout 12m ./test/integration $${SKIP_SPECS:+-args -ginkgo.skip "$$SKIP_SPECS"}
 
-demo: ## run a whole fleet on loopback under load while balancers die
+demo: ## run a complete fleet on loopback under load while balancers are killed
 	$(GO) run ./test/cmd/demo
 
-soak: ## faults of SEED (and COUNT - 1 more seeds) on the packet face for the time FOR each; RETURNS=1: the store also comes back from copies
+soak: ## inject the faults of SEED (and of COUNT - 1 more seeds) into a fleet of the packet face, for the time FOR per seed; RETURNS=1: the store is also restored from copies
 	$(GO) run ./test/cmd/soak --seed $(or $(SEED),1) --count $(or $(COUNT),1) --for $(or $(FOR),20s) $(if $(RETURNS),--returns)
 
-bed: ## lost requests and worth of the orders and choices under replayed loads
+bed: ## measure lost requests and served worth of each request order, and waiting times of each upstream choice, under replayed loads
 	$(GO) test -run '^$$' -bench 'Rush|Choices' -benchtime 1x ./internal/packetface/admission ./internal/packetface/steer
 
-ablation: ## the same with one policy of the order switched off at a time
+ablation: ## like bed for the request orders, with one policy of the order disabled at a time
 	$(GO) test -run '^$$' -bench 'Rush/.*/(late-last|least-slack|programs)$$' -benchtime 1x ./internal/packetface/admission
 
-bench: ## benchmarks in benchstat format
+bench: ## run the benchmarks; the output is in benchstat format
 	$(GO) test -run '^$$' -bench . -benchmem -benchtime 300ms ./internal/...
 
-bench-capacity: ## slopes for docs/CAPACITY.md
+bench-capacity: ## measure the slopes for docs/CAPACITY.md
 	set -o pipefail; $(GO) test -run '^$$' -bench Capacity -benchtime 100ms ./internal/... | tee $(BIN)/$@.txt && $(GO) run ./test/cmd/slope < $(BIN)/$@.txt
 
-bench-fleet: ## control cost of processes in fleets of 5 to 60
+bench-fleet: ## measure the control cost of the processes in fleets of 5 to 60
 	set -o pipefail; $(GO) run ./test/cmd/footprint | tee $(BIN)/$@.txt && $(GO) run ./test/cmd/slope < $(BIN)/$@.txt
 
-# The capacity targets pipe what they measure through the fit of lines; a
-# failed benchmark must fail them.
+# The capacity targets pipe their results through a line fit. They need bash for
+# pipefail, so that a failed benchmark fails the target.
 bench-capacity bench-fleet: SHELL := bash
 bench-capacity bench-fleet: | $(BIN)
 
 $(BIN):
 	mkdir -p $@
 
-model: ## check the Promela models exhaustively, and that seeded faults are caught
+model: ## check the Promela models exhaustively, and check that they detect the seeded faults
 	bash spec/check.sh
 
-lint: ## gofmt, vet and staticcheck
+lint: ## run gofmt, go vet and staticcheck
 	@unformatted=$$(gofmt -l cmd internal platform test); test -z "$$unformatted" || { echo "gofmt: $$unformatted"; exit 1; }
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
