--- a/spec/config_adopt.pml
+++ b/spec/config_adopt.pml
@@ -1,19 +1,36 @@
-/* Model of adopting a configuration.
+/* Model of configuration adoption by the balancers.
  *
- * Balancers learn revisions from the store or from each other, at any time and
- * in any order, and restart without memory. A process that has just started
- * serves only by the rule of internal/adopt.
+ * Modelled: balancers fetch revisions from the store or from peers, at any time
+ * and in any order, and restart without memory. A balancer that has restarted
+ * begins to serve only when the rule of internal/adopt permits it.
  *
- * Time and the network: a message may arrive arbitrarily late. What a process
- * says of itself only rises, so that a late message is one that names a
- * revision between what its sender had when the receiver started (low) and what
- * it has now; a message from before the receiver's start finds no receiver. An
- * outage of the store, a cut and a pause are stretches of steps in which some
- * steps do not happen, and need no state.
+ * Abstracted: a message may arrive arbitrarily late. The revision that a process
+ * reports only increases, so a late message is modelled as one that reports any
+ * revision between the one that its sender had when the receiver started (low)
+ * and the one that the sender has now. A message sent before the receiver's
+ * start is never delivered. Store outages, network cuts and pauses are sequences
+ * of steps in which some steps do not occur; they need no state.
  *
- * A revision is in force once a majority of the balancers serves on it or a
- * later one. Asserted: a process never takes over a lower revision, and does
- * not begin to serve on a revision lower than the one in force when it started.
+ * Checked: a revision is in force once a majority of the balancers serves on it
+ * or on a later one. A process never adopts a lower revision than its own, and
+ * never begins to serve on a revision lower than the one that was in force when
+ * the process started.
+ *
+ * Seeded faults, each of which must violate an assertion:
+ *   FALLS           a serving balancer goes back to the previous revision
+ *   ONE_ANSWER      one peer's answer is enough to begin serving
+ *   NEWCOMERS       answers of peers that do not serve yet are counted
+ *   OLD_READING     a read of the store made before the start is accepted
+ *   HIGHER_IGNORED  a balancer begins to serve although a higher revision was
+ *                   reported to it
+ *   LATE_ANSWERS    the last answer replaces the highest reported revision
+ *
+ * Reachability checks, each of which must find its state:
+ *   SERVES_BY_PEERS  a balancer begins to serve on revision 2 or later without
+ *                    a read of the store, by the answers of its peers
+ *   SERVES_BY_STORE  a balancer begins to serve after a read of the store
+ *   LAGS             balancer 0 serves on a revision lower than the one in force
+ *   REFUSES          a balancer has a revision, but may not serve on it yet
  */
 // FAULTS: FALLS ONE_ANSWER NEWCOMERS OLD_READING HIGHER_IGNORED LATE_ANSWERS
 // REACHES: SERVES_BY_PEERS SERVES_BY_STORE LAGS REFUSES
@@ -34,46 +51,50 @@
 #ifdef FAULT_ONE_ANSWER
 #define QUORUM 1
 #else
-#define QUORUM ((BALANCERS - 1) / 2 + 1) /* a majority of the others */
+#define QUORUM ((BALANCERS - 1) / 2 + 1) /* a majority of the other balancers */
 #endif
 #define NEVER 255
 
-byte stored = 1;             /* the store's revision */
-byte in_force = 1;           /* the highest that a majority has served on */
+byte stored = 1;             /* revision in the store */
+byte in_force = 1;           /* highest revision that a majority has served on */
 byte restarts = 0;
 
 byte have[BALANCERS];        /* adopted revision, 0 for none */
 bool serving[BALANCERS];
-/* Of a process that does not serve yet: */
-byte start_force[BALANCERS]; /* in_force at its start */
-byte start_stored[BALANCERS];
-byte higher[BALANCERS];      /* the highest revision heard of */
-byte read[BALANCERS];        /* the newest reading of the store, 0 for none */
-byte vouch[BALANCERS];       /* the peers that answered, a bit each */
-byte low[BALANCERS * BALANCERS]; /* low[b*BALANCERS+p]: the least revision that p may name to b */
-
-/* Scratch of the inlines, no part of the state. */
+/* State of a process that does not serve yet: */
+byte start_force[BALANCERS]; /* in_force when the process started */
+byte start_stored[BALANCERS]; /* stored when the process started */
+byte higher[BALANCERS];      /* highest revision that a peer reported, 0 for none */
+byte read[BALANCERS];        /* highest revision read from the store, 0 for none */
+byte vouch[BALANCERS];       /* bit set of the peers that answered */
+byte low[BALANCERS * BALANCERS]; /* low[b*BALANCERS+p]: lowest revision that p may report to b */
+
+/* Temporary variables of the inlines, not part of the state vector. */
 hidden byte i_q, i_r, i_n;
 
 #define LOW(b, p) low[(b) * BALANCERS + (p)]
 
-/* none_higher reports whether b heard of no higher revision than its own. */
+/* none_higher is true if neither a peer nor the store reported to b a revision
+ * higher than the one that b has. */
 #ifdef FAULT_HIGHER_IGNORED
 #define none_higher(b) true
 #else
 #define none_higher(b) (have[b] >= higher[b] && have[b] >= read[b])
 #endif
 
+/* rise adopts revision r at balancer b. */
 inline rise(b, r) {
 	assert(r >= have[b]);
 	have[b] = r
 }
 
-/* count sets n to the bits of v. */
+/* count sets n to the number of bits set in v. */
 inline count(v, n) {
 	n = (v & 1) + ((v >> 1) & 1) + ((v >> 2) & 1) + ((v >> 3) & 1)
 }
 
+/* note_in_force raises in_force to the highest revision that a majority of the
+ * balancers serves on, at that revision or a later one. */
 inline note_in_force() {
 	for (i_r : 1 .. REVISIONS) {
 		i_n = 0;
@@ -90,12 +111,14 @@
 	}
 }
 
-/* forget clears what only matters until a process serves. */
+/* forget clears the state that is used only until balancer b serves. */
 inline forget(b) {
 	start_force[b] = 0; start_stored[b] = 0; higher[b] = 0; read[b] = 0; vouch[b] = 0;
 	for (i_q : 0 .. BALANCERS - 1) { LOW(b, i_q) = 0 }
 }
 
+/* restart replaces balancer b by a process without memory. Peers that serve at
+ * this time may report to it the revision that they have now, or a later one. */
 inline restart(b) {
 	restarts++;
 	serving[b] = false;
@@ -112,6 +135,8 @@
 	}
 }
 
+/* begin lets balancer b serve on the revision that it has. Processes that do not
+ * serve yet may receive its answers from now on. */
 inline begin(b) {
 	assert(have[b] >= start_force[b]);
 	serving[b] = true;
@@ -129,7 +154,7 @@
 	byte p, r, n;
 end:
 	do
-	/* A process that serves learns from the store or from a peer. */
+	/* A serving balancer adopts a later revision, from the store or from a peer. */
 	:: atomic { serving[b] && have[b] < stored ->
 		select(r : have[b] + 1 .. stored);
 		rise(b, r);
@@ -139,7 +164,7 @@
 #ifdef FAULT_FALLS
 	:: atomic { serving[b] && have[b] > 1 -> rise(b, have[b] - 1) }
 #endif
-	/* One that does not hears a peer's answer, */
+	/* A balancer that does not serve yet receives the answer of a peer. */
 	:: atomic { !serving[b] ->
 		select(p : 0 .. BALANCERS - 1);
 		if
@@ -163,7 +188,8 @@
 		fi;
 		p = 0; r = 0
 	}
-	/* reads the store, or hears of a reading made since its start, */
+	/* It reads the store, or receives the result of a read that was made after
+	 * its start. */
 	:: atomic { !serving[b] && read[b] < stored ->
 #ifdef FAULT_OLD_READING
 		select(r : 1 .. stored);
@@ -173,14 +199,14 @@
 		read[b] = (r > read[b] -> r : read[b]);
 		r = 0
 	}
-	/* fetches what it heard of, */
+	/* It fetches a higher revision that a peer or the store reported. */
 	:: atomic { !serving[b] && (higher[b] > have[b] || read[b] > have[b]) ->
 		if
 		:: higher[b] > have[b] -> rise(b, higher[b])
 		:: read[b] > have[b] -> rise(b, read[b])
 		fi
 	}
-	/* and decides. */
+	/* It decides whether it may serve. */
 	:: atomic { !serving[b] && have[b] > 0 && none_higher(b) ->
 		count(vouch[b], n);
 		if
@@ -206,7 +232,7 @@
 	od
 }
 
-/* Store accepts changes. */
+/* Store accepts configuration changes. */
 proctype Store() {
 end:
 	do
--- a/spec/ticket.pml
+++ b/spec/ticket.pml
@@ -1,23 +1,65 @@
-/* Model of tickets and outcomes.
+/* Model of tickets and the outcomes that callers receive.
  *
- * Two agents, each the home of the tickets that it issues. One caller submits
- * one request: it retries under the same ticket when no answer came, takes a
- * fresh ticket when told "not run", and stops at any other outcome. A second
- * caller (rogue) sends another body under the first ticket. Each attempt
- * arrives at any agent; an agent that is not the home passes it on.
+ * Modelled: two agents, each the home of the tickets that it issues. One caller
+ * submits one request. It retries under the same ticket if it received no answer,
+ * takes a new ticket after "not run", and stops at any other outcome. A second
+ * caller (rogue) sends another body under the first ticket. Each attempt arrives
+ * at any agent; an agent that is not the ticket's home forwards it to the home.
  *
- * The network: a message, once sent, may be delivered at any later time, any
- * number of times, in any order, or never. So a message is a bit that stays
- * set. A paused process is one whose next step comes arbitrarily late; every
- * interleaving is explored, so pauses need no state of their own.
+ * An agent may shut down in good order: it closes its window, which voids the
+ * queued and the unused tickets, and then sends a final message, the closing, to
+ * the other agents. For each of its tickets the closing says "not run" or
+ * "unknown".
  *
- * An agent may stop in good order: it closes its window, which voids what is
- * queued and unused, and then gives its last word, the closing, to the others.
+ * The upstream may receive a started request at any later time, also after its
+ * agent has crashed, and may itself crash before, during or after the run.
  *
- * The upstream takes a started request from the wire at any later time, also
- * when its agent has died, and may crash before, during or after the run.
+ * Abstracted: a message that was sent may be delivered at any later time, any
+ * number of times, in any order, or never. A message is therefore a bit that
+ * stays set. A paused process is one whose next step occurs arbitrarily late;
+ * every interleaving is explored, so pauses need no state of their own.
  *
- * The constants below state the size that is explored.
+ * Checked: each body runs at most once, under whichever ticket, and no request is
+ * started after its deadline. "Not run" is reported only for a ticket and body
+ * that have not run, and they never run afterwards. "Complete" is reported only
+ * for a ticket under which this body ran, with the answer of that run.
+ *
+ * Seeded faults, each of which must violate an assertion:
+ *   VOID_SPLIT      the home answers "not run" for a queued ticket that it sheds,
+ *                   but does not void the ticket in the same step
+ *   INCARNATION     the home accepts tickets of its earlier incarnation
+ *   NONHOME_NOTRUN  an agent that is not the home answers "not run" because it
+ *                   has not forwarded the attempt itself
+ *   FORGET          the home forgets a ticket that is done or voided, and then
+ *                   treats it as unused
+ *   DEADLINE        the home starts a request after its deadline
+ *   RUN_ELSEWHERE   an agent that is not the home starts the request itself when
+ *                   it has no answer from the home
+ *   RERUN           the home queues a request again after the upstream
+ *                   connection broke
+ *   CANCEL_RUNNING  the home voids a running request that its caller cancelled
+ *   NO_DIGEST       the home does not compare the body with the digest that the
+ *                   ticket is bound to
+ *   BLANK           the home repeats a recorded answer without its content
+ *   CRASH_NOTRUN    the home answers "not run" after the upstream connection broke
+ *   VOID_FORGOTTEN  the home forgets a voided ticket, and then treats it as unused
+ *   CLOSE_EARLY     an agent sends its closing before it closes its window
+ *   CLOSE_FORGETS   the closing says "not run" of tickets that may have run
+ *
+ * Reachability checks, each of which must find its state:
+ *   COMPLETE_BY_PASS    the caller receives "complete" through an agent that is
+ *                       not the home
+ *   NOTRUN              a caller receives "not run"
+ *   UNKNOWN             a caller receives "unknown"
+ *   SECOND_TICKET       the caller takes a second ticket
+ *   REPLAY              the home repeats the recorded answer of a request that is
+ *                       done to an attempt without a pending reply
+ *   CRASH_THEN_UNKNOWN  an agent passes on the "unknown" of a home that crashed
+ *                       and restarted
+ *   JOINED              a later attempt joins a request that is queued or running
+ *   CLOSING_TOLD        a caller receives "not run" because of a closing
+ *
+ * The constants below set the size of the model that is explored.
  */
 // FAULTS: VOID_SPLIT INCARNATION NONHOME_NOTRUN FORGET DEADLINE RUN_ELSEWHERE RERUN CANCEL_RUNNING NO_DIGEST BLANK CRASH_NOTRUN VOID_FORGOTTEN CLOSE_EARLY CLOSE_FORGETS
 // REACHES: COMPLETE_BY_PASS NOTRUN UNKNOWN SECOND_TICKET REPLAY CRASH_THEN_UNKNOWN JOINED CLOSING_TOLD
@@ -30,21 +72,21 @@
 
 #define AGENTS   2
 #ifndef TICKETS
-#define TICKETS  2  /* the first, and the fresh one after "not run" */
+#define TICKETS  2  /* the first ticket, and a new one after "not run" */
 #endif
 #ifndef HONEST
-#define HONEST   2  /* attempts of the caller */
+#define HONEST   2  /* attempts by the caller */
 #endif
 #ifndef ROGUES
-#define ROGUES   0  /* attempts of another request under the first ticket */
+#define ROGUES   0  /* attempts by the second caller, with another request under the first ticket */
 #endif
 #ifndef STOPS
-#define STOPS    0  /* 1: agents may stop in good order */
+#define STOPS    0  /* 1: agents may shut down in good order */
 #endif
 #define ATTEMPTS (HONEST + ROGUES)
 #define ROGUE    HONEST
 #ifndef CRASHES
-#define CRASHES  1  /* of agents in all, each once at most */
+#define CRASHES  1  /* maximum of agent crashes in total; each agent crashes at most once */
 #endif
 
 /* States of a ticket at its home. */
@@ -53,33 +95,33 @@
 #define RUNNING 2
 #define DONE    3
 #define VOIDED  4
-#define SPENT   5  /* may have run, the record is gone */
+#define SPENT   5  /* may have run; its record no longer exists */
 
-/* Outcomes, also used as what a reply carries. */
+/* Outcomes, also used as the contents of a reply. */
 #define NONE     0
 #define COMPLETE 1
 #define NOTRUN   2
 #define UNKNOWN  3
 
-/* Where a started request is on its way to and in the upstream. */
+/* States of a started request between the agent and the upstream. */
 #define IDLE    0
 #define ON_WIRE 1
 #define AT_WORK 2
 #define ANSWERED 3
 #define BROKEN  4
-#define REFUSED 5  /* no byte was sent, and the agent knows it */
+#define REFUSED 5  /* no byte was sent, and the agent detects this */
 
-byte home[TICKETS];
+byte home[TICKETS];        /* agent that issued the ticket, AGENTS: not issued yet */
 bit  incarnation[AGENTS];  /* 1 after a crash and restart */
 bit  issuer[TICKETS];      /* incarnation that issued the ticket */
-byte crashes;
+byte crashes;              /* crashes so far */
 bit  closed[AGENTS];       /* the first incarnation has closed its window */
-byte closing[TICKETS];     /* what the home's closing says, in the network */
+byte closing[TICKETS];     /* outcome in the home's closing once it was sent, else NONE */
 
-/* The home's window. */
+/* The home's window: the state that it keeps of its tickets. */
 byte state[TICKETS];
 bit  body[TICKETS];        /* digest that the ticket is bound to */
-bit  late[TICKETS];        /* the deadline is past */
+bit  late[TICKETS];        /* the deadline has passed */
 byte record[TICKETS];      /* recorded answer */
 
 /* The upstream of the home. */
@@ -91,32 +133,33 @@
 byte at[ATTEMPTS];         /* agent at which the attempt arrived, AGENTS: none */
 byte under[ATTEMPTS];      /* ticket */
 #ifdef FAULT_NONHOME_NOTRUN
-bit  kept[ATTEMPTS];       /* the pass to the home never left */
+bit  kept[ATTEMPTS];       /* the attempt was never forwarded to the home */
 #endif
 bit  gone[ATTEMPTS];       /* the agent at which it arrived has crashed */
-bit  waits[ATTEMPTS];      /* the home counts the attempt as waiting */
+bit  waits[ATTEMPTS];      /* the attempt waits at the home for the outcome */
 byte reply[ATTEMPTS];      /* the home's reply is in the network */
 byte replyAnswer[ATTEMPTS];
-byte told[ATTEMPTS];       /* what the caller was told */
+byte told[ATTEMPTS];       /* outcome that the caller received */
 
-/* What really happened, unknown to all processes. */
-byte runs[2];              /* of each body */
+/* The actual runs. Agents and callers cannot read this state; assertions compare
+ * outcomes with it. */
+byte runs[2];              /* number of runs of each body */
 byte truth[TICKETS];       /* answer of the run under the ticket */
 bit  ran[TICKETS];
 bit  ranBody[TICKETS];
-bit  denied[TICKETS * 2];  /* "not run" was told about ticket and body */
+bit  denied[TICKETS * 2];  /* a caller received "not run" for this ticket and body */
 
 #define BODY(a)   ((a) == ROGUE)
 #define ISHOME(a) (at[a] == home[under[a]])
 #ifdef FAULT_NONHOME_NOTRUN
 #define PASSED(a) (!ISHOME(a) && !kept[a])
 #else
-#define PASSED(a) (!ISHOME(a)) /* sent at once, and in the network for ever */
+#define PASSED(a) (!ISHOME(a)) /* forwarded at once, and may be delivered at any later time */
 #endif
 #define ALIVE(t)  (issuer[t] == incarnation[home[t]])
 
-/* tell ends attempt a with outcome o: the only place where a caller learns
- * something, so what must hold of outcomes is asserted here. */
+/* tell ends attempt a with outcome o. Callers receive outcomes only here, so the
+ * properties of outcomes are asserted here. */
 inline tell(a, o, answer) {
 	assert(told[a] == NONE);
 	told[a] = o;
@@ -138,12 +181,13 @@
 #ifdef REACH_UNKNOWN
 	assert(o != UNKNOWN);
 #endif
-	reply[a] = NONE; /* last: an argument may name it */
+	reply[a] = NONE; /* last, because the arguments o and answer may refer to it */
 	replyAnswer[a] = 0;
 }
 
-/* answerNow replies to one attempt. A reply to one that was told already is
- * dropped there, so it is not sent here: that saves states only. */
+/* answerNow sends the home's reply to one attempt. A reply to an attempt that has
+ * its outcome would be dropped on arrival, so none is sent; this only reduces the
+ * number of states. */
 inline answerNow(a, o, answer) {
 	if
 	:: told[a] == NONE ->
@@ -153,7 +197,7 @@
 	fi
 }
 
-/* settle gives the one outcome to all that wait on the ticket. */
+/* settle replies with the same outcome to all attempts that wait for ticket t. */
 inline settle(t, o, answer) {
 	for (k : 0 .. ATTEMPTS - 1) {
 		if
@@ -166,7 +210,7 @@
 	k = 0
 }
 
-/* arrive is the home's Admit: the attempt reached the home's address, for the
+/* arrive models Admit of the home: attempt a reached the home's address, for the
  * first time or again. */
 inline arrive(a, t) {
 	if
@@ -185,7 +229,7 @@
 			state[t] = QUEUED;
 			body[t] = BODY(a);
 			waits[a] = 1
-		:: state[t] == UNUSED -> /* no room, no class or no body: refused for good */
+		:: state[t] == UNUSED -> /* refused for good: no room, no class or no body */
 			state[t] = VOIDED;
 			answerNow(a, NOTRUN, 0)
 		:: state[t] == VOIDED -> answerNow(a, NOTRUN, 0)
@@ -218,7 +262,7 @@
 	fi
 }
 
-/* speak is the closing of agent g. */
+/* speak sends the closing of agent g. */
 inline speak(g) {
 	for (t : 0 .. TICKETS - 1) {
 		if
@@ -235,13 +279,13 @@
 	t = 0
 }
 
-/* Ticket is the home's part for ticket t. Each atomic step is one call of the
- * window; the home's messages to its own tasks are part of the step. */
+/* Ticket models the home's handling of ticket t. Each atomic step is one call of
+ * the window, including the home's messages to its own tasks. */
 proctype Ticket(byte t) {
 	byte k = 0;
 end:
 	do
-	:: atomic { state[t] == QUEUED -> /* a slot is free: start, or void what is late */
+	:: atomic { state[t] == QUEUED -> /* a slot is free: start the request, or void it after its deadline */
 		if
 #ifdef FAULT_DEADLINE
 		:: true ->
@@ -257,7 +301,7 @@
 			workBody[t] = body[t]
 		fi
 	}
-	:: atomic { state[t] == QUEUED -> /* shed: void, which takes it out of the queue */
+	:: atomic { state[t] == QUEUED -> /* load shedding: voiding the ticket removes it from the queue */
 #ifndef FAULT_VOID_SPLIT
 		state[t] = VOIDED;
 #endif
@@ -288,11 +332,11 @@
 #endif
 #endif
 	}
-	:: atomic { state[t] == RUNNING && late[t] -> /* the run may have taken effect */
+	:: atomic { state[t] == RUNNING && late[t] -> /* deadline passed while running: the run may have taken effect */
 		state[t] = SPENT;
 		settle(t, UNKNOWN, 0)
 	}
-	:: atomic { state[t] == DONE || state[t] == VOIDED -> /* the bound: forget */
+	:: atomic { state[t] == DONE || state[t] == VOIDED -> /* the window is bounded: the home drops the record */
 #ifdef FAULT_FORGET
 		state[t] = UNUSED
 #else
@@ -303,13 +347,13 @@
 #endif
 #endif
 	}
-	:: atomic { home[t] < AGENTS && state[t] == UNUSED -> /* below the low-water mark */
+	:: atomic { home[t] < AGENTS && state[t] == UNUSED -> /* the ticket fell below the low-water mark */
 		state[t] = SPENT
 	}
 	od
 }
 
-/* Attempt is attempt a at the agent where it arrived, and its messages. */
+/* Attempt models attempt a at the agent where it arrived, and its messages. */
 proctype Attempt(byte a) {
 	byte k = 0;
 	bit others = 0;
@@ -333,7 +377,7 @@
 		tell(a, closing[under[a]], 0)
 	}
 	:: atomic { at[a] < AGENTS && !ISHOME(a) && !gone[a] && told[a] == NONE ->
-		/* the home is gone, unreachable or silent */
+		/* the home crashed, is unreachable or does not answer */
 #ifdef FAULT_RUN_ELSEWHERE
 		if
 		:: work[under[a]] == IDLE -> work[under[a]] = ON_WIRE; workBody[under[a]] = BODY(a)
@@ -349,7 +393,7 @@
 		tell(a, UNKNOWN, 0)
 #endif
 	}
-	:: atomic { waits[a] -> /* the caller cancelled, and the home learns of it */
+	:: atomic { waits[a] -> /* the caller cancelled, and the home receives the cancellation */
 		waits[a] = 0;
 		if
 #ifdef FAULT_CANCEL_RUNNING
@@ -375,7 +419,7 @@
 }
 
 #if STOPS
-/* Stop ends agent g in good order; a crash may come at any moment between. */
+/* Stop shuts agent g down in good order; a crash may occur between its steps. */
 proctype Stop(byte g) {
 	byte k = 0, t = 0;
 #ifdef FAULT_CLOSE_EARLY
@@ -402,7 +446,7 @@
 }
 #endif
 
-/* Crash restarts agent g as a new incarnation without memory. */
+/* Crash restarts agent g as a new incarnation, without memory. */
 proctype Crash(byte g) {
 	byte k = 0;
 end:
@@ -425,7 +469,7 @@
 			:: else
 			fi;
 			if
-			:: at[k] == g -> gone[k] = 1 /* its caller's connection broke */
+			:: at[k] == g -> gone[k] = 1 /* the connection to its caller broke */
 			:: else
 			fi
 		};
@@ -433,14 +477,14 @@
 	}
 }
 
-/* Upstream of ticket t's home. */
+/* Upstream models the upstream beside the home of ticket t. */
 proctype Upstream(byte t) {
 end:
 	do
 	:: atomic { work[t] == ON_WIRE ->
 		if
 		:: work[t] = REFUSED
-		:: work[t] = BROKEN /* nothing ran, but the agent can't tell */
+		:: work[t] = BROKEN /* nothing ran, but the agent cannot distinguish this from a crash during the run */
 		:: work[t] = AT_WORK;
 			assert(runs[workBody[t]] == 0);
 			assert(!ran[t]);
@@ -460,12 +504,13 @@
 	od
 }
 
-/* Clock lets the deadline of ticket t pass. */
+/* Clock makes the deadline of ticket t pass, at any time. */
 proctype Clock(byte t) {
 	late[t] = 1
 }
 
-/* Caller submits the request until it was told an outcome that ends it. */
+/* Caller submits the request until it receives an outcome other than "not run", or
+ * has used up its attempts or tickets. */
 proctype Caller() {
 	byte a = 0, t = 0, g;
 	do
@@ -481,7 +526,7 @@
 			if
 			:: t < TICKETS - 1 ->
 				t++;
-				select(g : 0 .. AGENTS - 1); /* whoever spoke issues it */
+				select(g : 0 .. AGENTS - 1); /* issued by the agent that answered, which may be any */
 				home[t] = g;
 				issuer[t] = incarnation[g];
 				state[t] = UNUSED;
@@ -492,7 +537,7 @@
 			:: else -> break
 			fi }
 		:: told[a] == COMPLETE || told[a] == UNKNOWN -> break
-		:: told[a] == NONE /* no answer: the connection broke, or the caller is impatient */
+		:: told[a] == NONE /* no answer: the connection broke, or the caller stopped waiting */
 		fi;
 		a++
 	:: else -> break
