--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,32 +1,36 @@
 #!/usr/bin/env bash
-# Runs every model in this directory exhaustively at its stated sizes, and then
-# each of its seeded faults, which the model must catch: a model that cannot
-# fail proves nothing.
+# Checks every model in this directory exhaustively at its listed sizes. Then
+# checks that each seeded fault violates an assertion, because a model that
+# cannot fail proves nothing, and that each wanted state is reachable.
 #
-# A model names in comment lines
-#   // SIZE:    -DN=2   one set of constants; each such line is explored whole
+# A model sets its parameters in comment lines:
+#   // SIZE:    -DN=2   one set of constants; each such line is explored
+#                       exhaustively
 #   // FAULTS:  A B     with -DFAULT_A an assertion must fail at some size
 #   // REACHES: A B     with -DREACH_A the assertion that a wanted state is
 #                       never reached must fail at some size
 #   // PAN:     -m9999  options of the verifier
 #   // CC:      -DX     further options of the C compiler
 #
-# Arguments name the models to run; without any, all are. JOBS searches run
-# side by side (4). Sizes stand from the smallest to the largest: a fault is
-# looked for in this order. All products go to a temporary directory.
+# Arguments are the models to check; the default is all. The environment variable
+# JOBS is the number of searches that run in parallel (default 4). SIZE lines are
+# ordered from the smallest to the largest; a fault is searched for in this order.
+# All build products go to a temporary directory.
 set -euo pipefail
 
-# words MODEL KEY: the words of all "// KEY:" lines.
+# words MODEL KEY: prints the words of all "// KEY:" lines.
 words() {
 	sed -n "s|^// *$2: *||p" "$1" | tr '\n' ' '
 }
 
-# sizes MODEL: one set of constants a line; an empty line if there is none.
+# sizes MODEL: prints one set of constants per line, or an empty line if the
+# model lists no size.
 sizes() {
 	sed -n 's|^// *SIZE: *||p' "$1" | grep . || echo
 }
 
-# explore MODEL DEFINE...: builds and runs the verifier; its report is in $out.
+# explore MODEL DEFINE...: builds and runs the verifier and leaves its report in
+# the file $out.
 explore() {
 	local model=$1 dir options
 	shift
@@ -43,26 +47,28 @@
 	)
 }
 
-# Long searches are worth optimising; most faults are found in less time than
-# that takes.
+# Optimisation level of the C compiler. Exhaustive searches are long enough to
+# gain from it; fail sets -O0, because most faults are found in less time than the
+# optimisation takes.
 optimise=-O1
 
-# whole: the last search was complete and found nothing.
+# whole: succeeds if the last search was complete and found no error.
 whole() {
 	grep -q 'errors: 0' "$out" &&
 		! grep -qE 'Search not completed|search depth too small|out of memory|reached -DMEMLIM' "$out"
 }
 
-# violated: the last search found an assertion that fails.
+# violated: succeeds if the last search found a violated assertion.
 violated() {
 	grep -q 'assertion violated' "$out"
 }
 
+# states: prints the number of states that the last search stored.
 states() {
 	sed -n 's/^ *\([0-9.e+]*\) states, stored.*/\1/p' "$out"
 }
 
-# hold MODEL SIZE: there is no violation.
+# hold MODEL SIZE: checks that the model has no violation at the given size.
 hold() {
 	local name size=$2
 	name=$(basename "$1" .pml)
@@ -75,7 +81,7 @@
 	echo "ok    $name: holds in all $(states) states at ${size:-its one size}"
 }
 
-# fail MODEL DEFINE: some size has a violation.
+# fail MODEL DEFINE: checks that DEFINE causes a violation at one size at least.
 fail() {
 	local name size optimise=-O0
 	name=$(basename "$1" .pml)
@@ -91,7 +97,7 @@
 	return 1
 }
 
-# tasks MODEL: one search a line, the long ones first.
+# tasks MODEL: prints one search per line, the long ones first.
 tasks() {
 	local word size
 	while read -r size; do
