--- a/cmd/saltbend/validate.go
+++ b/cmd/saltbend/validate.go
@@ -37,7 +37,7 @@
 		return fail(out, err, exit.Usage)
 	}
 	parsed, findings := config.ParseNext(data, 0, previous)
-	findings = findings.In(c.Args.File)
+	findings = findings.WithFile(c.Args.File)
 	if c.json() {
 		printJSON(out, report{Valid: len(findings) == 0, Findings: append(config.Findings{}, findings...)})
 	}
@@ -60,7 +60,7 @@
 		return nil, errors.Wrap(err, "read the previous configuration")
 	}
 	previous, findings := config.Parse(data, 0)
-	return previous, findings.In(c.Previous).Err()
+	return previous, findings.WithFile(c.Previous).Err()
 }
 
 // refuse prints findings for people, unless they were printed as JSON.
--- a/internal/apply/run.go
+++ b/internal/apply/run.go
@@ -59,7 +59,7 @@
 func Run(ctx context.Context, req Request, env Env) (Result, error) {
 	parsed, findings := config.Parse(req.Text, 0)
 	if len(findings) > 0 {
-		return Result{Verdict: Refused, Findings: findings.In(req.File)}, nil
+		return Result{Verdict: Refused, Findings: findings.WithFile(req.File)}, nil
 	}
 	stored, err := Current(ctx, env.Store)
 	if errors.Is(err, ErrUnreadable) {
@@ -118,7 +118,7 @@
 	}
 	next, findings := config.ParseNext(req.Text, 0, current, heldFaces...)
 	if len(findings) > 0 {
-		res.Verdict, res.Findings = Refused, findings.In(req.File)
+		res.Verdict, res.Findings = Refused, findings.WithFile(req.File)
 		return res, false
 	}
 	res.Diff = config.Diff(current, next)
--- a/internal/config/finding.go
+++ b/internal/config/finding.go
@@ -74,8 +74,8 @@
 	return f
 }
 
-// In returns a copy of the findings with File set.
-func (f Findings) In(file string) Findings {
+// WithFile returns a copy of the findings with File set.
+func (f Findings) WithFile(file string) Findings {
 	out := slices.Clone(f)
 	for i := range out {
 		out[i].File = file
