--- a/cmd/saltbend/peers.go
+++ b/cmd/saltbend/peers.go
@@ -29,12 +29,12 @@
 func (p *peerFlags) open() (*fleetAccess, error) {
 	var f settings.Findings
 	if len(p.Peers) == 0 {
-		f = append(f, settings.Finding{Place: "--peer (SALTBEND_PEERS)", What: "no process is given", Remedy: "give the control address of a balancer"})
+		f = append(f, settings.Finding{Place: "--peer (SALTBEND_PEERS)", Message: "no process is given", Remedy: "give the control address of a balancer"})
 	}
 	var first []netip.AddrPort
 	for _, a := range p.Peers {
 		if _, err := a.Parse(); err != nil {
-			f = append(f, settings.Finding{Place: "--peer (SALTBEND_PEERS)", What: err.Error(), Remedy: "give numbers, such as 192.0.2.1:4100"})
+			f = append(f, settings.Finding{Place: "--peer (SALTBEND_PEERS)", Message: err.Error(), Remedy: "give numbers, such as 192.0.2.1:4100"})
 		}
 		first = append(first, a.AddrPort())
 	}
--- a/internal/settings/findings.go
+++ b/internal/settings/findings.go
@@ -10,23 +10,23 @@
 	// Place is the flag and the environment variable, such as
 	// "--control (SALTBEND_CONTROL)".
 	Place string
-	// What describes the error.
-	What string
+	// Message describes the error.
+	Message string
 	// Remedy says how to correct it.
 	Remedy string
 }
 
 // String returns the finding as one line.
 func (f Finding) String() string {
-	return fmt.Sprintf("%s: %s; %s", f.Place, f.What, f.Remedy)
+	return fmt.Sprintf("%s: %s; %s", f.Place, f.Message, f.Remedy)
 }
 
 // Findings are all findings of one check. The error text has one line per finding.
 type Findings []Finding
 
 // Add appends a finding about a flag, which is given by its long name.
-func (f *Findings) Add(flag, what, remedy string) {
-	*f = append(*f, Finding{Place: Place(flag), What: what, Remedy: remedy})
+func (f *Findings) Add(flag, message, remedy string) {
+	*f = append(*f, Finding{Place: Place(flag), Message: message, Remedy: remedy})
 }
 
 // Error implements error.
