--- a/cmd/saltbend/validate.go
+++ b/cmd/saltbend/validate.go
@@ -37,7 +37,7 @@
 		return fail(out, err, exit.Usage)
 	}
 	parsed, findings := config.ParseNext(data, 0, previous)
-	findings = findings.In(c.Args.File)
+	findings = findings.WithFile(c.Args.File)
 	if c.json() {
 		printJSON(out, validationReport{Valid: len(findings) == 0, Findings: append(config.Findings{}, findings...)})
 	}
@@ -61,7 +61,7 @@
 		return nil, errors.Wrap(err, "read the previous configuration")
 	}
 	previous, findings := config.Parse(data, 0)
-	return previous, findings.In(c.Previous).Err()
+	return previous, findings.WithFile(c.Previous).Err()
 }
 
 // refuse prints the findings as text, unless they were printed as JSON, and returns the
