--- a/test/integration/packet_test.go
+++ b/test/integration/packet_test.go
@@ -74,7 +74,7 @@
 	Expect(f.Start(ctx, n)).To(Succeed())
 }
 
-// startUpstream starts a new instance of the node's upstream.
+// startUpstream begins a new life of the node's upstream.
 func startUpstream(n *packetfleet.Node) { Expect(n.StartUpstream()).To(Succeed()) }
 
 // useAll lets the caller spray its packets over all balancers that are ready.
--- a/test/integration/shifted_test.go
+++ b/test/integration/shifted_test.go
@@ -58,7 +58,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		agent.Upstream = again
 		Eventually(logOf(agent), patience).Should(MatchRegexp("(?s)ready %s@[0-9]+ heartbeat.*ready %s@[0-9]+ heartbeat", before.ID, before.ID))
-		_, err = flows[0].Request("to the earlier instance")
+		_, err = flows[0].Request("to the life before")
 		Expect(err).To(HaveOccurred())
 		f.openFlows(5)
 	}, SpecTimeout(specTimeout))
--- a/test/packetfleet/fleet.go
+++ b/test/packetfleet/fleet.go
@@ -74,7 +74,7 @@
 	return err
 }
 
-// StartUpstream starts the node's upstream, a new instance of it.
+// StartUpstream starts the node's upstream, a new life of it.
 func (n *Node) StartUpstream() (err error) {
 	n.Upstream, err = packetplatform.StartUpstream(n.Host)
 	return err
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -141,7 +141,7 @@
 	}
 	r.judge.end(u.ID)
 	u.Kill()
-	_ = wait.For(ctx, f.For/4) // a new instance starts in any case
+	_ = wait.For(ctx, f.For/4) // a new life begins in any case
 	if err := n.StartUpstream(); err != nil {
 		r.judge.mu.Lock()
 		r.judge.find("no new upstream at %s: %s", n.Host.Name, err)
--- a/test/soak/judge.go
+++ b/test/soak/judge.go
@@ -13,8 +13,8 @@
 // reset: one that is silent for a second counts as absent.
 const afterFault = 4 * time.Second
 
-// instance is one instance of an upstream.
-type instance struct {
+// life is one life of an upstream.
+type life struct {
 	upstream *packetplatform.Upstream
 	service  string
 	ended    time.Time
@@ -24,9 +24,9 @@
 
 // judge collects what callers and upstreams see, and finds what must not be.
 type judge struct {
-	mu        sync.Mutex
-	instances map[string]*instance
-	findings  []string
+	mu       sync.Mutex
+	lives    map[string]*life
+	findings []string
 	// late are findings that a machine without time for the processes makes, too.
 	late    []string
 	seconds []Second
@@ -42,7 +42,7 @@
 // lateAfter is the time after which an answer is late.
 const lateAfter = 500 * time.Millisecond
 
-func newJudge() *judge { return &judge{instances: make(map[string]*instance), began: time.Now()} }
+func newJudge() *judge { return &judge{lives: make(map[string]*life), began: time.Now()} }
 
 // find notes what must never be. The caller holds mu.
 func (j *judge) find(format string, args ...any) {
@@ -57,28 +57,28 @@
 	return fmt.Sprintf("%s: ", time.Since(j.began).Round(time.Millisecond)) + fmt.Sprintf(format, args...)
 }
 
-// begin notes a new instance.
+// begin notes a new life.
 func (j *judge) begin(u *packetplatform.Upstream, service string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.instances[u.ID] = &instance{upstream: u, service: service}
+	j.lives[u.ID] = &life{upstream: u, service: service}
 }
 
-// end notes that an instance has ended.
+// end notes that a life has ended.
 func (j *judge) end(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.instances[id].ended = time.Now()
+	j.lives[id].ended = time.Now()
 }
 
-// disturb notes that the agent beside an instance is under a fault for so long.
+// disturb notes that the agent beside a life is under a fault for so long.
 func (j *judge) disturb(id string, d time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.instances[id].disturbed = time.Now().Add(d + afterFault)
+	j.lives[id].disturbed = time.Now().Add(d + afterFault)
 }
 
-// answered takes an answer; it returns the instance that gave it.
+// answered takes an answer; it returns the life that gave it.
 func (j *judge) answered(flow, service, request, answer string, took time.Duration) (owner string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -87,11 +87,11 @@
 		j.find("%s asked %q and got %q", flow, request, answer)
 		return ""
 	}
-	switch i := j.instances[owner]; {
-	case i == nil:
+	switch l := j.lives[owner]; {
+	case l == nil:
 		j.find("%s was answered by the unknown %s", flow, owner)
-	case i.service != service:
-		j.find("%s of %s was answered by %s of %s", flow, service, owner, i.service)
+	case l.service != service:
+		j.find("%s of %s was answered by %s of %s", flow, service, owner, l.service)
 	}
 	j.second().Answered++
 	if took > lateAfter {
@@ -100,13 +100,13 @@
 	return owner
 }
 
-// reset takes a reset of a flow that an instance has answered before.
+// reset takes a reset of a flow that a life has answered before.
 func (j *judge) reset(flow, owner string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.second().Reset++
-	i := j.instances[owner]
-	if i == nil || !i.ended.IsZero() || time.Now().Before(i.disturbed) {
+	l := j.lives[owner]
+	if l == nil || !l.ended.IsZero() || time.Now().Before(l.disturbed) {
 		return
 	}
 	j.findLate("%s was reset though %s lives", flow, owner)
@@ -138,14 +138,14 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	runs := make(map[string]int)
-	for id, i := range j.instances {
-		for request, n := range i.upstream.Runs() {
+	for id, l := range j.lives {
+		for request, n := range l.upstream.Runs() {
 			runs[request] += n
-			if !strings.HasPrefix(request, i.service+" ") {
-				j.find("%s of %s ran %q", id, i.service, request)
+			if !strings.HasPrefix(request, l.service+" ") {
+				j.find("%s of %s ran %q", id, l.service, request)
 			}
 		}
-		if late := i.upstream.OpenedLate(); late > 0 {
+		if late := l.upstream.OpenedLate(); late > 0 {
 			j.findLate("%s got %d flows after its drain", id, late)
 		}
 	}
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -22,8 +22,8 @@
 	FreezeBalancer  Kind = "freeze-balancer"
 	KillAgent       Kind = "kill-agent"
 	FreezeAgent     Kind = "freeze-agent"
-	CrashUpstream   Kind = "crash-upstream" // another instance starts afterwards
-	DrainUpstream   Kind = "drain-upstream" // it leaves and another instance starts
+	CrashUpstream   Kind = "crash-upstream" // another life begins afterwards
+	DrainUpstream   Kind = "drain-upstream" // it leaves and another life begins
 	SlowUpstream    Kind = "slow-upstream"
 	StoreAway       Kind = "store-away"
 	StoreSilent     Kind = "store-silent"
--- a/test/soak/returns.go
+++ b/test/soak/returns.go
@@ -119,8 +119,8 @@
 func (j *judge) evacuated(n *packetfleet.Node, from, to time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	i := j.instances[n.Upstream.ID]
-	if i == nil || i.disturbed.After(from) {
+	l := j.lives[n.Upstream.ID]
+	if l == nil || l.disturbed.After(from) {
 		return // its process has begun anew meanwhile
 	}
 	if late := n.Upstream.OpenedBetween(from, to); late > 0 {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -24,7 +24,7 @@
 	{100, "a balancer that started after a lapse reset living flows (TestNoResetBeforePeersAreAsked)"},
 	{201, "the same, with two agents"},
 	{300, "an agent that was frozen while its entry lapsed stayed forgotten (TestAForgottenAgentThatSpeaksIsBack)"},
-	{7011, "an agent whose upstream had left and started another instance while the store was away stayed forgotten (TestAnAgentThatLeftStaysForgotten)"},
+	{7011, "an agent whose upstream had left and begun another life while the store was away stayed forgotten (TestAnAgentThatLeftStaysForgotten)"},
 	{302, "the stand-in upstream took late copies for new requests"},
 }
 
