--- a/test/harness/audit.go
+++ b/test/harness/audit.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/test/upstream"
 )
 
-// Audit is what the upstreams' own logs say about the runs.
+// Audit is the result of checking the upstreams' run logs against the callers' report.
 type Audit struct {
 	// Runs counts started runs by service and upstream.
 	Runs map[string]map[string]int
@@ -19,14 +19,14 @@
 	WrongService int
 	// RanTwice counts submissions that ran more than once.
 	RanTwice int
-	// RanRefused counts attempts that ran though the caller was told that
-	// they were not run.
+	// RanRefused counts attempts that ran although the caller received a refusal, which
+	// promises that the request was not run.
 	RanRefused int
-	// Findings name the first of them.
+	// Findings describes the first violations found, at most 20.
 	Findings []string
 }
 
-// Records reads the run logs of all upstreams, also of dead ones.
+// Records reads the run logs of all upstreams, including those that have exited.
 func (f *Fleet) Records() ([]upstream.Record, error) {
 	paths, err := filepath.Glob(f.path(runLogPrefix + "*"))
 	if err != nil {
@@ -43,7 +43,7 @@
 	return all, nil
 }
 
-// Audit judges the runs of all upstreams by what callers were told.
+// Audit checks the run logs of all upstreams against the outcomes that callers received.
 func (f *Fleet) Audit(report caller.Report) (Audit, error) {
 	a := Audit{Runs: make(map[string]map[string]int)}
 	records, err := f.Records()
@@ -57,7 +57,7 @@
 	for stem, runs := range submissions {
 		if runs > 1 {
 			a.RanTwice++
-			a.find("submission %s ran %d times", stem, runs)
+			a.addFinding("submission %s ran %d times", stem, runs)
 		}
 	}
 	return a, nil
@@ -69,7 +69,7 @@
 	}
 	if r.Wanted != r.Service {
 		a.WrongService++
-		a.find("request %s for %q ran at %q", r.ID, r.Wanted, r.Service)
+		a.addFinding("request %s for %q ran at %q", r.ID, r.Wanted, r.Service)
 	}
 	switch {
 	case r.Path == upstream.PathBatch || r.Path == upstream.PathAnswer:
@@ -77,10 +77,10 @@
 		submissions[stem]++
 		if refused[r.ID] {
 			a.RanRefused++
-			a.find("attempt %s ran behind a refusal", r.ID)
+			a.addFinding("attempt %s ran although the caller received a refusal", r.ID)
 		}
 	case r.Path == upstream.PathFeed:
-		return // takes no slot
+		return // a feed occupies no slot
 	}
 	if a.Runs[r.Service] == nil {
 		a.Runs[r.Service] = make(map[string]int)
@@ -88,7 +88,7 @@
 	a.Runs[r.Service][r.Upstream]++
 }
 
-func (a *Audit) find(format string, args ...any) {
+func (a *Audit) addFinding(format string, args ...any) {
 	const limit = 20
 	if len(a.Findings) < limit {
 		a.Findings = append(a.Findings, fmt.Sprintf(format, args...))
--- a/test/harness/certificate.go
+++ b/test/harness/certificate.go
@@ -17,10 +17,10 @@
 // ServerName is the name in the certificate of the test services.
 const ServerName = "saltbend.test"
 
-const certificateLife = 24 * time.Hour
+const certificateValidity = 24 * time.Hour
 
-// writeCertificate makes a self-signed certificate, writes it and its key to
-// files, and returns the pool that trusts it.
+// writeCertificate generates a self-signed certificate, writes it and its key to
+// files, and returns a pool that trusts it.
 func writeCertificate(certPath, keyPath string) (*x509.CertPool, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -31,7 +31,7 @@
 		Subject:               pkix.Name{CommonName: ServerName},
 		DNSNames:              []string{ServerName},
 		NotBefore:             time.Now().Add(-time.Hour),
-		NotAfter:              time.Now().Add(certificateLife),
+		NotAfter:              time.Now().Add(certificateValidity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
--- a/test/harness/config.go
+++ b/test/harness/config.go
@@ -14,7 +14,7 @@
 	"github.com/saltbend/saltbend/test/upstream"
 )
 
-// configTemplate is the configuration file of the test services.
+// configTemplate renders the configuration file of the test services.
 var configTemplate = template.Must(template.New("config").Parse(`version: 1
 services:
 {{- range $name, $face := .Faces}}
@@ -32,21 +32,22 @@
 {{- end}}
 `))
 
-// Values vary the configuration of the test services.
+// Values are the settings of the test services that tests vary.
 type Values struct {
 	Slots int
 	Queue int
-	// Drain and Deadline are durations in the file's form.
+	// Drain and Deadline are durations in the syntax of the configuration file, such
+	// as "5s".
 	Drain    string
 	Deadline string
 }
 
-// DefaultValues suit most tests.
+// DefaultValues returns the values that most tests use.
 func DefaultValues() Values {
 	return Values{Slots: 5, Queue: 64, Drain: "1h", Deadline: "5s"}
 }
 
-// WriteConfig writes the configuration file under a name and returns its path.
+// WriteConfig writes a configuration file with the given name and returns its path.
 func (f *Fleet) WriteConfig(name string, v Values) (string, error) {
 	var text bytes.Buffer
 	err := configTemplate.Execute(&text, map[string]any{
@@ -55,13 +56,13 @@
 		"Batch": upstream.PathBatch, "Answer": upstream.PathAnswer,
 	})
 	if err != nil {
-		return "", errors.Wrap(err, "fill the configuration")
+		return "", errors.Wrap(err, "render the configuration")
 	}
 	path := f.path(name)
 	return path, errors.Wrap(os.WriteFile(path, text.Bytes(), 0o600), "write the configuration")
 }
 
-// Result is how a run of the command-line tool ended.
+// Result is the exit code and the output of a run of the command-line tool.
 type Result struct {
 	Code           int
 	Stdout, Stderr string
@@ -86,7 +87,7 @@
 	return Result{Code: cmd.ProcessState.ExitCode(), Stdout: stdout.String(), Stderr: stderr.String()}, nil
 }
 
-// Apply applies a configuration and fails unless it was accepted.
+// Apply applies a configuration and returns an error unless it is accepted.
 func (f *Fleet) Apply(ctx context.Context, v Values) error {
 	path, err := f.WriteConfig("config.yaml", v)
 	if err != nil {
--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -22,7 +22,7 @@
 	"github.com/saltbend/saltbend/test/upstream"
 )
 
-// Secrets are the fleet secrets of the tests.
+// Secrets is the value of the fleet secrets that tests start with.
 const Secrets = "1:5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a"
 
 const (
@@ -30,56 +30,57 @@
 	dataCentre   = "cardiff-1"
 	pollInterval = 50 * time.Millisecond
 	stopTimeout  = 20 * time.Second
-	// noticeAfter is how long the fabric still sends to a dead balancer.
-	noticeAfter = 300 * time.Millisecond
-	// maxJoin is the number of processes a new one is told to learn from.
+	// detectionDelay is how long the fabric still sends to a balancer that was killed.
+	detectionDelay = 300 * time.Millisecond
+	// maxJoin is the highest number of balancers that a new process is given to join.
 	maxJoin = 3
 )
 
-// Pair is an upstream with the agent beside it.
+// Pair is an upstream and the agent that runs beside it.
 type Pair struct {
 	Service  string
 	Upstream *Process
 	Agent    *Process
 }
 
-// SetBehaviour changes how the upstream acts.
+// SetBehaviour changes the behaviour that the upstream simulates.
 func (p *Pair) SetBehaviour(ctx context.Context, b upstream.Behaviour) error {
 	return jsonhttp.Do(ctx, http.MethodPut, p.Upstream.URL("address")+"/behaviour", b, nil)
 }
 
-// Load asks the upstream for its load.
+// Load fetches the load that the upstream reports.
 func (p *Pair) Load(ctx context.Context) (upstream.Load, error) {
 	var load upstream.Load
 	err := jsonhttp.Do(ctx, http.MethodGet, p.Upstream.URL("address")+upstream.PathLoad, nil, &load)
 	return load, err
 }
 
-// Fleet is the whole system as processes.
+// Fleet runs the store, the fabric, the balancers, and the agents with their upstreams
+// as processes.
 type Fleet struct {
 	Store  *Process
 	Fabric fabric.Client
-	// Faces maps each service to its public face.
+	// Faces maps each service to its public address (face).
 	Faces map[string]netip.AddrPort
 
-	dir    string
-	bin    string
-	roots  *x509.CertPool
-	env    []string
-	mu     sync.Mutex // guards what follows
-	all    []*Process
-	live   map[string]*Process // balancers
-	nextID int
+	dir       string
+	bin       string
+	roots     *x509.CertPool
+	env       []string
+	mu        sync.Mutex // guards what follows
+	all       []*Process
+	balancers map[string]*Process // running, by name
+	nextID    int
 }
 
 // New starts the store and the fabric with one face for each service. bin is
-// the directory of the programs that Build made; dir takes logs and files.
+// the directory of the programs that Build made; logs and other files are written to dir.
 func New(ctx context.Context, bin, dir string, services ...string) (*Fleet, error) {
 	f := &Fleet{
-		Faces: make(map[string]netip.AddrPort),
-		dir:   dir,
-		bin:   bin,
-		live:  make(map[string]*Process),
+		Faces:     make(map[string]netip.AddrPort),
+		dir:       dir,
+		bin:       bin,
+		balancers: make(map[string]*Process),
 	}
 	f.env = []string{f.secretsEnv(), "SALTBEND_DC=" + dataCentre}
 	if err := f.writeSecrets(Secrets); err != nil {
@@ -92,7 +93,7 @@
 	return f, nil
 }
 
-// Build builds the product's programs and the stand-ins into bin.
+// Build compiles the product's programs and the stand-ins into the directory bin.
 func Build(ctx context.Context, bin string) error {
 	const module = "github.com/saltbend/saltbend"
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", bin+"/",
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// start starts a program of the fleet and keeps it for Close.
+// start starts a program and records its process for Close.
 func (f *Fleet) start(ctx context.Context, name, program string, args ...string) (*Process, error) {
 	p, err := Start(ctx, f.dir, name, filepath.Join(f.bin, program), f.env, args...)
 	if err != nil {
@@ -138,7 +139,7 @@
 
 func (f *Fleet) path(name string) string { return filepath.Join(f.dir, name) }
 
-// id returns a name that no process of the fleet has had.
+// id returns a name that no process of the fleet has used.
 func (f *Fleet) id(kind string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,13 +147,13 @@
 	return fmt.Sprintf("%s-%d", kind, f.nextID)
 }
 
-// memberArgs are the settings by which a new process finds the fleet.
+// memberArgs returns the flags with the store and the balancers that a new process joins.
 func (f *Fleet) memberArgs(store string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	args := []string{"--store", store}
 	joined := 0
-	for _, b := range f.live {
+	for _, b := range f.balancers {
 		if joined < maxJoin && b.Alive() {
 			args = append(args, "--join", b.Address("control").String())
 			joined++
@@ -161,13 +162,13 @@
 	return args
 }
 
-// AddBalancer starts a balancer, waits until it serves all faces, and lets the
-// fabric spray over it.
+// AddBalancer starts a balancer, waits until it serves all faces, and adds it to the
+// balancers over which the fabric distributes packets.
 func (f *Fleet) AddBalancer(ctx context.Context) (*Process, error) {
 	return f.AddBalancerVia(ctx, f.Store.URL("address"))
 }
 
-// AddBalancerVia is AddBalancer with another way to the store.
+// AddBalancerVia is AddBalancer with another URL of the store.
 func (f *Fleet) AddBalancerVia(ctx context.Context, store string) (*Process, error) {
 	p, err := f.startBalancer(ctx, store)
 	if err != nil {
@@ -176,7 +177,7 @@
 	return p, f.Spray(ctx, p)
 }
 
-// startBalancer starts a balancer that finds the store at the URL.
+// startBalancer starts a balancer that uses the store at the URL.
 func (f *Fleet) startBalancer(ctx context.Context, store string, args ...string) (*Process, error) {
 	args = append(append([]string{"balancer", "--face-host", "127.0.0.1"}, f.memberArgs(store)...), args...)
 	p, err := f.start(ctx, f.id("balancer"), "saltbendd", args...)
@@ -185,11 +186,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.live[p.Name] = p
+	f.balancers[p.Name] = p
 	return p, nil
 }
 
-// Spray waits until the balancer is ready with all faces and tells the fabric.
+// Spray waits until the balancer is ready and serves all faces, and adds it to the fabric.
 func (f *Fleet) Spray(ctx context.Context, p *Process) error {
 	var faces map[netip.AddrPort]netip.AddrPort
 	err := f.await(ctx, p, func() bool {
@@ -210,12 +211,13 @@
 	return f.Fabric.SetBalancer(ctx, p.Name, faces)
 }
 
-// Ready asks a process whether it is ready.
+// Ready reports whether the process answers its readiness check with success.
 func (f *Fleet) Ready(ctx context.Context, p *Process) bool {
 	return jsonhttp.Do(ctx, http.MethodGet, p.URL("ops")+"/readyz", nil, nil) == nil
 }
 
-// await polls until done or the process has ended or readyTimeout is over.
+// await polls until done returns true. It fails when the process ends, the context is
+// cancelled, or readyTimeout passes.
 func (f *Fleet) await(ctx context.Context, p *Process, done func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -225,45 +227,45 @@
 		select {
 		case <-tick.C:
 		case <-p.Done():
-			return errors.Errorf("%s ended:\n%s", p.Name, p.LogTail())
+			return errors.Errorf("%s ended while the harness waited for it:\n%s", p.Name, p.LogTail())
 		case <-ctx.Done():
-			return errors.Errorf("%s does not get ready:\n%s", p.Name, p.LogTail())
+			return errors.Errorf("%s did not reach the expected state in time:\n%s", p.Name, p.LogTail())
 		}
 	}
 	return nil
 }
 
-// KillBalancer kills a balancer and takes it out of the spray noticeAfter, as a
-// fabric with health checks does.
+// KillBalancer kills a balancer and removes it from the fabric after detectionDelay, as
+// a fabric with health checks does.
 func (f *Fleet) KillBalancer(ctx context.Context, p *Process) error {
 	p.Kill()
-	f.forget(p)
-	time.Sleep(noticeAfter)
+	f.removeBalancer(p)
+	time.Sleep(detectionDelay)
 	return f.Fabric.RemoveBalancer(ctx, p.Name)
 }
 
-// StopBalancer takes a balancer out of the spray and stops it gracefully.
+// StopBalancer removes a balancer from the fabric and stops it gracefully.
 func (f *Fleet) StopBalancer(ctx context.Context, p *Process) error {
 	if err := f.Fabric.RemoveBalancer(ctx, p.Name); err != nil {
 		return err
 	}
-	f.forget(p)
+	f.removeBalancer(p)
 	_, err := p.Stop(stopTimeout)
 	return err
 }
 
-func (f *Fleet) forget(p *Process) {
+func (f *Fleet) removeBalancer(p *Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.live, p.Name)
+	delete(f.balancers, p.Name)
 }
 
-// Balancers returns the live balancers.
+// Balancers returns the balancers that have been neither killed nor stopped.
 func (f *Fleet) Balancers() []*Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*Process
-	for _, p := range f.live {
+	for _, p := range f.balancers {
 		out = append(out, p)
 	}
 	return out
@@ -284,8 +286,8 @@
 	return pair, f.AddAgent(ctx, pair)
 }
 
-// AddAgent starts an agent beside the pair's upstream, in place of an earlier
-// one if there was any.
+// AddAgent starts an agent for the pair's upstream and replaces the pair's previous
+// agent, if any.
 func (f *Fleet) AddAgent(ctx context.Context, pair *Pair) error {
 	args := append([]string{
 		"agent", "--service", pair.Service, "--upstream", pair.Upstream.URL("address"),
@@ -299,13 +301,13 @@
 	return f.await(ctx, pair.Agent, func() bool { return f.Ready(ctx, pair.Agent) })
 }
 
-// Caller returns a caller of the service that counts into tally and gives up
-// an attempt of a submission after attempt, if that is not zero.
+// Caller returns a caller of the service that counts into tally. An attempt of a
+// submission times out after attempt, if that is not zero.
 func (f *Fleet) Caller(name, service string, tally *caller.Tally, attempt time.Duration) *caller.Caller {
 	return caller.New(f.CallerOptions(name, service, tally, attempt))
 }
 
-// CallerOptions returns the options of a caller as Caller makes it.
+// CallerOptions returns the options that Caller uses.
 func (f *Fleet) CallerOptions(name, service string, tally *caller.Tally, attempt time.Duration) caller.Options {
 	return caller.Options{
 		Name:           name,
@@ -318,19 +320,19 @@
 	}
 }
 
-// SetStoreFaults changes how the store acts.
+// SetStoreFaults sets the faults that the store simulates.
 func (f *Fleet) SetStoreFaults(ctx context.Context, faults storefake.Faults) error {
 	return jsonhttp.Do(ctx, http.MethodPut, f.Store.URL("address")+"/faults", faults, nil)
 }
 
-// StoreWrites returns the store's writes that took effect, oldest first.
+// StoreWrites returns the writes that the store applied, oldest first.
 func (f *Fleet) StoreWrites(ctx context.Context) ([]storefake.Write, error) {
 	var writes []storefake.Write
 	err := jsonhttp.Do(ctx, http.MethodGet, f.Store.URL("address")+"/writes", nil, &writes)
 	return writes, err
 }
 
-// Close ends all processes that the fleet started.
+// Close kills all processes that the fleet started.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -345,7 +347,7 @@
 	wait.Wait()
 }
 
-// Logs returns the end of each process's log, for a failed test.
+// Logs returns the end of each process's log, for the output of a failed test.
 func (f *Fleet) Logs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/test/harness/link.go
+++ b/test/harness/link.go
@@ -9,24 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// Link is a TCP link to the store that can be cut without either side being
-// told.
+// Link is a TCP proxy, usually in front of the store, that can stop forwarding without
+// closing connections, so that neither side notices.
 type Link struct {
 	proxy *toxiproxy.Proxy
 }
 
-// toxics hold back all bytes of either direction; no connection is closed.
+// toxics are the toxiproxy settings that withhold all bytes in both directions without
+// closing a connection.
 var toxics = map[string]string{
 	"to":   `{"name":"to","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`,
 	"from": `{"name":"from","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`,
 }
 
-// NewLink returns an open link to the fleet's store.
+// NewLink returns a link that forwards to the fleet's store.
 func (f *Fleet) NewLink(name string) (*Link, error) {
 	return NewLinkTo(name, f.Store.Address("address").String())
 }
 
-// NewLinkTo returns an open link to an address.
+// NewLinkTo returns a link that forwards to an address.
 func NewLinkTo(name, address string) (*Link, error) {
 	proxy := toxiproxy.NewProxy()
 	proxy.Name = name
@@ -35,19 +36,19 @@
 	return &Link{proxy: proxy}, errors.Wrap(proxy.Start(), "start proxy")
 }
 
-// URL is the store's address through the link.
+// URL returns the base URL at which the target is reached through the link.
 func (l *Link) URL() string { return "http://" + l.Address() }
 
-// Address is where the link listens.
+// Address returns the address that the link listens on.
 func (l *Link) Address() string { return l.proxy.Listen }
 
-// slowToxic is the name of the toxic of Slow.
+// slowToxic names the toxic that Slow adds.
 const slowToxic = "slow"
 
-// Slow delays all that comes back by about d; 0 ends that.
+// Slow delays all bytes from the target by about d; 0 removes the delay.
 func (l *Link) Slow(d time.Duration) error {
 	if d == 0 {
-		return errors.Wrap(l.proxy.Toxics.RemoveToxic(slowToxic), "end delay")
+		return errors.Wrap(l.proxy.Toxics.RemoveToxic(slowToxic), "remove delay")
 	}
 	toxic := fmt.Sprintf(`{"name":%q,"type":"latency","stream":"downstream","attributes":{"latency":%d,"jitter":%d}}`,
 		slowToxic, d.Milliseconds(), d.Milliseconds()/4)
@@ -55,7 +56,7 @@
 	return errors.Wrap(err, "delay link")
 }
 
-// Cut holds back all that is sent.
+// Cut withholds all bytes in both directions and leaves connections open.
 func (l *Link) Cut() error {
 	for _, toxic := range toxics {
 		if _, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(toxic)); err != nil {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// Heal opens the link again.
+// Heal ends the cut; the link forwards again.
 func (l *Link) Heal() error {
 	for name := range toxics {
 		if err := l.proxy.Toxics.RemoveToxic(name); err != nil {
@@ -75,5 +76,5 @@
 	return nil
 }
 
-// Close ends the link.
+// Close stops the proxy.
 func (l *Link) Close() { l.proxy.Stop() }
--- a/test/harness/metrics.go
+++ b/test/harness/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Metric returns the sum of the process's samples whose name and labels start
+// Metric returns the sum of the process's metric samples whose name and labels start
 // with prefix.
 func (p *Process) Metric(ctx context.Context, prefix string) (float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL("ops")+"/metrics", nil)
--- a/test/harness/network.go
+++ b/test/harness/network.go
@@ -14,23 +14,23 @@
 	"github.com/pkg/errors"
 )
 
-// Network carries the control traffic of balancers, and their calls to the
-// store, through relays of its own. A cut holds back what crosses it and closes
-// no connection.
+// Network relays the control traffic of balancers and their calls to the store, so that
+// tests can partition it. A partition withholds the bytes between its sides and closes no
+// connection.
 type Network struct {
 	fleet *Fleet
 	store *relay
 
 	mu     sync.Mutex // guards what follows
 	relays []*relay
-	// island are the processes on the far side of the cut, none while there is
-	// no cut; healed is closed at its end.
-	island []*Process
-	healed chan struct{}
+	// isolated are the processes that a partition separates from all others, nil while
+	// there is none; healed is closed when the partition ends.
+	isolated []*Process
+	healed   chan struct{}
 }
 
-// relay takes connections in front of one process. The owner is nil in front of
-// the store.
+// relay accepts connections for one process (owner) and forwards them to target. The
+// owner is nil for the relay of the store.
 type relay struct {
 	network  *Network
 	listener net.Listener
@@ -39,7 +39,7 @@
 	owner    *Process
 }
 
-// NewNetwork returns a network without a cut.
+// NewNetwork returns a network without a partition.
 func (f *Fleet) NewNetwork() (*Network, error) {
 	n := &Network{fleet: f}
 	var err error
@@ -49,8 +49,8 @@
 	return n, err
 }
 
-// AddBalancer is Fleet.AddBalancer for a balancer whose control traffic and
-// calls to the store the network carries.
+// AddBalancer is Fleet.AddBalancer for a balancer that is reached, and reaches the
+// store, through the network's relays.
 func (n *Network) AddBalancer(ctx context.Context) (*Process, error) {
 	r, err := n.listen()
 	if err != nil {
@@ -65,25 +65,25 @@
 	return p, n.fleet.Spray(ctx, p)
 }
 
-// Cut holds back all that the processes send to other balancers and to the
-// store, and all that other balancers send to them.
-func (n *Network) Cut(island ...*Process) {
+// Cut withholds all bytes between the given processes on one side and the other balancers
+// and the store on the other.
+func (n *Network) Cut(isolated ...*Process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.island, n.healed = island, make(chan struct{})
+	n.isolated, n.healed = isolated, make(chan struct{})
 }
 
-// Heal ends the cut; what was held back goes on.
+// Heal ends the partition and forwards the withheld bytes.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.island != nil {
-		n.island = nil
+	if n.isolated != nil {
+		n.isolated = nil
 		close(n.healed)
 	}
 }
 
-// Close ends the relays' listeners. Connections end with their processes.
+// Close closes the relays' listeners. Connections are closed when their processes end.
 func (n *Network) Close() {
 	n.Heal()
 	n.mu.Lock()
@@ -96,7 +96,7 @@
 func (n *Network) listen() (*relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for a relay")
+		return nil, errors.Wrap(err, "open the listener of a relay")
 	}
 	r := &relay{network: n, listener: listener, ready: make(chan struct{})}
 	n.mu.Lock()
@@ -106,16 +106,17 @@
 	return r, nil
 }
 
-// pass waits while a cut lies between the caller and the owner of a relay.
-func (n *Network) pass(from func() *Process, to *Process) {
+// awaitHeal blocks while a partition separates the process that connected to a relay from
+// the owner of the relay.
+func (n *Network) awaitHeal(from func() *Process, to *Process) {
 	n.mu.Lock()
-	island, healed := n.island, n.healed
+	isolated, healed := n.isolated, n.healed
 	n.mu.Unlock()
-	if island == nil {
+	if isolated == nil {
 		return
 	}
-	// Agents and tools reach both sides.
-	if p := from(); p != nil && slices.Contains(island, p) != slices.Contains(island, to) {
+	// Agents and tools are not partitioned: they reach both sides.
+	if p := from(); p != nil && slices.Contains(isolated, p) != slices.Contains(isolated, to) {
 		<-healed
 	}
 }
@@ -138,9 +139,10 @@
 func (r *relay) serve(conn net.Conn) {
 	defer conn.Close()
 	<-r.ready
-	// Found out late: a balancer that starts is not among the live ones yet.
-	from := sync.OnceValue(func() *Process { return r.network.caller(conn) })
-	r.network.pass(from, r.owner)
+	// The lookup is deferred until a partition exists: a balancer that is still starting
+	// is not listed in Fleet.Balancers yet, so an early lookup would not find it.
+	from := sync.OnceValue(func() *Process { return r.network.dialer(conn) })
+	r.network.awaitHeal(from, r.owner)
 	onward, err := net.Dial("tcp4", r.target.String())
 	if err != nil {
 		return
@@ -151,7 +153,7 @@
 		buffer := make([]byte, 32<<10)
 		for {
 			count, err := src.Read(buffer)
-			r.network.pass(from, r.owner)
+			r.network.awaitHeal(from, r.owner)
 			if _, failed := dst.Write(buffer[:count]); err != nil || failed != nil {
 				break
 			}
@@ -163,12 +165,12 @@
 	<-ended
 }
 
-// caller returns the live balancer that made the connection, or nil.
-func (n *Network) caller(conn net.Conn) *Process {
-	link := "socket:[" + inode(conn) + "]"
+// dialer returns the running balancer that opened the connection, nil if none did.
+func (n *Network) dialer(conn net.Conn) *Process {
+	link := "socket:[" + peerInode(conn) + "]"
 	for _, p := range n.fleet.Balancers() {
 		dir := fmt.Sprintf("/proc/%d/fd/", p.cmd.Process.Pid)
-		files, _ := os.ReadDir(dir) // none of a process that has ended
+		files, _ := os.ReadDir(dir) // empty for a process that has ended
 		for _, file := range files {
 			if target, err := os.Readlink(dir + file.Name()); err == nil && target == link {
 				return p
@@ -178,16 +180,16 @@
 	return nil
 }
 
-// inode returns the number of the socket at the other end of a connection over
-// loopback, as the kernel lists it.
-func inode(conn net.Conn) string {
+// peerInode returns the inode of the peer's socket of a loopback connection, as
+// /proc/net/tcp lists it, or an empty string.
+func peerInode(conn net.Conn) string {
 	table, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return ""
 	}
 	defer table.Close()
-	const local, remote, number = 1, 2, 9 // columns
-	ends := [2]string{listed(conn.RemoteAddr()), listed(conn.LocalAddr())}
+	const local, remote, number = 1, 2, 9 // columns of /proc/net/tcp
+	ends := [2]string{procNetAddr(conn.RemoteAddr()), procNetAddr(conn.LocalAddr())}
 	lines := bufio.NewScanner(table)
 	for lines.Scan() {
 		columns := strings.Fields(lines.Text())
@@ -198,8 +200,8 @@
 	return ""
 }
 
-// listed returns a loopback address as the kernel's table shows it.
-func listed(addr net.Addr) string {
+// procNetAddr returns an IPv4 address in the notation of /proc/net/tcp.
+func procNetAddr(addr net.Addr) string {
 	a := addr.(*net.TCPAddr).AddrPort()
 	ip := a.Addr().Unmap().As4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port())
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -1,5 +1,6 @@
-// Package harness starts the product and the stand-ins as real processes on
-// loopback, with ports that the kernel chooses, and ends them by process id.
+// Package harness runs the product and the stand-ins for its environment (store, fabric,
+// upstreams) as real processes on loopback. Ports are assigned by the kernel; processes
+// are ended by process id.
 package harness
 
 import (
@@ -25,11 +26,10 @@
 	maxLogLine   = 1 << 20
 )
 
-// Process is one running process of the fleet.
+// Process is a process that the harness started.
 type Process struct {
 	Name string
-	// LogPath is the file with what the process wrote to standard error and
-	// standard output.
+	// LogPath is the file that receives the process's standard output and standard error.
 	LogPath string
 
 	cmd   *exec.Cmd
@@ -38,7 +38,7 @@
 	done  chan struct{}
 }
 
-// Start starts a program and waits until it logs that it is ready.
+// Start starts a program and waits until it logs its ready message.
 func Start(ctx context.Context, dir, name, program string, env []string, args ...string) (*Process, error) {
 	p := &Process{
 		Name:    name,
@@ -48,8 +48,8 @@
 		done:    make(chan struct{}),
 	}
 	p.cmd.Env = append(os.Environ(), env...)
-	// Its own group, so that signals reach no other process; the kernel ends
-	// it with the harness.
+	// A process group of its own keeps signals to the harness from reaching the process;
+	// Pdeathsig makes the kernel kill it when the harness ends.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	output, writer, err := os.Pipe()
 	if err != nil {
@@ -64,7 +64,7 @@
 		log.Close()
 		return nil, errors.Wrapf(err, "start %s", name)
 	}
-	_ = writer.Close() // the process has its own
+	_ = writer.Close() // the process has its own descriptor of the pipe
 	go p.follow(output, log)
 	if err := p.awaitReady(ctx); err != nil {
 		p.Kill()
@@ -82,14 +82,14 @@
 	case <-p.done:
 		return errors.Errorf("%s ended before it was ready:\n%s", p.Name, p.LogTail())
 	case <-timeout.C:
-		return errors.Errorf("%s is not ready after %s:\n%s", p.Name, readyTimeout, p.LogTail())
+		return errors.Errorf("%s did not become ready within %s:\n%s", p.Name, readyTimeout, p.LogTail())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// follow copies the log to its file, reports the ready line and reaps the
-// process.
+// follow copies the output of the process to its log file, delivers the attributes of the
+// ready message, and reaps the process.
 func (p *Process) follow(output io.ReadCloser, log *os.File) {
 	defer close(p.done)
 	defer log.Close()
@@ -101,27 +101,27 @@
 		if json.Unmarshal(lines.Bytes(), &attrs) == nil && attrs["msg"] == readyMessage {
 			select {
 			case p.ready <- attrs:
-			default: // told once already
+			default: // delivered already
 			}
 		}
 	}
 	_ = p.cmd.Wait() // the exit code is read from the process state
 }
 
-// Address returns an address that the process logged when it was ready.
+// Address returns the address under a key of the process's ready message.
 func (p *Process) Address(key string) netip.AddrPort {
 	text, _ := p.attrs[key].(string)
-	addr, _ := netip.ParseAddrPort(text) // the zero value fails at its use
+	addr, _ := netip.ParseAddrPort(text) // the zero value makes the caller's connection attempt fail
 	return addr
 }
 
-// URL returns the base URL of an address that the process logged.
+// URL returns the base URL for the address under a key of the ready message.
 func (p *Process) URL(key string) string { return "http://" + p.Address(key).String() }
 
 // PID returns the id of the process.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Alive reports whether the process still runs.
+// Alive reports whether the process is still running.
 func (p *Process) Alive() bool {
 	select {
 	case <-p.done:
@@ -131,28 +131,28 @@
 	}
 }
 
-// Signal sends a signal to the process if it still runs.
+// Signal sends a signal to the process if it is still running.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.Alive() {
-		_ = p.cmd.Process.Signal(s) // it may have ended by now
+		_ = p.cmd.Process.Signal(s) // the process may have ended in the meantime
 	}
 }
 
-// Freeze stops the process without its noticing and returns when all of it
-// stands still; Thaw lets it go on.
+// Freeze suspends the process with SIGSTOP, which it can't handle or observe, and returns
+// when all its threads are stopped. Thaw resumes it.
 func (p *Process) Freeze() error { return freeze.Process(p.PID()) }
 
-// Thaw continues a frozen process.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Stop asks for a graceful end and returns the exit code. When the process
-// has not ended within the timeout it is killed and Stop fails.
+// Stop sends SIGTERM and returns the exit code. If the process has not ended within the
+// timeout, Stop kills it and returns an error.
 func (p *Process) Stop(timeout time.Duration) (int, error) {
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -167,10 +167,10 @@
 // ExitCode returns the exit code of a process that has ended.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// LogTail returns the end of the process's log.
+// LogTail returns the last 4000 bytes of the process's log.
 func (p *Process) LogTail() string {
 	const tail = 4000
 	data, err := os.ReadFile(p.LogPath)
--- a/test/harness/secrets.go
+++ b/test/harness/secrets.go
@@ -13,19 +13,19 @@
 
 const (
 	secretsFile = "secrets"
-	// rereadMessage is what the daemon logs after it has taken new secrets.
+	// rereadMessage is the log message of the daemon after it has loaded new secrets.
 	rereadMessage = "Secrets read again."
 )
 
-// secretsEnv is how the programs of the fleet find its secrets.
+// secretsEnv returns the environment variable that points programs to the secrets file.
 func (f *Fleet) secretsEnv() string { return "SALTBEND_SECRETS_FILE=" + f.path(secretsFile) }
 
 func (f *Fleet) writeSecrets(secrets string) error {
 	return errors.Wrap(os.WriteFile(f.path(secretsFile), []byte(secrets), 0o600), "write the secrets")
 }
 
-// RotateSecrets gives other secrets to all running members, one after the
-// other, and to those that are started later.
+// RotateSecrets replaces the secrets file and makes all running balancers and agents
+// reload it, one after the other. Processes started later read the new file.
 func (f *Fleet) RotateSecrets(ctx context.Context, secrets string) error {
 	if err := f.writeSecrets(secrets); err != nil {
 		return err
@@ -37,17 +37,17 @@
 		if filepath.Base(p.cmd.Path) != "saltbendd" || !p.Alive() {
 			continue
 		}
-		before := p.logged(rereadMessage)
+		before := p.countLogged(rereadMessage)
 		p.Signal(syscall.SIGHUP)
-		if err := f.await(ctx, p, func() bool { return p.logged(rereadMessage) > before }); err != nil {
+		if err := f.await(ctx, p, func() bool { return p.countLogged(rereadMessage) > before }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// logged counts how often the process has logged the text.
-func (p *Process) logged(text string) int {
+// countLogged returns how often the process has logged the text.
+func (p *Process) countLogged(text string) int {
 	data, err := os.ReadFile(p.LogPath)
 	if err != nil {
 		return 0
--- a/test/harness/usage.go
+++ b/test/harness/usage.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// ticksPerSecond is the unit of processor time in /proc, on all machines
-	// that Go runs on.
+	// ticksPerSecond is the resolution of processor times in /proc (USER_HZ), the same on
+	// all platforms that Go supports.
 	ticksPerSecond = 100
-	// utimeField is the place of the user time after the command's name in
-	// /proc/PID/stat; the system time follows.
+	// utimeField is the index of the user time among the fields that follow the command
+	// name in /proc/PID/stat; the next field is the system time.
 	utimeField = 11
 	kilobyte   = 1024
 )
 
-// CPUSeconds returns the processor time that the process has used.
+// CPUSeconds returns the user and system time of the process in seconds.
 func (p *Process) CPUSeconds() (float64, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
@@ -33,39 +33,39 @@
 	for _, field := range fields[utimeField : utimeField+2] {
 		n, err := strconv.Atoi(field)
 		if err != nil {
-			return 0, errors.Wrap(err, "processor time")
+			return 0, errors.Wrap(err, "parse processor time")
 		}
 		ticks += n
 	}
 	return float64(ticks) / ticksPerSecond, nil
 }
 
-// Memory returns the bytes of the process that the machine holds, and those of
-// them that no file backs, which only this process has.
+// Memory returns the resident memory of the process in bytes, and the part of it that is
+// anonymous: not backed by a file and not shared with other processes.
 func (p *Process) Memory() (resident, anonymous float64, err error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
 		return 0, 0, errors.Wrap(err, "read status")
 	}
-	if resident, err = amount(string(status), "VmRSS:"); err != nil {
+	if resident, err = statusBytes(string(status), "VmRSS:"); err != nil {
 		return 0, 0, err
 	}
-	anonymous, err = amount(string(status), "RssAnon:")
+	anonymous, err = statusBytes(string(status), "RssAnon:")
 	return resident, anonymous, err
 }
 
-// amount returns a number of bytes from the text of /proc/PID/status.
-func amount(status, name string) (float64, error) {
+// statusBytes returns the value of a field of /proc/PID/status in bytes.
+func statusBytes(status, name string) (float64, error) {
 	_, rest, _ := strings.Cut(status, name)
 	text, _, found := strings.Cut(rest, " kB")
 	if !found {
-		return 0, errors.Errorf("no %s in the status of the process", name)
+		return 0, errors.Errorf("field %s is missing in /proc/PID/status", name)
 	}
 	n, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	return n * kilobyte, errors.Wrap(err, name)
 }
 
-// LoggedAt returns when the process logged the message, after since.
+// LoggedAt returns the times, later than since, at which the process logged the message.
 func (p *Process) LoggedAt(message string, since time.Time) ([]time.Time, error) {
 	data, err := os.ReadFile(p.LogPath)
 	if err != nil {
@@ -78,7 +78,7 @@
 			Msg  string
 		}
 		if json.Unmarshal([]byte(text), &line) != nil {
-			continue // not of the logger
+			continue // not a line of the structured log
 		}
 		if line.Msg == message && line.Time.After(since) {
 			times = append(times, line.Time)
