--- a/test/upstream/http.go
+++ b/test/upstream/http.go
@@ -13,7 +13,8 @@
 	"github.com/saltbend/saltbend/test/jsonhttp"
 )
 
-// Paths that an upstream serves. Everything else is a request.
+// Paths of an upstream. Every path other than those of health, load, feed and behaviour is
+// run as a request.
 const (
 	PathHealth    = "/health"
 	PathLoad      = "/load"
@@ -25,10 +26,10 @@
 	pathBehaviour = "/behaviour"
 )
 
-// crashExitCode is the exit code of a crash that was asked for.
+// crashExitCode is the exit code of a crash triggered by Behaviour.CrashNext.
 const crashExitCode = 42
 
-// Answer is the body of a whole answer.
+// Answer is the body of a complete answer.
 type Answer struct {
 	Service  string
 	Upstream string
@@ -45,7 +46,8 @@
 	Feeds int `json:"feeds"`
 }
 
-// Handler serves requests, health, load and the steering endpoint.
+// Handler returns the HTTP handler for requests, for the health and load endpoints, and for
+// the endpoint that sets the behaviour.
 func (u *Upstream) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, u.serveHealth)
@@ -118,12 +120,13 @@
 	u.record(r, PhaseEnd)
 }
 
-// serveFeed sends numbered events for ever, from the one after Last-Event-ID.
+// serveFeed sends numbered events, starting after Last-Event-ID, until the client closes
+// the connection.
 func (u *Upstream) serveFeed(w http.ResponseWriter, r *http.Request) {
 	u.record(r, PhaseStart)
 	u.countFeed(1)
 	defer u.countFeed(-1)
-	last, _ := strconv.ParseUint(r.Header.Get("Last-Event-ID"), 10, 64) // absent: from the first
+	last, _ := strconv.ParseUint(r.Header.Get("Last-Event-ID"), 10, 64) // starts with the first event if the header is absent
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := http.NewResponseController(w)
 	for id := last + 1; ; id++ {
--- a/test/upstream/upstream.go
+++ b/test/upstream/upstream.go
@@ -1,8 +1,8 @@
-// Package upstream stands in for a back end: it has slots, a service time, a
-// cold start, feeds with event ids and uploads; it can announce a drain, shed,
-// lie about its health and load, answer errors quickly and crash while it
-// runs a request. It logs each run before it starts, so that double runs and
-// runs of another service's requests are seen at the source.
+// Package upstream simulates an upstream: it has slots, a service time, a cold start, feeds
+// with event ids, and uploads. It can announce a drain, reject requests, report false health
+// and load, answer with errors quickly, and crash while it runs a request. It logs each run
+// before the run starts, so that tests can detect repeated runs and runs of requests for
+// another service.
 package upstream
 
 import (
@@ -18,44 +18,45 @@
 
 // Headers that callers set for the upstream's log.
 const (
-	// HeaderRequestID names a request; a caller's retry carries the same id.
+	// HeaderRequestID contains the id of a request; retries of it have the same id.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderWanted names the service that the caller wants.
+	// HeaderWanted contains the name of the service that the caller sends the request to.
 	HeaderWanted = "X-Wanted-Service"
 )
 
-// Behaviour is how an upstream acts; it may change while it runs.
+// Behaviour configures an upstream; it can be changed while the upstream runs.
 type Behaviour struct {
-	// Slots is the number of requests that run at once; more wait.
+	// Slots is the maximum number of concurrent requests; others are queued.
 	Slots int
-	// ServiceTime is the time a request holds a slot.
+	// ServiceTime is the time for which a request occupies a slot.
 	ServiceTime time.Duration
-	// ColdFor is the time after the start in which ServiceTime is multiplied
-	// by ColdFactor.
+	// ColdFor is the time after the start during which ServiceTime is multiplied by
+	// ColdFactor.
 	ColdFor    time.Duration
 	ColdFactor int
 	// FeedInterval is the time between two events of a feed.
 	FeedInterval time.Duration
-	// Drain announces a drain at the health endpoint.
+	// Drain makes the health endpoint report a drain.
 	Drain bool
-	// Shed answers 503 to every request at once.
+	// Shed answers every request with 503 at once.
 	Shed bool
-	// ErrorFast answers 500 to every request at once.
+	// ErrorFast answers every request with 500 at once.
 	ErrorFast bool
-	// LieHealth and LieLoad make the endpoints claim health and no load.
+	// LieHealth makes the health endpoint report health despite Shed or ErrorFast; LieLoad
+	// makes the load endpoint report no requests.
 	LieHealth, LieLoad bool
-	// CrashNext ends the process while it runs the next request.
+	// CrashNext exits the process while it runs the next request.
 	CrashNext bool
 }
 
-// Phase is a moment of a run.
+// Phase is the phase of a run that a record reports.
 type Phase string
 
 // Phases of a run.
 const (
 	PhaseStart Phase = "start"
 	PhaseEnd   Phase = "end"
-	// PhaseCut says that the agent went away before the answer was whole.
+	// PhaseCut means that the agent disconnected before the answer was complete.
 	PhaseCut Phase = "cut"
 )
 
@@ -70,7 +71,7 @@
 	Phase    Phase
 }
 
-// Upstream serves one service.
+// Upstream is a simulated upstream of one service.
 type Upstream struct {
 	name    string
 	service string
@@ -105,7 +106,7 @@
 	return u.behaviour
 }
 
-// acquire waits for a slot and returns the behaviour to run under.
+// acquire waits for a free slot, occupies it, and returns the behaviour for the request.
 func (u *Upstream) acquire() Behaviour {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -123,7 +124,8 @@
 	u.freed.Signal()
 }
 
-// serviceTime returns how long a request holds its slot now.
+// serviceTime returns the current service time, with ColdFactor applied during a cold
+// start.
 func (u *Upstream) serviceTime(b Behaviour) time.Duration {
 	if time.Since(u.started) < b.ColdFor {
 		return b.ServiceTime * time.Duration(max(1, b.ColdFactor))
@@ -131,7 +133,8 @@
 	return b.ServiceTime
 }
 
-// record appends one line in one write, so that it survives a crash.
+// record appends a line to the run log with a single write, so that a crash can't lose or
+// truncate it.
 func (u *Upstream) record(r *http.Request, phase Phase) {
 	line, err := json.Marshal(Record{
 		Time:     time.Now(),
@@ -143,12 +146,12 @@
 		Phase:    phase,
 	})
 	if err != nil {
-		panic(err) // plain fields always encode
+		panic(err) // can't fail for fields of these types
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if _, err := u.log.Write(append(line, '\n')); err != nil {
-		panic(err) // a run that isn't logged would make every check worthless
+		panic(err) // without a complete log, the checks of runs would be meaningless
 	}
 }
 
