--- a/test/flagdoc/flagdoc.go
+++ b/test/flagdoc/flagdoc.go
@@ -1,5 +1,5 @@
-// Package flagdoc keeps the operators' pages of flags equal to the programs:
-// each program's test writes or compares its page.
+// Package flagdoc keeps the documentation of command-line flags in sync with the programs:
+// the tests of each program compare its page with the flags, or write the page.
 package flagdoc
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// updateVariable makes Check write the page instead of comparing it.
+// updateVariable is the environment variable that makes Check write the page first.
 const updateVariable = "UPDATE_FLAG_PAGES"
 
-// Check compares the page at path with the flags of the parser.
+// Check checks that the page at path matches the flags of the parser.
 func Check(t *testing.T, path string, parser *flags.Parser) {
 	t.Helper()
 	want := page(parser)
--- a/test/fleetsource/fleetsource.go
+++ b/test/fleetsource/fleetsource.go
@@ -1,5 +1,5 @@
-// Package fleetsource is a stand-in for the control node: a control.Source
-// whose snapshot a test sets.
+// Package fleetsource provides a control.Source for tests, which replaces the control node:
+// the test sets its snapshot.
 package fleetsource
 
 import (
@@ -16,7 +16,7 @@
 	changed  chan struct{}
 }
 
-// New returns a source that shows the snapshot.
+// New returns a source with the snapshot.
 func New(s *control.Snapshot) *Source {
 	return &Source{snapshot: s, changed: make(chan struct{})}
 }
@@ -35,7 +35,7 @@
 	return s.changed
 }
 
-// SetAgents replaces the agents and tells of the change.
+// SetAgents replaces the agents of the snapshot and signals the change.
 func (s *Source) SetAgents(agents []member.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/jsonhttp/jsonhttp.go
+++ b/test/jsonhttp/jsonhttp.go
@@ -1,5 +1,5 @@
-// Package jsonhttp is the small JSON-over-HTTP convention by which tests steer
-// the stand-ins.
+// Package jsonhttp contains helpers for the JSON-over-HTTP APIs with which tests control the
+// simulated components.
 package jsonhttp
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Do sends in as JSON and fills out from the JSON answer; either may be nil.
+// Do sends in as JSON and decodes the JSON answer into out. Either may be nil.
 func Do(ctx context.Context, method, url string, in, out any) error {
 	var body bytes.Buffer
 	if in != nil {
@@ -37,13 +37,14 @@
 	return errors.Wrap(json.NewDecoder(resp.Body).Decode(out), "decode answer")
 }
 
-// Reply writes out as the JSON answer.
+// Reply sends out as the JSON answer.
 func Reply(w http.ResponseWriter, out any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // the client is gone: nobody to tell
+	_ = json.NewEncoder(w).Encode(out) // an error means that the client has closed the connection
 }
 
-// Read fills in from the request's JSON body and answers 400 where it can't.
+// Read decodes the request's JSON body into in. If that fails it answers with status 400 and
+// returns false.
 func Read(w http.ResponseWriter, r *http.Request, in any) bool {
 	if err := json.NewDecoder(r.Body).Decode(in); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/test/mesh/mesh.go
+++ b/test/mesh/mesh.go
@@ -1,5 +1,5 @@
-// Package mesh stands in for the network between processes that run in one
-// test: the product's net/rpc calls go over pipes in memory.
+// Package mesh simulates the network between product processes that run as parts of one
+// test: their net/rpc calls use in-memory pipes.
 package mesh
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// Mesh connects processes that run in one test by net/rpc over pipes, and can
-// cut them from each other. It is safe for concurrent use.
+// Mesh connects simulated processes by net/rpc over in-memory pipes, and can partition
+// them. It is safe for concurrent use.
 type Mesh struct {
 	mu      sync.Mutex
 	servers map[netip.AddrPort]*rpc.Server
@@ -27,22 +27,23 @@
 	return &Mesh{servers: map[netip.AddrPort]*rpc.Server{}, clients: map[[2]netip.AddrPort]*rpc.Client{}}
 }
 
-// SetCut makes calls fail for which cut holds, in both directions.
+// SetCut makes calls between a and b fail, in both directions, if cut returns true for them
+// in either order.
 func (m *Mesh) SetCut(cut func(a, b netip.AddrPort) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cut = cut
 }
 
-// Port is one process's end of the mesh. It implements peer.Caller and
+// Port is the connection of one process to the mesh. It implements peer.Caller and
 // peer.Registry.
 type Port struct {
 	mesh *Mesh
 	addr netip.AddrPort
 }
 
-// Open returns the port of a process that starts at addr. One that was there
-// before is gone.
+// Open returns the port of a process that starts at addr, and disconnects an earlier process
+// at that address.
 func (m *Mesh) Open(addr netip.AddrPort) *Port {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,7 +52,7 @@
 	return &Port{m, addr}
 }
 
-// drop forgets the connections from and to addr.
+// drop closes the connections from and to addr.
 func (m *Mesh) drop(addr netip.AddrPort) {
 	for key, c := range m.clients {
 		if key[0] == addr || key[1] == addr {
@@ -61,7 +62,7 @@
 	}
 }
 
-// Crash takes the process at addr off the mesh.
+// Crash disconnects the process at addr from the mesh.
 func (m *Mesh) Crash(addr netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,15 +70,15 @@
 	m.drop(addr)
 }
 
-// Register serves the receiver's methods to the other processes.
+// Register makes the receiver's methods available to the other processes.
 func (p *Port) Register(name string, receiver any) error {
 	p.mesh.mu.Lock()
 	defer p.mesh.mu.Unlock()
 	return p.mesh.servers[p.addr].RegisterName(name, receiver)
 }
 
-// Call calls a method of the process at the address to. It fails if there is
-// none, or if the two are cut from each other.
+// Call calls a method of the process at the address to. It fails if there is no process, or
+// if the processes are cut off from each other.
 func (p *Port) Call(ctx context.Context, to netip.AddrPort, method string, args, reply any) error {
 	client, err := p.mesh.client(p.addr, to)
 	if err != nil {
--- a/test/simclock/simclock.go
+++ b/test/simclock/simclock.go
@@ -1,5 +1,5 @@
-// Package simclock runs simulations of decisions in simulated time: what is due is
-// done in its order, at once.
+// Package simclock provides a discrete-event simulation clock: it runs scheduled events in
+// the order of their times, without waiting.
 package simclock
 
 import (
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Clock is simulated time with what is still to be done. It has one owner.
+// Clock is a simulated clock with a queue of events. It is not safe for concurrent use.
 type Clock struct {
-	// Now is the time, that of the last event.
+	// Now is the current simulated time, which is the time of the last event.
 	Now    time.Duration
 	events queue
 }
 
-// At does something at a time.
+// At schedules do for the time t.
 func (c *Clock) At(t time.Duration, do func()) { heap.Push(&c.events, event{t, do}) }
 
-// After does something after a while.
+// After schedules do for the time d after Now.
 func (c *Clock) After(d time.Duration, do func()) { c.At(c.Now+d, do) }
 
-// Run does everything that is to be done, and what comes of it.
+// Run runs all events, including those that they schedule.
 func (c *Clock) Run() {
 	for len(c.events) > 0 {
 		e := heap.Pop(&c.events).(event)
@@ -34,7 +34,7 @@
 	do func()
 }
 
-// queue is a heap of events, the next one first.
+// queue is a heap of events, the earliest first.
 type queue []event
 
 func (q queue) Len() int           { return len(q) }
