--- a/test/cmd/soak/main.go
+++ b/test/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak plays faults of one or more seeds against real processes of the
-// packet face on loopback, and prints what it found. It builds the daemon first.
+// Command soak runs package soak for one or more seeds: it injects faults into real
+// processes of the packet face on loopback and prints the violations that it finds. It
+// builds the daemon first.
 package main
 
 import (
@@ -23,14 +24,14 @@
 type options struct {
 	Seed      uint64        `long:"seed" default:"1" description:"first seed"`
 	Count     int           `long:"count" default:"1" description:"number of seeds, one after the other"`
-	For       time.Duration `long:"for" default:"20s" description:"time of the faults of a seed"`
+	For       time.Duration `long:"for" default:"20s" description:"time during which faults are injected, for each seed"`
 	Balancers int           `long:"balancers" default:"3" description:"number of balancers"`
 	Agents    int           `long:"agents" default:"6" description:"number of agents"`
-	Callers   int           `long:"callers" default:"40" description:"number of flows at a time"`
-	Returns   bool          `long:"returns" description:"let the store come back from copies, too"`
-	Keep      string        `long:"keep" value-name:"DIR" description:"keep logs and settings here (default: they go)"`
+	Callers   int           `long:"callers" default:"40" description:"number of concurrent flows"`
+	Returns   bool          `long:"returns" description:"also restore the store from copies, and evacuate a data centre"`
+	Keep      string        `long:"keep" value-name:"DIR" description:"keep logs and settings in this directory (default: they are deleted)"`
 	Verbose   bool          `long:"verbose" description:"print each fault"`
-	JSON      string        `long:"report" value-name:"FILE" description:"append each report as a line of JSON"`
+	JSON      string        `long:"report" value-name:"FILE" description:"append each report to this file as a line of JSON"`
 }
 
 func main() {
@@ -38,13 +39,13 @@
 	if _, err := flags.Parse(&o); err != nil {
 		os.Exit(exit.Usage)
 	}
-	logrus.SetOutput(io.Discard) // toxiproxy tells of each connection
+	logrus.SetOutput(io.Discard) // toxiproxy logs each connection
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	os.Exit(play(ctx, o))
 }
 
-// play plays all seeds and returns the exit code.
+// play runs all seeds and returns the exit code.
 func play(ctx context.Context, o options) int {
 	bin, err := os.MkdirTemp("", "saltbend-soak-")
 	if err != nil {
--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one of the stand-ins of the platform as a process. It
-// logs "Ready." with its address and ends on SIGTERM.
+// Command standin runs a simulated component of the platform (store, fabric or upstream) as
+// a process. It logs "Ready." with its address and ends on SIGTERM or SIGINT.
 package main
 
 import (
@@ -24,12 +24,12 @@
 
 type storeCommand struct{}
 
-// Execute runs the store.
+// Execute runs the simulated store.
 func (storeCommand) Execute([]string) error { return serve(storefake.New().Handler()) }
 
 type fabricCommand struct{}
 
-// Execute runs the fabric.
+// Execute runs the simulated fabric.
 func (fabricCommand) Execute([]string) error {
 	f := fabric.New()
 	defer f.Close()
@@ -40,14 +40,14 @@
 	Name         string        `long:"name" required:"yes" description:"Name in the run log."`
 	Service      string        `long:"service" required:"yes" description:"Service that this upstream belongs to."`
 	RunLog       string        `long:"run-log" required:"yes" description:"File to which runs are appended."`
-	Slots        int           `long:"slots" default:"5" description:"Requests that run at once."`
-	ServiceTime  time.Duration `long:"service-time" default:"5ms" description:"Time a request holds its slot."`
-	ColdFor      time.Duration `long:"cold-for" description:"Length of the cold start."`
-	ColdFactor   int           `long:"cold-factor" default:"4" description:"How much slower a cold upstream is."`
+	Slots        int           `long:"slots" default:"5" description:"Maximum number of concurrent requests."`
+	ServiceTime  time.Duration `long:"service-time" default:"5ms" description:"Time for which a request occupies its slot."`
+	ColdFor      time.Duration `long:"cold-for" description:"Duration of the cold start."`
+	ColdFactor   int           `long:"cold-factor" default:"4" description:"Factor by which the service time is longer during the cold start."`
 	FeedInterval time.Duration `long:"feed-interval" default:"200ms" description:"Time between events of a feed."`
 }
 
-// Execute runs an upstream.
+// Execute runs a simulated upstream.
 func (c *upstreamCommand) Execute([]string) error {
 	log, err := os.OpenFile(c.RunLog, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return serve(u.Handler())
 }
 
-// serve answers on a port that the kernel chooses until a signal comes.
+// serve serves HTTP on a port assigned by the kernel until it receives SIGTERM or SIGINT.
 func serve(handler http.Handler) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -75,7 +75,7 @@
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // it ends with the process
+		_ = server.Close() // the process ends in any case
 	}()
 	slog.New(slog.NewJSONHandler(os.Stderr, nil)).Info("Ready.", "address", listener.Addr().String())
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -90,7 +90,7 @@
 	add(parser, "fabric", "Run the packet fabric.", &fabricCommand{})
 	add(parser, "upstream", "Run an upstream.", &upstreamCommand{})
 	if _, err := parser.Parse(); err != nil {
-		os.Exit(1) // the parser has said why
+		os.Exit(1) // the parser has printed the error
 	}
 }
 
