--- a/test/integration/return_test.go
+++ b/test/integration/return_test.go
@@ -120,7 +120,7 @@
 		before := ran(annex)
 		f.openFlows(20)
 		Expect(annex.Upstream.Runs()).To(HaveLen(before))
-		f.Store.Again(old, lost[len(lost)-1])
+		f.Store.RepeatWrite(old, lost[len(lost)-1])
 		f.openFlows(20)
 		Expect(annex.Upstream.Runs()).To(HaveLen(before))
 		f.Store.Remove(platform.EvacuationKey("annex"))
--- a/test/packetfleet/fleet.go
+++ b/test/packetfleet/fleet.go
@@ -1,5 +1,6 @@
-// Package packetfleet runs a fleet of the packet face as real processes on
-// loopback, with stand-ins of the users' platform.
+// Package packetfleet runs the balancers and agents of a packet face (the load balancing
+// of packets) as real processes on loopback, with the simulated platform of package
+// packetplatform.
 package packetfleet
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// Fleet is a site with its processes. Nodes are added from one goroutine.
+// Fleet is a simulated site with its processes. Nodes must be added from one goroutine.
 type Fleet struct {
 	*packetplatform.Site
 	Balancers, Agents []*Node
@@ -20,7 +21,7 @@
 	dir, program string
 }
 
-// Node is a host with its process and, beside an agent, its upstream.
+// Node is a host with its process and, for an agent, its upstream.
 type Node struct {
 	Host     *packetplatform.Host
 	Process  *harness.Process
@@ -28,8 +29,8 @@
 	role     string
 }
 
-// New returns a fleet without processes; dir takes settings and logs, program is
-// the daemon.
+// New returns a fleet without processes. Settings files and logs are written to dir;
+// program is the path of the daemon.
 func New(dir, program string) (*Fleet, error) {
 	site, err := packetplatform.NewSite(dir)
 	if err != nil {
@@ -38,12 +39,13 @@
 	return &Fleet{Site: site, dir: dir, program: program}, nil
 }
 
-// AddAgent adds a host with an upstream of the service and its agent.
+// AddAgent adds a host in the data centre "hall" with an upstream of the service and its
+// agent.
 func (f *Fleet) AddAgent(ctx context.Context, name, service string) (*Node, error) {
 	return f.AddAgentIn(ctx, "hall", name, service)
 }
 
-// AddAgentIn is AddAgent in a data centre.
+// AddAgentIn is AddAgent for a given data centre.
 func (f *Fleet) AddAgentIn(ctx context.Context, dataCentre, name, service string) (*Node, error) {
 	host, err := f.Host(name, dataCentre, service)
 	if err != nil {
@@ -57,7 +59,7 @@
 	return n, f.Start(ctx, n)
 }
 
-// AddBalancer adds a host with a balancer.
+// AddBalancer adds a host in the data centre "hall" with a balancer.
 func (f *Fleet) AddBalancer(ctx context.Context, name string) (*Node, error) {
 	host, err := f.Host(name, "hall", "")
 	if err != nil {
@@ -68,20 +70,20 @@
 	return n, f.Start(ctx, n)
 }
 
-// Start starts the node's process and waits until it serves.
+// Start starts the node's process and waits until it is ready.
 func (f *Fleet) Start(ctx context.Context, n *Node) (err error) {
 	n.Process, err = harness.Start(ctx, f.dir, n.Host.Name, f.program, nil, n.role, "--settings", n.Host.Settings)
 	return err
 }
 
-// StartUpstream starts the node's upstream, a new life of it.
+// StartUpstream starts a new upstream for the node, with a new id.
 func (n *Node) StartUpstream() (err error) {
 	n.Upstream, err = packetplatform.StartUpstream(n.Host)
 	return err
 }
 
-// Ready returns the addresses of the balancers that take packets of callers. It
-// may be called while others start and end processes.
+// Ready returns the packet addresses of the balancers whose readiness checks succeed. It
+// may be called while other goroutines start and end processes.
 func (f *Fleet) Ready() (ready []netip.AddrPort) {
 	for _, b := range f.Balancers {
 		if b.Host.Ready() {
@@ -94,7 +96,7 @@
 // Nodes returns all nodes, balancers first.
 func (f *Fleet) Nodes() []*Node { return append(append([]*Node(nil), f.Balancers...), f.Agents...) }
 
-// Log returns what the node's process has logged.
+// Log returns the log of the node's process, empty if it was never started.
 func (n *Node) Log() (string, error) {
 	if n.Process == nil {
 		return "", nil
@@ -103,7 +105,7 @@
 	return string(text), err
 }
 
-// Close ends all processes and upstreams of the fleet, and its store.
+// Close ends all processes and upstreams of the fleet and closes its store.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes() {
 		if n.Process != nil {
@@ -116,5 +118,5 @@
 	f.Store.Close()
 }
 
-// Name returns a name for the i-th host of a kind.
+// Name returns the name of the i-th host of a kind.
 func Name(kind string, i int) string { return fmt.Sprintf("%s-%d", kind, i) }
--- a/test/packetplatform/caller.go
+++ b/test/packetplatform/caller.go
@@ -12,14 +12,14 @@
 
 // Errors of a flow.
 var (
-	// ErrReset says that the flow was reset.
+	// ErrReset is returned when the flow was reset.
 	ErrReset = errors.New("packetplatform: flow reset")
-	// ErrTimeout says that no answer came in time.
+	// ErrTimeout is returned when no answer arrived within the caller's time-out.
 	ErrTimeout = errors.New("packetplatform: no answer")
 )
 
-// Caller stands in for callers: it opens flows through balancers that it picks
-// at random for each packet, as the fabric may.
+// Caller simulates the platform's callers and the fabric: it opens flows and sends each
+// packet through a randomly selected balancer, as the fabric may.
 type Caller struct {
 	ip   [4]byte
 	conn *net.UDPConn
@@ -28,71 +28,72 @@
 	balancers []netip.AddrPort
 	flows     map[uint16]*Flow
 	next      uint16
-	// loss is the part of packets that the fabric loses, late the longest time
-	// that it holds one back.
-	loss float64
-	late time.Duration
-	// patience is how long a request is waited for.
-	patience time.Duration
+	// loss is the fraction of packets that the fabric drops, maxDelay the maximum delay of
+	// the others.
+	loss     float64
+	maxDelay time.Duration
+	// requestTimeout is how long an answer is awaited.
+	requestTimeout time.Duration
 }
 
 // Flow is one flow of a caller.
 type Flow struct {
 	caller *Caller
 	local  uint16
-	face   end
+	face   endpoint
 	seq    uint32
 	ack    uint32
 	in     chan packet
 }
 
 const (
-	// repeatFirst is when a packet without an answer is repeated first; the time
-	// doubles.
-	repeatFirst = 200 * time.Millisecond
-	// giveUp is when a caller gives a request up, unless SetPatience says so.
-	giveUp = 15 * time.Second
+	// firstRetransmit is the time until the first retransmission of an unanswered packet; it
+	// doubles with each further one.
+	firstRetransmit = 200 * time.Millisecond
+	// defaultRequestTimeout is the request time-out unless SetRequestTimeout changes it.
+	defaultRequestTimeout = 15 * time.Second
 )
 
-// NewCaller binds a caller at its address.
+// NewCaller returns a caller that sends from and listens on the address.
 func NewCaller(addr netip.AddrPort) (*Caller, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
-	c := &Caller{ip: addr.Addr().As4(), conn: conn, flows: map[uint16]*Flow{}, next: 1000, patience: giveUp}
+	c := &Caller{ip: addr.Addr().As4(), conn: conn, flows: map[uint16]*Flow{}, next: 1000, requestTimeout: defaultRequestTimeout}
 	go c.receive()
 	return c, nil
 }
 
-// Close ends the caller.
+// Close closes the caller's socket.
 func (c *Caller) Close() { c.conn.Close() }
 
-// Use sets the balancers that packets go through.
+// Use sets the balancers through which packets are sent.
 func (c *Caller) Use(balancers ...netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.balancers = balancers
 }
 
-// SetPatience sets how long later requests are waited for.
-func (c *Caller) SetPatience(d time.Duration) {
+// SetRequestTimeout sets the time-out of subsequent requests.
+func (c *Caller) SetRequestTimeout(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.patience = d
+	c.requestTimeout = d
 }
 
-func (c *Caller) waits() time.Duration {
+func (c *Caller) timeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.patience
+	return c.requestTimeout
 }
 
-// SetFabric lets the fabric lose a part of the packets and hold back others.
-func (c *Caller) SetFabric(loss float64, late time.Duration) {
+// SetFabric sets the fraction of packets that the fabric drops and the maximum random delay
+// of the others.
+func (c *Caller) SetFabric(loss float64, maxDelay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loss, c.late = loss, late
+	c.loss, c.maxDelay = loss, maxDelay
 }
 
 func (c *Caller) receive() {
@@ -112,7 +113,7 @@
 		if f != nil {
 			select {
 			case f.in <- p:
-			default: // nobody waits for it
+			default: // the flow's queue is full; the packet is dropped
 			}
 		}
 	}
@@ -129,26 +130,26 @@
 		return
 	}
 	b := p.encode()
-	if c.late > 0 {
-		time.AfterFunc(rand.N(c.late), func() { _, _ = c.conn.WriteToUDPAddrPort(b, to) })
+	if c.maxDelay > 0 {
+		time.AfterFunc(rand.N(c.maxDelay), func() { _, _ = c.conn.WriteToUDPAddrPort(b, to) })
 		return
 	}
 	_, _ = c.conn.WriteToUDPAddrPort(b, to)
 }
 
-// ID returns the flow's id as logs have it.
+// ID returns the flow's id in the format used by the product's logs.
 func (f *Flow) ID() string {
 	return netip.AddrPortFrom(netip.AddrFrom4(f.caller.ip), f.local).String() + ">" +
 		netip.AddrPortFrom(netip.AddrFrom4(f.face.ip), f.face.port).String()
 }
 
-// Open opens a flow to a face. The flow is returned also where that fails, for
-// its id.
+// Open opens a flow to a face. It returns the flow also with an error, so that the flow's
+// id is available.
 func (c *Caller) Open(face netip.AddrPort) (*Flow, error) {
 	c.mu.Lock()
 	c.next++
 	f := &Flow{
-		caller: c, local: c.next, face: end{ip: face.Addr().As4(), port: face.Port()},
+		caller: c, local: c.next, face: endpoint{ip: face.Addr().As4(), port: face.Port()},
 		seq: rand.Uint32(), in: make(chan packet, 64),
 	}
 	c.flows[f.local] = f
@@ -166,7 +167,7 @@
 	return f, nil
 }
 
-// Request sends a request on the flow and returns the answer's text.
+// Request sends a request on the flow and returns the text of the answer.
 func (f *Flow) Request(text string) (string, error) {
 	data := []byte(text)
 	want := f.seq + uint32(len(data))
@@ -180,13 +181,14 @@
 }
 
 func (f *Flow) packet(flags byte, seq, ack uint32, data []byte) *packet {
-	return &packet{from: end{ip: f.caller.ip, port: f.local}, to: f.face, seq: seq, ack: ack, flags: flags, data: data}
+	return &packet{from: endpoint{ip: f.caller.ip, port: f.local}, to: f.face, seq: seq, ack: ack, flags: flags, data: data}
 }
 
-// exchange sends a packet, again and again, until its answer comes.
+// exchange sends the packet returned by next and retransmits it with doubling intervals
+// until its answer arrives, the flow is reset, or the request times out.
 func (f *Flow) exchange(next func() *packet, isAnswer func(*packet) bool) (packet, error) {
-	end := time.After(f.caller.waits())
-	wait := repeatFirst
+	end := time.After(f.caller.timeout())
+	wait := firstRetransmit
 	for {
 		f.caller.send(next())
 		repeat := time.After(wait)
--- a/test/packetplatform/site.go
+++ b/test/packetplatform/site.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Host is a host of the platform on loopback: an address of its own with the
-// ports that all hosts share.
+// Host is a simulated host of the platform on loopback. Each host has its own address; the
+// port numbers are the same on all hosts of a site.
 type Host struct {
 	Name, IP, Zone, Service string
 	AppPort                 int
@@ -25,32 +25,32 @@
 	site *Site
 }
 
-// Site is a deployment on loopback.
+// Site is a simulated deployment of the platform on loopback.
 type Site struct {
 	Store *Store
-	// StoreAddress is where hosts that are added reach the store; empty for its own
-	// address.
+	// StoreAddress is the address of the store in the settings of hosts that are added
+	// later; if empty, the address of Store is used.
 	StoreAddress string
-	// FlowMaxS is the age of a flow, in seconds, from which on it may be discarded.
+	// FlowMaxS is the age in seconds at which a flow may be discarded.
 	FlowMaxS int
 
 	dir   string
 	net   [2]byte
 	last  byte
 	ports []int
-	// seeds are the control addresses of the first balancers, hosts are all that
-	// were added.
+	// seeds are the control addresses of the first balancers, which new processes
+	// contact; hosts are all hosts that were added.
 	seeds []string
 	hosts []*Host
 }
 
-// flowMaxS is the platform's bound on the age of a flow, in seconds.
+// flowMaxS is the default of Site.FlowMaxS, the maximum age of a flow in seconds.
 const flowMaxS = 60
 
-// maxSeeds is the highest number of seeds in a settings file.
+// maxSeeds is the maximum number of seeds in a settings file.
 const maxSeeds = 3
 
-// Places of the ports of a site.
+// Indices into Site.ports.
 const (
 	portPackets = iota
 	portReady
@@ -62,8 +62,8 @@
 	portCount
 )
 
-// NewSite returns a site whose addresses and ports are free: the addresses are
-// drawn, the ports are chosen by the kernel.
+// NewSite returns a site with unused addresses and ports: the network 127.x.y.0 is random,
+// the ports are assigned by the kernel. Settings files are written to dir.
 func NewSite(dir string) (*Site, error) {
 	s := &Site{dir: dir, net: [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}, Store: NewStore(), FlowMaxS: flowMaxS}
 	for range portCount {
@@ -71,19 +71,19 @@
 		if err != nil {
 			return nil, err
 		}
-		defer conn.Close() // held until all are chosen, so that they differ
+		defer conn.Close() // kept open until all ports are assigned, so that they differ
 		s.ports = append(s.ports, conn.LocalAddr().(*net.UDPAddr).Port)
 	}
 	return s, nil
 }
 
-// nextIP returns an address that no host of the site has.
+// nextIP returns an address that no host or caller of the site uses.
 func (s *Site) nextIP() string {
 	s.last++
 	return fmt.Sprintf("127.%d.%d.%d", s.net[0], s.net[1], s.last)
 }
 
-// Host adds a host and writes its settings; an agent's host has a service.
+// Host adds a host and writes its settings file. service is empty for a balancer's host.
 func (s *Site) Host(name, zone, service string) (*Host, error) {
 	h := &Host{
 		Name: name, IP: s.nextIP(), Zone: zone, Service: service, site: s,
@@ -98,7 +98,7 @@
 	return h, h.write()
 }
 
-// writeAll writes the settings of all hosts, which name the same seeds.
+// writeAll writes the settings files of all hosts, since all of them list the seeds.
 func (s *Site) writeAll() error {
 	for _, h := range s.hosts {
 		if err := h.write(); err != nil {
@@ -118,17 +118,17 @@
 
 func (h *Host) at(port int) string { return fmt.Sprintf("%s:%d", h.IP, h.site.ports[port]) }
 
-// settings returns the settings file as the platform writes it.
+// settings returns the settings of the host in the format of the platform's settings file.
 func (h *Host) settings() map[string]any {
 	listen := map[string]any{"datagramAddr": h.at(portPackets), "readinessAddr": h.at(portReady), "control": h.at(portControl)}
 	out := map[string]any{
 		"nodeName": h.Name, "zone": h.Zone, "ip": h.IP, "listen": listen, "bootstrap": true,
 		"portRange":   []int{h.site.ports[portInner], h.site.ports[portInner]},
-		"heartbeatMs": heartbeatEvery.Milliseconds(),
+		"heartbeatMs": heartbeatInterval.Milliseconds(),
 		"bounds":      map[string]any{"drainMs": 3000, "graceS": 6, "maxFlowS": h.site.FlowMaxS},
 		"platform":    map[string]any{"address": h.site.storeAddress(), "ttlMinMs": 1000},
 		"seeds":       h.site.seeds,
-		"unknown":     "fields that the product does not know are passed over",
+		"unknown":     "fields that the product does not know are ignored",
 	}
 	if h.Service != "" {
 		listen["outbound"] = h.at(portOutbound)
@@ -144,13 +144,13 @@
 	return s.Store.Address()
 }
 
-// Packets returns the address at which the host takes packets.
+// Packets returns the address at which the host receives packets.
 func (h *Host) Packets() netip.AddrPort { return netip.MustParseAddrPort(h.at(portPackets)) }
 
-// Control returns the address at which the host's process answers others.
+// Control returns the control address of the host's process.
 func (h *Host) Control() netip.AddrPort { return netip.MustParseAddrPort(h.at(portControl)) }
 
-// Ready reports whether the host's process takes packets of callers.
+// Ready reports whether the host's process answers its readiness check with status 200.
 func (h *Host) Ready() bool {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + h.at(portReady) + "/ready")
@@ -164,7 +164,7 @@
 // FreePort returns a port that no host of the site uses.
 func (s *Site) FreePort() int { return s.ports[portFree] }
 
-// Caller binds a caller at an address of its own.
+// Caller returns a new caller with its own address.
 func (s *Site) Caller() (*Caller, error) {
 	ip := netip.MustParseAddr(s.nextIP())
 	return NewCaller(netip.AddrPortFrom(ip, uint16(s.ports[portPackets])))
@@ -177,7 +177,7 @@
 	Safe    bool
 }
 
-// Configure writes a configuration as the operator does.
+// Configure writes a configuration to the store, as an operator does.
 func (s *Site) Configure(version int, routes ...Route) {
 	var rows []map[string]any
 	for i, r := range routes {
@@ -194,7 +194,7 @@
 		"version": version, "routes": rows, "limits": map[string]any{"idleTimeoutMs": 15000},
 	})
 	if err != nil {
-		panic(err) // a fault of the test
+		panic(err) // a bug in the test
 	}
 	s.Store.Put("op/config", text)
 }
--- a/test/packetplatform/store.go
+++ b/test/packetplatform/store.go
@@ -1,7 +1,7 @@
-// Package packetplatform stands in for the users' platform in tests of the
-// packet face: its store, upstreams that speak its packets, callers, and the
-// settings files of hosts on loopback. It shares no code with package platform,
-// so that each finds the other's faults.
+// Package packetplatform simulates the users' platform in tests of the packet face (the
+// load balancing of packets): the platform's store, upstreams and callers that use its
+// packet format, and the settings files of hosts on loopback. It deliberately shares no
+// code with package platform, so that an error in one shows in tests with the other.
 package packetplatform
 
 import (
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Item is a key as the store has it.
+// Item is a key with its value and revision as sent to clients of the store.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -26,44 +26,44 @@
 	Removed  bool   `json:"removed,omitempty"`
 }
 
-// Store stands in for the platform's store.
+// Store simulates the platform's key-value store.
 type Store struct {
 	server *httptest.Server
 
-	mu       sync.Mutex
-	items    map[string]Item
-	history  []Item
-	compact  uint64
-	revision uint64
-	leases   map[uint64]time.Duration
-	last     uint64
-	changed  chan struct{}
-	// cut is closed when watches that wait are to be cut.
-	cut   chan struct{}
-	calls map[string]int
-	// status is what calls are answered with while it is not 0; refused are
-	// the hosts that are, all if empty.
+	mu        sync.Mutex
+	items     map[string]Item
+	history   []Item
+	compacted uint64
+	revision  uint64
+	leases    map[uint64]time.Duration
+	lastLease uint64
+	changed   chan struct{}
+	// abortWatches is closed to abort all pending watch requests.
+	abortWatches chan struct{}
+	calls        map[string]int
+	// status, unless 0, is the HTTP status that calls from the refused hosts are
+	// answered with; an empty list means all hosts.
 	status  int
 	refused []string
-	// lose is the number of writes that are done without an answer.
-	lose int
-	// era counts how often the store came back from a copy; all answers name it.
+	// unansweredWrites is the number of coming writes that are applied but not answered.
+	unansweredWrites int
+	// era counts how often the store was restored from a copy; all answers contain it.
 	era int
-	// operators are the writes of operators in their order.
-	operators []Item
+	// operatorWrites are the writes made by operators, in order.
+	operatorWrites []Item
 }
 
-// maxTxnEntries bounds the conditions, writes and deletions of one call together.
+// maxTxnEntries is the maximum sum of conditions, writes and deletions in one transaction.
 const maxTxnEntries = 32
 
-// eraHeader names the store's era in all its answers.
+// eraHeader is the HTTP header with the store's era in all answers.
 const eraHeader = "Store-Era"
 
 // NewStore starts a store on loopback.
 func NewStore() *Store {
 	s := &Store{
 		items: map[string]Item{}, leases: map[uint64]time.Duration{}, calls: map[string]int{},
-		changed: make(chan struct{}), cut: make(chan struct{}), revision: 1,
+		changed: make(chan struct{}), abortWatches: make(chan struct{}), revision: 1,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv-key", s.get)
@@ -73,11 +73,11 @@
 	mux.HandleFunc("POST /kv-lease", s.grant)
 	mux.HandleFunc("POST /kv-keep/{id}", s.keep)
 	mux.HandleFunc("DELETE /kv-lease-end/{id}", s.end)
-	s.server = httptest.NewServer(s.guard(mux))
+	s.server = httptest.NewServer(s.injectFailures(mux))
 	return s
 }
 
-// Move lets the store go on at another address, and at that alone.
+// Move closes the store's address and serves the same data at a new one.
 func (s *Store) Move() {
 	old := s.server
 	s.server = httptest.NewServer(old.Config.Handler)
@@ -88,41 +88,41 @@
 // Address returns the address of the store.
 func (s *Store) Address() string { return s.server.Listener.Addr().String() }
 
-// Close ends the store.
+// Close stops the store.
 func (s *Store) Close() {
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// Silent as the status of Fail leaves calls without any answer.
+// Silent as the status of Fail makes the store accept calls and never answer them.
 const Silent = -1
 
-// Fail answers all calls, or those of the hosts, with the status; 0 ends that.
-// Watches that wait are cut. Connections that are idle stay, so that no call
-// meets one that is being closed.
+// Fail makes the store answer all calls, or those of the given hosts, with the status until
+// Fail(0). Pending watches are aborted. Idle connections stay open, since a client could
+// otherwise send a call on a connection that the store is closing.
 func (s *Store) Fail(status int, hosts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status, s.refused = status, hosts
-	close(s.cut)
-	s.cut = make(chan struct{})
+	close(s.abortWatches)
+	s.abortWatches = make(chan struct{})
 }
 
-// LoseAnswers lets the next n writes be done without an answer.
+// LoseAnswers makes the store apply the next n writes without answering them.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.unansweredWrites = n
 }
 
-// Compact drops the history.
+// Compact discards the history of changes; watches from an earlier revision fail.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.compact = nil, s.revision
+	s.history, s.compacted = nil, s.revision
 }
 
-// Lapse ends all leases; their keys vanish.
+// Lapse ends all leases and deletes their keys.
 func (s *Store) Lapse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,32 +138,33 @@
 	return s.revision
 }
 
-// Put writes a key as the operator does.
+// Put writes a key on behalf of an operator.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.operators = append(s.operators, Item{Key: key, Value: value})
+	s.operatorWrites = append(s.operatorWrites, Item{Key: key, Value: value})
 	s.change(Item{Key: key, Value: value})
 }
 
-// Remove deletes a key as the operator does; one that is not there changes nothing.
+// Remove deletes a key on behalf of an operator; the store doesn't change if the key
+// does not exist.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.operators = append(s.operators, Item{Key: key, Removed: true})
+	s.operatorWrites = append(s.operatorWrites, Item{Key: key, Removed: true})
 	if _, ok := s.items[key]; ok {
 		s.change(Item{Key: key, Removed: true})
 	}
 }
 
-// Value returns the value of a key, nil if there is none.
+// Value returns the value of a key, nil if the key does not exist.
 func (s *Store) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Value
 }
 
-// Keys returns the keys with a prefix.
+// Keys returns the sorted keys with a prefix.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,14 +178,14 @@
 	return out
 }
 
-// Readings returns how often everything was read.
+// Readings returns the number of calls that listed keys, each of which returns one page.
 func (s *Store) Readings() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls["/kv-range"]
 }
 
-// Calls returns how many calls were made but for renewals, which cost little.
+// Calls returns the number of calls without lease renewals, which cost little.
 func (s *Store) Calls() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,15 +197,15 @@
 	return n
 }
 
-// CallsOf returns how many calls of a path were made.
+// CallsOf returns the number of calls to a path.
 func (s *Store) CallsOf(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// guard counts calls and refuses them while the store is to fail.
-func (s *Store) guard(next http.Handler) http.Handler {
+// injectFailures counts calls and applies the failure set by Fail.
+func (s *Store) injectFailures(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		host, _, _ := net.SplitHostPort(r.RemoteAddr)
 		s.mu.Lock()
@@ -216,7 +217,7 @@
 		w.Header().Set(eraHeader, strconv.Itoa(s.era))
 		s.mu.Unlock()
 		if status == Silent {
-			_, _ = io.Copy(io.Discard, r.Body) // the server notices a caller that leaves after that
+			_, _ = io.Copy(io.Discard, r.Body) // net/http detects that a client has gone only after the body is read
 			<-r.Context().Done()
 			return
 		}
@@ -228,7 +229,8 @@
 	})
 }
 
-// change makes one change of its own revision. The caller holds mu.
+// change applies a change under a new revision and wakes pending watches. The caller
+// holds mu.
 func (s *Store) change(item Item) {
 	s.revision++
 	item.Revision = s.revision
@@ -256,7 +258,7 @@
 	}{item, s.revision})
 }
 
-// pageSize is small, so that tests meet several pages.
+// pageSize is the maximum number of items per page, small so that tests get several pages.
 const pageSize = 3
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
@@ -286,13 +288,13 @@
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if after < s.compact || after > s.revision {
+		if after < s.compacted || after > s.revision {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		events := s.since(after, query.Get("prefix"))
-		changed, cut, revision := s.changed, s.cut, s.revision
+		events := s.eventsAfter(after, query.Get("prefix"))
+		changed, abortWatches, revision := s.changed, s.abortWatches, s.revision
 		w.Header().Set(eraHeader, strconv.Itoa(s.era))
 		s.mu.Unlock()
 		if len(events) > 0 {
@@ -301,8 +303,8 @@
 		}
 		select {
 		case <-changed:
-		case <-cut:
-			panic(http.ErrAbortHandler) // the connection ends without an answer
+		case <-abortWatches:
+			panic(http.ErrAbortHandler) // closes the connection without an answer
 		case <-r.Context().Done():
 			return
 		case <-timeout:
@@ -312,7 +314,7 @@
 	}
 }
 
-func (s *Store) since(after uint64, prefix string) []Item {
+func (s *Store) eventsAfter(after uint64, prefix string) []Item {
 	var out []Item
 	for _, item := range s.history {
 		if item.Revision > after && strings.HasPrefix(item.Key, prefix) {
@@ -356,9 +358,9 @@
 	for _, key := range in.Deletes {
 		s.change(Item{Key: key, Removed: true})
 	}
-	if s.lose > 0 {
-		s.lose--
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+	if s.unansweredWrites > 0 {
+		s.unansweredWrites--
+		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
 	reply(w, map[string]any{"revision": s.revision})
 }
@@ -371,12 +373,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	s.leases[s.last] = time.Duration(in.TTLMs) * time.Millisecond
-	reply(w, map[string]any{"lease": s.last, "ttlMs": in.TTLMs})
+	s.lastLease++
+	s.leases[s.lastLease] = time.Duration(in.TTLMs) * time.Millisecond
+	reply(w, map[string]any{"lease": s.lastLease, "ttlMs": in.TTLMs})
 }
 
-// keep renews a lease. Leases of the stand-in end only when a test says so.
+// keep renews a lease. Leases of this store never expire by time: they end by a call of
+// Lapse or of a client.
 func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -409,11 +412,11 @@
 }
 
 func leaseOf(r *http.Request) uint64 {
-	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64) // 0 is no lease
+	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64) // 0 is not the id of any lease
 	return id
 }
 
 func reply(w http.ResponseWriter, out any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // an error means that the caller has gone
+	_ = json.NewEncoder(w).Encode(out) // an error means that the client has closed the connection
 }
--- a/test/packetplatform/upstream.go
+++ b/test/packetplatform/upstream.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Upstream stands in for a back end that speaks the platform's packets.
+// Upstream simulates an upstream that uses the platform's packet format.
 type Upstream struct {
 	ID   string
 	host *Host
@@ -19,43 +19,44 @@
 	out  *net.UDPAddr
 	stop chan struct{}
 	once sync.Once
-	// born is the Unix millisecond of its start.
+	// born is the start time in Unix milliseconds.
 	born int64
 
-	mu       sync.Mutex
-	flows    map[end]*served
-	runs     map[string]int
-	strays   int
-	sequence int
-	draining bool
-	// drained is when a drain was acknowledged, late counts flows that were opened
-	// later than drainBound after it.
-	drained time.Time
-	late    int
-	// opened is when flows were opened.
-	opened []time.Time
-	work   time.Duration
-}
-
-// served is a flow that the upstream holds.
-type served struct {
+	mu              sync.Mutex
+	flows           map[endpoint]*flowState
+	runs            map[string]int
+	returnedPackets int
+	sequence        int
+	draining        bool
+	// drainAcknowledged is when the agent acknowledged the drain; openedLate counts flows
+	// that were opened more than drainBound later.
+	drainAcknowledged time.Time
+	openedLate        int
+	// opened are the times at which flows were opened.
+	opened         []time.Time
+	processingTime time.Duration
+}
+
+// flowState is the state of a flow at the upstream.
+type flowState struct {
 	seq  uint32
 	open bool
-	// got is the caller's count after the last request that ran, if any ran.
-	got uint32
-	ran bool
+	// nextSeq is the caller's sequence number after the last request that ran; it is valid
+	// if ran is true.
+	nextSeq uint32
+	ran     bool
 }
 
-// heartbeatEvery is the time between two heartbeats, shorter than on the
-// platform so that tests are quick.
-const heartbeatEvery = 200 * time.Millisecond
+// heartbeatInterval is the heartbeat interval, shorter than the platform's to make tests fast.
+const heartbeatInterval = 200 * time.Millisecond
 
-// StartUpstream starts an upstream on an agent's host.
+// StartUpstream starts an upstream with a random id on an agent's host.
 func StartUpstream(h *Host) (*Upstream, error) {
 	return StartUpstreamAs(h, fmt.Sprintf("i-%08x", rand.Uint32()))
 }
 
-// StartUpstreamAs starts an upstream under an id, which one before it may have had.
+// StartUpstreamAs starts an upstream with the given id, which an earlier upstream may
+// have used.
 func StartUpstreamAs(h *Host, id string) (*Upstream, error) {
 	app, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(h.IP), Port: h.AppPort})
 	if err != nil {
@@ -64,14 +65,14 @@
 	u := &Upstream{
 		ID: id, host: h, app: app, born: time.Now().UnixMilli(),
 		out:  &net.UDPAddr{IP: net.ParseIP(h.IP), Port: h.OutboundPort},
-		stop: make(chan struct{}), flows: map[end]*served{}, runs: map[string]int{},
+		stop: make(chan struct{}), flows: map[endpoint]*flowState{}, runs: map[string]int{},
 	}
 	go u.receive()
-	go u.report()
+	go u.sendHeartbeats()
 	return u, nil
 }
 
-// Kill ends the upstream without a word.
+// Kill ends the upstream without notifying its agent.
 func (u *Upstream) Kill() {
 	u.once.Do(func() {
 		close(u.stop)
@@ -79,22 +80,22 @@
 	})
 }
 
-// Drain lets the upstream report that it leaves.
+// Drain makes the upstream report the state draining.
 func (u *Upstream) Drain() {
 	u.mu.Lock()
 	u.draining = true
 	u.mu.Unlock()
-	u.beat()
+	u.sendHeartbeat()
 }
 
-// SetWork sets how long a request runs.
+// SetWork sets the processing time of a request.
 func (u *Upstream) SetWork(d time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.work = d
+	u.processingTime = d
 }
 
-// Runs returns how often each request has run.
+// Runs returns the number of runs of each request.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -105,18 +106,19 @@
 	return out
 }
 
-// drainBound is the time after the acknowledgement of a drain from which on no
-// flow may be opened: that of the settings and a little.
+// drainBound is the time after the acknowledgement of a drain after which no new flow may
+// arrive: drainMs of the settings (3 s) plus a margin of 200 ms.
 const drainBound = 3200 * time.Millisecond
 
-// OpenedLate returns how many flows were opened after the end of a drain.
+// OpenedLate returns the number of flows that were opened more than drainBound after the
+// acknowledgement of the drain.
 func (u *Upstream) OpenedLate() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.late
+	return u.openedLate
 }
 
-// OpenedBetween returns how many flows were opened within a time.
+// OpenedBetween returns the number of flows opened between two times.
 func (u *Upstream) OpenedBetween(from, to time.Time) (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -128,11 +130,11 @@
 	return n
 }
 
-// Strays returns the number of packets that were returned.
+// Strays returns the number of packets of unknown flows, which were sent back.
 func (u *Upstream) Strays() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.strays
+	return u.returnedPackets
 }
 
 func (u *Upstream) receive() {
@@ -143,31 +145,31 @@
 			return
 		}
 		if p, ok := decode(b[:n]); ok {
-			u.take(&p, append([]byte(nil), b[:n]...))
+			u.handlePacket(&p, append([]byte(nil), b[:n]...))
 		}
 	}
 }
 
-// take handles one packet of a caller.
-func (u *Upstream) take(p *packet, raw []byte) {
+// handlePacket processes one packet of a caller; raw is its encoded form.
+func (u *Upstream) handlePacket(p *packet, raw []byte) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f := u.flows[p.from]
 	if p.flags&syn != 0 {
 		if f == nil {
-			f = &served{seq: rand.Uint32()}
+			f = &flowState{seq: rand.Uint32()}
 			u.flows[p.from] = f
 			u.opened = append(u.opened, time.Now())
-			if !u.drained.IsZero() && time.Since(u.drained) > drainBound {
-				u.late++
+			if !u.drainAcknowledged.IsZero() && time.Since(u.drainAcknowledged) > drainBound {
+				u.openedLate++
 			}
 		}
 		u.send(&packet{from: p.to, to: p.from, seq: f.seq, flags: syn | ack})
 		return
 	}
 	if f == nil || (!f.open && p.ack != f.seq+1) {
-		u.strays++
-		raw[30] |= bounced
+		u.returnedPackets++
+		raw[30] |= returned
 		_, _ = u.app.WriteToUDP(raw, u.out)
 		return
 	}
@@ -182,33 +184,33 @@
 	}
 }
 
-// run answers a request once; a repeated packet, also a late one, is no new
-// request, and the last one is answered again.
-func (u *Upstream) run(f *served, p *packet) {
+// run runs a request and answers it. A retransmission, also a delayed one, is not run
+// again; that of the last request is answered again.
+func (u *Upstream) run(f *flowState, p *packet) {
 	answer := &packet{
 		from: p.to, to: p.from, seq: f.seq + 1, ack: p.seq + uint32(len(p.data)), flags: ack,
 		data: []byte("from " + u.ID + " to " + string(p.data)),
 	}
 	end := p.seq + uint32(len(p.data))
-	if f.ran && int32(end-f.got) <= 0 {
-		if end == f.got {
+	if f.ran && int32(end-f.nextSeq) <= 0 {
+		if end == f.nextSeq {
 			u.send(answer)
 		}
 		return
 	}
-	f.got, f.ran = end, true
+	f.nextSeq, f.ran = end, true
 	u.runs[string(p.data)]++
-	time.AfterFunc(u.work, func() { u.send(answer) })
+	time.AfterFunc(u.processingTime, func() { u.send(answer) })
 }
 
 func (u *Upstream) send(p *packet) { _, _ = u.app.WriteToUDP(p.encode(), u.out) }
 
-// report sends heartbeats until the upstream ends.
-func (u *Upstream) report() {
-	ticker := time.NewTicker(heartbeatEvery)
+// sendHeartbeats sends heartbeats to the agent until the upstream is killed.
+func (u *Upstream) sendHeartbeats() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
-		u.beat()
+		u.sendHeartbeat()
 		select {
 		case <-u.stop:
 			return
@@ -217,7 +219,7 @@
 	}
 }
 
-func (u *Upstream) beat() {
+func (u *Upstream) sendHeartbeat() {
 	u.mu.Lock()
 	u.sequence++
 	state := "ready"
@@ -238,10 +240,10 @@
 	resp.Body.Close()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if state == "draining" && u.drained.IsZero() && resp.StatusCode == http.StatusOK {
-		u.drained = time.Now()
+	if state == "draining" && u.drainAcknowledged.IsZero() && resp.StatusCode == http.StatusOK {
+		u.drainAcknowledged = time.Now()
 	}
 }
 
-// Slots is the number of requests that an upstream works on at once.
+// Slots is the number of concurrent requests that an upstream reports as its capacity.
 const Slots = 4
--- a/test/soak/returns.go
+++ b/test/soak/returns.go
@@ -62,7 +62,7 @@
 		_ = wait.For(ctx, rand.N(rewriteWithin)) // they write in any case
 	}
 	for _, item := range lost {
-		s.Again(old, item)
+		s.RepeatWrite(old, item)
 	}
 	if f.Kind == KillAllAndReturn {
 		r.want(time.Now()) // nobody knew of an evacuation that the copy lacks
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -141,7 +141,7 @@
 	if r.caller, err = r.fleet.Caller(); err != nil {
 		return err
 	}
-	r.caller.SetPatience(patience)
+	r.caller.SetRequestTimeout(patience)
 	r.caller.Use(r.fleet.Ready()...)
 	return nil
 }
