--- a/test/soak/checker.go
+++ b/test/soak/checker.go
@@ -9,89 +9,91 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// afterFault is how long after a fault of an agent's process its flows may be
-// reset: one that is silent for a second counts as absent.
+// afterFault is how long after a fault of an agent's process its flows may still be reset:
+// balancers regard an agent that has been silent for a second as absent.
 const afterFault = 4 * time.Second
 
-// life is one life of an upstream.
-type life struct {
+// instance is one run of an upstream from its start to its end.
+type instance struct {
 	upstream *packetplatform.Upstream
 	service  string
 	ended    time.Time
-	// disturbed is until when the agent beside it is or was under a fault.
+	// disturbed is the time until which a fault of the upstream's agent may cause resets.
 	disturbed time.Time
 }
 
-// judge collects what callers and upstreams see, and finds what must not be.
-type judge struct {
-	mu       sync.Mutex
-	lives    map[string]*life
-	findings []string
-	// late are findings that a machine without time for the processes makes, too.
+// checker records what callers and upstreams observe, and reports violations.
+type checker struct {
+	mu        sync.Mutex
+	instances map[string]*instance
+	findings  []string
+	// late are findings that can also occur when the machine is overloaded.
 	late    []string
 	seconds []Second
 	began   time.Time
 }
 
-// Second is what was asked within one second of a run.
+// Second counts requests and their outcomes within one second of a run.
 type Second struct {
-	// Late counts those of Answered that took longer than lateAfter.
+	// Late counts the answers that took longer than lateAfter; Answered includes them.
 	Asked, Answered, Late, Reset, TimedOut int
 }
 
-// lateAfter is the time after which an answer is late.
+// lateAfter is the response time above which an answer counts as late.
 const lateAfter = 500 * time.Millisecond
 
-func newJudge() *judge { return &judge{lives: make(map[string]*life), began: time.Now()} }
+func newChecker() *checker { return &checker{instances: make(map[string]*instance), began: time.Now()} }
 
-// find notes what must never be. The caller holds mu.
-func (j *judge) find(format string, args ...any) {
-	j.findings = append(j.findings, j.line(format, args))
+// addFinding records a violation that must never occur. The caller holds mu.
+func (j *checker) addFinding(format string, args ...any) {
+	j.findings = append(j.findings, j.describe(format, args))
 }
 
-// findLate notes what must not be on a machine that has time for the processes.
+// addLateFinding records a violation that must not occur unless the machine is overloaded.
 // The caller holds mu.
-func (j *judge) findLate(format string, args ...any) { j.late = append(j.late, j.line(format, args)) }
+func (j *checker) addLateFinding(format string, args ...any) {
+	j.late = append(j.late, j.describe(format, args))
+}
 
-func (j *judge) line(format string, args []any) string {
+func (j *checker) describe(format string, args []any) string {
 	return fmt.Sprintf("%s: ", time.Since(j.began).Round(time.Millisecond)) + fmt.Sprintf(format, args...)
 }
 
-// begin notes a new life.
-func (j *judge) begin(u *packetplatform.Upstream, service string) {
+// begin records a new instance of an upstream.
+func (j *checker) begin(u *packetplatform.Upstream, service string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lives[u.ID] = &life{upstream: u, service: service}
+	j.instances[u.ID] = &instance{upstream: u, service: service}
 }
 
-// end notes that a life has ended.
-func (j *judge) end(id string) {
+// end records that an instance has ended.
+func (j *checker) end(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lives[id].ended = time.Now()
+	j.instances[id].ended = time.Now()
 }
 
-// disturb notes that the agent beside a life is under a fault for so long.
-func (j *judge) disturb(id string, d time.Duration) {
+// disturb records that the agent of an instance is under a fault for the duration d.
+func (j *checker) disturb(id string, d time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lives[id].disturbed = time.Now().Add(d + afterFault)
+	j.instances[id].disturbed = time.Now().Add(d + afterFault)
 }
 
-// answered takes an answer; it returns the life that gave it.
-func (j *judge) answered(flow, service, request, answer string, took time.Duration) (owner string) {
+// answered records and checks an answer; it returns the id of the upstream that sent it.
+func (j *checker) answered(flow, service, request, answer string, took time.Duration) (owner string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	owner, rest, ok := strings.Cut(strings.TrimPrefix(answer, "from "), " to ")
 	if !ok || rest != request {
-		j.find("%s asked %q and got %q", flow, request, answer)
+		j.addFinding("flow %s sent request %q and received answer %q", flow, request, answer)
 		return ""
 	}
-	switch l := j.lives[owner]; {
+	switch l := j.instances[owner]; {
 	case l == nil:
-		j.find("%s was answered by the unknown %s", flow, owner)
+		j.addFinding("flow %s was answered by the unknown upstream %s", flow, owner)
 	case l.service != service:
-		j.find("%s of %s was answered by %s of %s", flow, service, owner, l.service)
+		j.addFinding("flow %s of service %s was answered by upstream %s of service %s", flow, service, owner, l.service)
 	}
 	j.second().Answered++
 	if took > lateAfter {
@@ -100,58 +102,59 @@
 	return owner
 }
 
-// reset takes a reset of a flow that a life has answered before.
-func (j *judge) reset(flow, owner string) {
+// reset records a reset of a flow; owner is the upstream that answered the flow before.
+// The reset is a finding if that upstream is running and its agent had no recent fault.
+func (j *checker) reset(flow, owner string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.second().Reset++
-	l := j.lives[owner]
+	l := j.instances[owner]
 	if l == nil || !l.ended.IsZero() || time.Now().Before(l.disturbed) {
 		return
 	}
-	j.findLate("%s was reset though %s lives", flow, owner)
+	j.addLateFinding("flow %s was reset although its upstream %s is running", flow, owner)
 }
 
-func (j *judge) asked() {
+func (j *checker) asked() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.second().Asked++
 }
 
-func (j *judge) timedOut() {
+func (j *checker) timedOut() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.second().TimedOut++
 }
 
-// second returns the counts of now. The caller holds mu.
-func (j *judge) second() *Second {
+// second returns the counts of the current second. The caller holds mu.
+func (j *checker) second() *Second {
 	for at := int(time.Since(j.began) / time.Second); len(j.seconds) <= at; {
 		j.seconds = append(j.seconds, Second{})
 	}
 	return &j.seconds[len(j.seconds)-1]
 }
 
-// upstreams checks what has run: nothing twice, nothing of another service, and
-// no flow opened after a drain.
-func (j *judge) upstreams() {
+// checkUpstreams checks that no request ran twice or at an upstream of another service, and
+// that no flow was opened after a drain.
+func (j *checker) checkUpstreams() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	runs := make(map[string]int)
-	for id, l := range j.lives {
+	for id, l := range j.instances {
 		for request, n := range l.upstream.Runs() {
 			runs[request] += n
 			if !strings.HasPrefix(request, l.service+" ") {
-				j.find("%s of %s ran %q", id, l.service, request)
+				j.addFinding("upstream %s of service %s ran request %q of another service", id, l.service, request)
 			}
 		}
 		if late := l.upstream.OpenedLate(); late > 0 {
-			j.findLate("%s got %d flows after its drain", id, late)
+			j.addLateFinding("upstream %s received %d new flows after its drain", id, late)
 		}
 	}
 	for request, n := range runs {
 		if n > 1 {
-			j.find("%q ran %d times", request, n)
+			j.addFinding("request %q ran %d times", request, n)
 		}
 	}
 }
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -12,26 +12,26 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// What faults that are not of one node occupy.
+// Subjects of the faults that don't affect a single node.
 const (
-	theStore  = "store"
-	theFabric = "fabric"
-	theAnnex  = "annex" // a data centre with some of the agents
+	storeSubject  = "store"
+	fabricSubject = "fabric"
+	annexSubject  = "annex" // a data centre with every third agent
 )
 
-// Sizes of the faults.
+// Parameters of the faults.
 const (
-	fabricLoss = 0.1
-	fabricLate = 20 * time.Millisecond
-	slowWork   = 150 * time.Millisecond
-	lostWrites = 3
-	slowStore  = 600 * time.Millisecond
-	// drainTime is how long an upstream that leaves serves on after its drain.
+	fabricLoss     = 0.1
+	fabricMaxDelay = 20 * time.Millisecond
+	slowWork       = 150 * time.Millisecond
+	lostWrites     = 3
+	slowStore      = 600 * time.Millisecond
+	// drainTime is how long an upstream continues to serve after the start of its drain.
 	drainTime = 3500 * time.Millisecond
 )
 
-// take occupies what a fault works on; it reports whether it was free.
-func (r *run) take(what any) bool {
+// acquire reserves the subject of a fault and reports whether it was free.
+func (r *run) acquire(what any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.busy[what] {
@@ -41,13 +41,13 @@
 	return true
 }
 
-func (r *run) free(what any) {
+func (r *run) release(what any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.busy, what)
 }
 
-// subject returns what a fault works on.
+// subject returns what the fault affects: a node, or the name of another subject.
 func (r *run) subject(f Fault) any {
 	switch f.Kind {
 	case KillBalancer, StopBalancer, FreezeBalancer:
@@ -55,54 +55,54 @@
 	case KillAgent, FreezeAgent, CrashUpstream, DrainUpstream, SlowUpstream:
 		return r.fleet.Agents[f.Target%len(r.fleet.Agents)]
 	case LossyFabric:
-		return theFabric
+		return fabricSubject
 	case Evacuate:
-		return theAnnex
+		return annexSubject
 	case Configure:
-		return f // never occupied
+		return f // unique to the fault, so never reserved by another
 	}
-	return theStore
+	return storeSubject
 }
 
-// bring brings about a fault and ends it. One whose subject is under another
-// fault is left out.
-func (r *run) bring(ctx context.Context, f Fault) {
+// inject starts a fault and ends it after its duration. It skips a fault whose subject is
+// under another fault.
+func (r *run) inject(ctx context.Context, f Fault) {
 	what := r.subject(f)
-	if !r.take(what) {
+	if !r.acquire(what) {
 		return
 	}
-	defer r.free(what)
+	defer r.release(what)
 	fmt.Fprintln(r.Log, f)
 	switch node, _ := what.(*packetfleet.Node); f.Kind {
 	case KillBalancer, StopBalancer, FreezeBalancer, KillAgent, FreezeAgent:
-		r.process(ctx, f, node)
+		r.injectProcess(ctx, f, node)
 	case CrashUpstream, DrainUpstream, SlowUpstream:
-		r.upstream(ctx, f, node)
+		r.injectUpstream(ctx, f, node)
 	case LossyFabric:
-		r.caller.SetFabric(fabricLoss, fabricLate)
-		_ = wait.For(ctx, f.For) // the fault ends in any case
+		r.caller.SetFabric(fabricLoss, fabricMaxDelay)
+		_ = wait.For(ctx, f.For) // the fault ends also if ctx is cancelled
 		r.caller.SetFabric(0, 0)
 	case Configure:
 		r.configure()
 	case Evacuate:
 		r.evacuate(ctx)
 	case StoreReturns, StoreReturnsTwice, KillAllAndReturn:
-		r.returns(ctx, f)
+		r.restoreStore(ctx, f)
 	default:
-		r.store(ctx, f)
+		r.injectStore(ctx, f)
 	}
 }
 
-// process brings about a fault of a node's process.
-func (r *run) process(ctx context.Context, f Fault, n *packetfleet.Node) {
+// injectProcess injects a fault of a node's injectProcess.
+func (r *run) injectProcess(ctx context.Context, f Fault, n *packetfleet.Node) {
 	if n.Upstream != nil {
-		r.judge.disturb(n.Upstream.ID, time.Hour)
-		defer r.judge.disturb(n.Upstream.ID, 0)
+		r.checker.disturb(n.Upstream.ID, time.Hour)
+		defer r.checker.disturb(n.Upstream.ID, 0)
 	}
 	switch f.Kind {
 	case FreezeBalancer, FreezeAgent:
 		if n.Process.Freeze() == nil {
-			_ = wait.For(ctx, f.For) // the fault ends in any case
+			_ = wait.For(ctx, f.For) // the fault ends also if ctx is cancelled
 			n.Process.Thaw()
 		}
 		return
@@ -111,13 +111,13 @@
 		<-n.Process.Done()
 	default:
 		n.Process.Kill()
-		_ = wait.For(ctx, f.For/4) // the process is started again in any case
+		_ = wait.For(ctx, f.For/4) // the process is restarted also if ctx is cancelled
 	}
 	r.restart(ctx, n)
 }
 
-// restart starts a node's process, again and again while it is not ready in time
-// as the store is away.
+// restart starts a node's process and repeats that until the process becomes ready in
+// time, which it may not do while the store is unavailable.
 func (r *run) restart(ctx context.Context, n *packetfleet.Node) {
 	for ctx.Err() == nil {
 		if r.fleet.Start(ctx, n) == nil {
@@ -126,33 +126,33 @@
 	}
 }
 
-// upstream brings about a fault of a node's upstream.
-func (r *run) upstream(ctx context.Context, f Fault, n *packetfleet.Node) {
+// injectUpstream injects a fault of a node's injectUpstream.
+func (r *run) injectUpstream(ctx context.Context, f Fault, n *packetfleet.Node) {
 	u := n.Upstream
 	switch f.Kind {
 	case SlowUpstream:
 		u.SetWork(slowWork)
-		_ = wait.For(ctx, f.For) // the fault ends in any case
+		_ = wait.For(ctx, f.For) // the fault ends also if ctx is cancelled
 		u.SetWork(0)
 		return
 	case DrainUpstream:
 		u.Drain()
-		_ = wait.For(ctx, drainTime) // it leaves in any case
+		_ = wait.For(ctx, drainTime) // the upstream ends also if ctx is cancelled
 	}
-	r.judge.end(u.ID)
+	r.checker.end(u.ID)
 	u.Kill()
-	_ = wait.For(ctx, f.For/4) // a new life begins in any case
+	_ = wait.For(ctx, f.For/4) // a new upstream starts also if ctx is cancelled
 	if err := n.StartUpstream(); err != nil {
-		r.judge.mu.Lock()
-		r.judge.find("no new upstream at %s: %s", n.Host.Name, err)
-		r.judge.mu.Unlock()
+		r.checker.mu.Lock()
+		r.checker.addFinding("can't start a new upstream on host %s: %s", n.Host.Name, err)
+		r.checker.mu.Unlock()
 		return
 	}
-	r.judge.begin(n.Upstream, n.Host.Service)
+	r.checker.begin(n.Upstream, n.Host.Service)
 }
 
-// store brings about a fault of the store.
-func (r *run) store(ctx context.Context, f Fault) {
+// injectStore injects a fault of the injectStore or of the link to it.
+func (r *run) injectStore(ctx context.Context, f Fault) {
 	s := r.fleet.Store
 	switch f.Kind {
 	case StoreForgets:
@@ -166,29 +166,30 @@
 	case StoreSilent:
 		s.Fail(packetplatform.Silent)
 	case StoreSlow:
-		r.link(ctx, f, func() error { return r.way.Slow(slowStore) }, func() error { return r.way.Slow(0) })
+		r.injectLink(ctx, f, func() error { return r.storeLink.Slow(slowStore) }, func() error { return r.storeLink.Slow(0) })
 		return
 	case StoreCut:
-		r.link(ctx, f, r.way.Cut, r.way.Heal)
+		r.injectLink(ctx, f, r.storeLink.Cut, r.storeLink.Heal)
 		return
 	case StoreLapse:
 		s.Fail(http.StatusTooManyRequests)
 		s.Lapse()
 	}
-	_ = wait.For(ctx, f.For) // the fault ends in any case
+	_ = wait.For(ctx, f.For) // the fault ends also if ctx is cancelled
 	s.Fail(0)
 }
 
-// link brings about a fault of the way to the store.
-func (r *run) link(ctx context.Context, f Fault, begin, end func() error) {
+// injectLink injects a fault of the injectLink to the store: it calls begin, waits, and calls
+// end.
+func (r *run) injectLink(ctx context.Context, f Fault, begin, end func() error) {
 	err := begin()
-	_ = wait.For(ctx, f.For) // the fault ends in any case
+	_ = wait.For(ctx, f.For) // the fault ends also if ctx is cancelled
 	if err == nil {
 		err = end()
 	}
 	if err != nil {
-		r.judge.mu.Lock()
-		defer r.judge.mu.Unlock()
-		r.judge.find("the way to the store: %s", err)
+		r.checker.mu.Lock()
+		defer r.checker.mu.Unlock()
+		r.checker.addFinding("can't change the link to the store: %s", err)
 	}
 }
--- a/test/soak/load.go
+++ b/test/soak/load.go
@@ -13,18 +13,18 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// Times of the load.
+// Parameters of the load.
 const (
-	// pause is the longest time between two requests of a flow.
+	// pause is the maximum time between two requests of a flow.
 	pause = 120 * time.Millisecond
-	// patience is how long a caller waits for an answer.
-	patience = 6 * time.Second
-	// longFlow is the number of requests of a flow that stays open; every third
-	// flow has one request.
+	// requestTimeout is how long a caller waits for an answer.
+	requestTimeout = 6 * time.Second
+	// longFlow is the number of requests of a long flow; every third flow of a worker has
+	// a single request.
 	longFlow = 40
 )
 
-// face is a public face with the service behind it.
+// face is a public address and the service behind it.
 type face struct {
 	addr    netip.AddrPort
 	service string
@@ -35,15 +35,15 @@
 	{netip.MustParseAddrPort("198.18.0.2:443"), "exams"},
 }
 
-// furtherFace is the face that only every second configuration has.
+// furtherFace is a face that only every second version of the configuration contains.
 var furtherFace = netip.MustParseAddrPort("198.18.0.3:443")
 
-// worker opens one flow after the other until ctx ends.
+// worker sends requests on one flow after the other.
 type worker struct {
-	id     int
-	flows  int
-	caller *packetplatform.Caller
-	judge  *judge
+	id      int
+	flows   int
+	caller  *packetplatform.Caller
+	checker *checker
 }
 
 func (w *worker) run(ctx context.Context) {
@@ -53,12 +53,13 @@
 	}
 }
 
-// flow opens a flow, sends its requests, and returns when it has ended.
+// flow opens a flow and sends its requests. It returns after the last one, after an error,
+// or when ctx is cancelled.
 func (w *worker) flow(ctx context.Context, f face) {
 	flow, err := w.caller.Open(f.addr)
 	if err != nil {
 		w.failed(flow, "", err)
-		_ = wait.For(ctx, pause) // the caller's loop sees the end of ctx
+		_ = wait.For(ctx, pause) // the caller's loop checks ctx
 		return
 	}
 	requests := longFlow
@@ -71,22 +72,22 @@
 			return
 		}
 		text := fmt.Sprintf("%s %d-%d-%d", f.service, w.id, w.flows, n)
-		w.judge.asked()
+		w.checker.asked()
 		began := time.Now()
 		answer, err := flow.Request(text)
 		if err != nil {
 			w.failed(flow, owner, err)
 			return
 		}
-		owner = w.judge.answered(flow.ID(), f.service, text, answer, time.Since(began))
-		_ = wait.For(ctx, rand.N(pause)) // the loop sees the end of ctx
+		owner = w.checker.answered(flow.ID(), f.service, text, answer, time.Since(began))
+		_ = wait.For(ctx, rand.N(pause)) // the loop checks ctx
 	}
 }
 
 func (w *worker) failed(flow *packetplatform.Flow, owner string, err error) {
 	if errors.Is(err, packetplatform.ErrReset) {
-		w.judge.reset(flow.ID(), owner)
+		w.checker.reset(flow.ID(), owner)
 		return
 	}
-	w.judge.timedOut()
+	w.checker.timedOut()
 }
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -1,7 +1,6 @@
-// Package soak runs a fleet of the packet face as real processes on loopback
-// under load while faults of all kinds overlap, and judges what callers and
-// upstreams see. A seed gives the plan of faults; the processes' timing differs
-// from run to run.
+// Package soak runs the processes of a packet face on loopback under load, injects
+// overlapping faults of all kinds, and checks what callers and upstreams observe. The plan
+// of faults is derived from a seed; the timing of the processes differs from run to run.
 package soak
 
 import (
@@ -12,7 +11,7 @@
 	"time"
 )
 
-// Kind is a kind of fault or of planned work.
+// Kind is a kind of fault or of planned maintenance.
 type Kind string
 
 // Kinds of faults.
@@ -22,27 +21,27 @@
 	FreezeBalancer  Kind = "freeze-balancer"
 	KillAgent       Kind = "kill-agent"
 	FreezeAgent     Kind = "freeze-agent"
-	CrashUpstream   Kind = "crash-upstream" // another life begins afterwards
-	DrainUpstream   Kind = "drain-upstream" // it leaves and another life begins
+	CrashUpstream   Kind = "crash-upstream" // a new upstream starts afterwards
+	DrainUpstream   Kind = "drain-upstream" // it drains and ends; a new upstream starts
 	SlowUpstream    Kind = "slow-upstream"
 	StoreAway       Kind = "store-away"
 	StoreSilent     Kind = "store-silent"
-	StoreLapse      Kind = "store-lapse" // away, and all leases end
+	StoreLapse      Kind = "store-lapse" // unavailable, and all leases end
 	StoreForgets    Kind = "store-forgets"
 	StoreLosesWrite Kind = "store-loses-answers"
 	StoreSlow       Kind = "store-slow"
-	StoreCut        Kind = "store-cut" // all connections go silent
+	StoreCut        Kind = "store-cut" // connections stay open and carry no data
 	Configure       Kind = "configure"
-	LossyFabric     Kind = "lossy-fabric" // callers' packets are lost and late
+	LossyFabric     Kind = "lossy-fabric" // callers' packets are dropped and delayed
 
-	// Those of plans with returns.
-	StoreReturns      Kind = "store-returns" // from a copy that is as old as the fault lasts
+	// Kinds that only plans of PlanReturns contain.
+	StoreReturns      Kind = "store-returns" // restored from a copy taken at the start of the fault
 	StoreReturnsTwice Kind = "store-returns-twice"
 	KillAllAndReturn  Kind = "kill-all-and-return"
 	Evacuate          Kind = "evacuate"
 )
 
-var returns = []Kind{StoreReturns, StoreReturnsTwice, KillAllAndReturn, Evacuate}
+var returnKinds = []Kind{StoreReturns, StoreReturnsTwice, KillAllAndReturn, Evacuate}
 
 var kinds = []Kind{
 	KillBalancer, StopBalancer, FreezeBalancer, KillAgent, FreezeAgent, CrashUpstream, DrainUpstream, SlowUpstream,
@@ -51,47 +50,48 @@
 
 // Fault is one fault of a plan.
 type Fault struct {
-	// At is when it begins, counted from the start of the load; For is how long
-	// it lasts.
+	// At is the start of the fault relative to the start of the load, For its
+	// duration.
 	At, For time.Duration
 	Kind    Kind
-	// Target picks the node, modulo the number of nodes that fit.
+	// Target selects the node: an index modulo the number of suitable nodes.
 	Target int
 }
 
-// String tells of a fault in a report.
+// String describes the fault as it is logged.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %s %d for %s", f.At.Round(time.Millisecond), f.Kind, f.Target, f.For.Round(time.Millisecond))
 }
 
-// Times of a plan.
+// Timing of a plan: the mean intervals between faults, and between the faults that only
+// PlanReturns adds, and the shortest and longest duration of a fault.
 const (
-	meanGap    = 700 * time.Millisecond
-	meanReturn = 2500 * time.Millisecond
-	leastFor   = 200 * time.Millisecond
-	mostFor    = 2500 * time.Millisecond
+	meanGap       = 700 * time.Millisecond
+	meanReturnGap = 2500 * time.Millisecond
+	minFor        = 200 * time.Millisecond
+	maxFor        = 2500 * time.Millisecond
 )
 
-// PlanReturns returns the faults of a seed with returns of the store from copies and
-// evacuations among them.
+// PlanReturns returns the faults of a seed and adds restores of the store from copies and
+// evacuations.
 func PlanReturns(seed uint64, length time.Duration) []Fault {
-	all := append(Plan(seed, length), plan(rand.New(rand.NewPCG(seed, ^seed)), returns, meanReturn, length)...)
+	all := append(Plan(seed, length), plan(rand.New(rand.NewPCG(seed, ^seed)), returnKinds, meanReturnGap, length)...)
 	slices.SortStableFunc(all, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
-// Plan returns the faults of a seed within a time. They overlap.
+// Plan returns the faults of a seed, all of which end within length. They may overlap.
 func Plan(seed uint64, length time.Duration) (out []Fault) {
 	return plan(rand.New(rand.NewPCG(seed, seed)), kinds, meanGap, length)
 }
 
-// plan draws faults of some kinds.
+// plan generates random faults of the kinds.
 func plan(random *rand.Rand, kinds []Kind, gap, length time.Duration) (out []Fault) {
 	at := time.Duration(0)
 	for {
 		at += time.Duration(random.ExpFloat64() * float64(gap))
 		fault := Fault{
-			At: at, For: leastFor + time.Duration(random.Int64N(int64(mostFor-leastFor))),
+			At: at, For: minFor + time.Duration(random.Int64N(int64(maxFor-minFor))),
 			Kind: kinds[random.IntN(len(kinds))], Target: random.IntN(1 << 16),
 		}
 		if at+fault.For > length {
--- a/test/soak/returns.go
+++ b/test/soak/returns.go
@@ -14,44 +14,44 @@
 	"github.com/saltbend/saltbend/test/packetfleet"
 )
 
-// Returns of the store from copies, and what must hold through them.
-
-// Bounds and times.
+// Parameters of evacuations and of restores of the store from copies.
 const (
-	// inForceBound is the time after its acknowledgement within which a configuration is
-	// in force on all balancers.
+	// inForceBound is the time after the acknowledgement of a configuration within which
+	// it must be in force on all balancers.
 	inForceBound = 3 * time.Second
-	// evacuateBound is the time after a request from which on no flow is opened there.
+	// evacuateBound is the time after a request for evacuation after which no new flow
+	// may be opened in the data centre.
 	evacuateBound = 5 * time.Second
-	// evacuateFor is how long one lasts.
+	// evacuateFor is the duration of an evacuation.
 	evacuateFor = 9 * time.Second
-	// awayFor is how long the store is away before it comes back, rewriteWithin the time
-	// within which operators write again what it lost.
-	awayFor       = 200 * time.Millisecond
-	rewriteWithin = 3 * time.Second
-	// annexPart is the part of the agents that are in the annex, as one in so many.
-	annexPart = 3
+	// unavailableFor is how long the store is unavailable before it is restored, rewriteWithin
+	// the time within which operators repeat the lost writes.
+	unavailableFor = 200 * time.Millisecond
+	rewriteWithin  = 3 * time.Second
+	// annexEvery places one of this many agents in the annex.
+	annexEvery = 3
 )
 
-// dataCentre returns that of the i-th agent.
+// dataCentre returns the data centre of the i-th agent.
 func dataCentre(i int) string {
-	if i%annexPart == annexPart-1 {
-		return theAnnex
+	if i%annexEvery == annexEvery-1 {
+		return annexSubject
 	}
 	return "hall"
 }
 
-// returns lets the store come back from a copy.
-func (r *run) returns(ctx context.Context, f Fault) {
+// restoreStore copies the store, restores it from the copy after the fault's duration, and
+// repeats the operators' writes that were lost.
+func (r *run) restoreStore(ctx context.Context, f Fault) {
 	s := r.fleet.Store
 	old := s.Copy()
-	_ = wait.For(ctx, f.For) // it comes back in any case
+	_ = wait.For(ctx, f.For) // the store is restored also if ctx is cancelled
 	s.Fail(http.StatusServiceUnavailable)
 	var restarts sync.WaitGroup
 	if f.Kind == KillAllAndReturn {
 		r.killAll(ctx, &restarts)
 	}
-	_ = wait.For(ctx, awayFor) // the same
+	_ = wait.For(ctx, unavailableFor) // the store is restored also if ctx is cancelled
 	lost := s.Return(old)
 	if f.Kind == StoreReturnsTwice {
 		s.Return(old)
@@ -59,81 +59,82 @@
 	s.Fail(0)
 	rand.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 	if f.Target%2 == 0 {
-		_ = wait.For(ctx, rand.N(rewriteWithin)) // they write in any case
+		_ = wait.For(ctx, rand.N(rewriteWithin)) // the writes are repeated also if ctx is cancelled
 	}
 	for _, item := range lost {
 		s.RepeatWrite(old, item)
 	}
 	if f.Kind == KillAllAndReturn {
-		r.want(time.Now()) // nobody knew of an evacuation that the copy lacks
+		r.setEvacuateSince(time.Now()) // no process remembered an evacuation that the copy lacks
 	}
 	restarts.Wait()
 }
 
-// killAll kills all processes that are under no other fault and starts them again.
+// killAll kills all processes that are not under another fault and restarts them.
 func (r *run) killAll(ctx context.Context, restarts *sync.WaitGroup) {
 	for _, n := range r.fleet.Nodes() {
-		if !r.take(n) {
+		if !r.acquire(n) {
 			continue
 		}
 		if n.Upstream != nil {
-			r.judge.disturb(n.Upstream.ID, time.Hour)
+			r.checker.disturb(n.Upstream.ID, time.Hour)
 		}
 		n.Process.Kill()
 		restarts.Go(func() {
-			defer r.free(n)
+			defer r.release(n)
 			r.restart(ctx, n)
 			if n.Upstream != nil {
-				r.judge.disturb(n.Upstream.ID, 0)
+				r.checker.disturb(n.Upstream.ID, 0)
 			}
 		})
 	}
 }
 
-// want notes since when the annex is to be empty.
-func (r *run) want(since time.Time) {
+// setEvacuateSince records the start of the evacuation of the annex.
+func (r *run) setEvacuateSince(since time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wanted = since
+	r.evacuateSince = since
 }
 
-// evacuate asks for the annex to be emptied, takes that back later, and judges what was
-// opened there.
+// evacuate requests the evacuation of the annex, cancels it after evacuateFor, and checks
+// that no flow was opened there after evacuateBound.
 func (r *run) evacuate(ctx context.Context) {
-	r.fleet.Store.Put(platform.EvacuationKey(theAnnex), []byte("{}"))
-	r.want(time.Now())
-	_ = wait.For(ctx, evacuateFor) // it is taken back in any case
+	r.fleet.Store.Put(platform.EvacuationKey(annexSubject), []byte("{}"))
+	r.setEvacuateSince(time.Now())
+	_ = wait.For(ctx, evacuateFor) // the evacuation is cancelled also if ctx is cancelled
 	r.mu.Lock()
-	since := r.wanted.Add(evacuateBound)
+	since := r.evacuateSince.Add(evacuateBound)
 	r.mu.Unlock()
 	now := time.Now()
-	r.fleet.Store.Remove(platform.EvacuationKey(theAnnex))
+	r.fleet.Store.Remove(platform.EvacuationKey(annexSubject))
 	for i, n := range r.fleet.Agents {
-		if dataCentre(i) == theAnnex {
-			r.judge.evacuated(n, since, now)
+		if dataCentre(i) == annexSubject {
+			r.checker.checkEvacuated(n, since, now)
 		}
 	}
 }
 
-// evacuated checks what was opened at an agent while its data centre was to be empty.
-func (j *judge) evacuated(n *packetfleet.Node, from, to time.Time) {
+// checkEvacuated checks that no flow was opened at the upstream of an agent between two times
+// of the evacuation of its data centre.
+func (j *checker) checkEvacuated(n *packetfleet.Node, from, to time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	l := j.lives[n.Upstream.ID]
+	l := j.instances[n.Upstream.ID]
 	if l == nil || l.disturbed.After(from) {
-		return // its process has begun anew meanwhile
+		return // the agent's process may have been restarted in between
 	}
 	if late := n.Upstream.OpenedBetween(from, to); late > 0 {
-		j.findLate("%s in an evacuated data centre got %d flows", n.Host.Name, late)
+		j.addLateFinding("upstream on host %s in an evacuated data centre received %d new flows", n.Host.Name, late)
 	}
 }
 
-// expectInForce lets the store come back once more, and expects the next configuration
-// in force on all balancers within the bound.
+// expectInForce restores the store once more and checks that the next configuration is in
+// force on all balancers within inForceBound.
 func (r *run) expectInForce(ctx context.Context) {
 	old := r.fleet.Store.Copy()
 	r.configure()
-	_ = wait.For(ctx, time.Second) // what follows sees the end of ctx
+	_ = wait.For(ctx, time.Second) // the code that follows checks ctx
 	r.fleet.Store.Return(old)
 	r.configure()
 	began := time.Now()
@@ -143,21 +144,22 @@
 			return
 		}
 		if time.Since(began) > inForceBound {
-			r.judge.mu.Lock()
-			r.judge.findLate("version %d is not in force %s after its acknowledgement: %s", r.version, inForceBound, behind)
-			r.judge.mu.Unlock()
+			r.checker.mu.Lock()
+			r.checker.addLateFinding("configuration version %d is not in force on all balancers %s after its acknowledgement: %s", r.version, inForceBound, behind)
+			r.checker.mu.Unlock()
 			return
 		}
-		_ = wait.For(ctx, readyTick) // the loop sees the end of ctx
+		_ = wait.For(ctx, readyPollInterval) // the loop checks ctx
 	}
 }
 
-// behind names a balancer that lacks the newest configuration, empty for none.
+// behind describes a balancer on which the newest configuration is not in force; empty if
+// there is none.
 func (r *run) behind(ctx context.Context) string {
 	for _, b := range r.fleet.Balancers {
 		believed, err := report.Fetch(ctx, b.Host.Control())
 		if err != nil || believed.Version != uint64(r.version) {
-			return fmt.Sprintf("%s has %d (%v)", b.Host.Name, believed.Version, err)
+			return fmt.Sprintf("balancer %s has version %d in force (error: %v)", b.Host.Name, believed.Version, err)
 		}
 	}
 	return ""
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -24,73 +24,78 @@
 // Options of a run.
 type Options struct {
 	Seed uint64
-	// For is how long faults come.
+	// For is the time during which faults are injected.
 	For time.Duration
-	// Program is the daemon, Dir takes settings and logs.
+	// Program is the path of the daemon; settings files and logs are written to Dir.
 	Program, Dir string
-	// Balancers and Agents are the numbers of processes, Callers that of flows at
-	// a time.
+	// Balancers and Agents are the numbers of processes, Callers is the number of
+	// concurrent flows.
 	Balancers, Agents, Callers int
-	// Returns lets the store come back from copies, too.
+	// Returns adds the faults of PlanReturns, such as restores of the store from copies.
 	Returns bool
-	// Log takes a line for each fault.
+	// Log receives a line for each fault.
 	Log io.Writer
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Seed    uint64
 	Faults  []Fault
 	Seconds []Second
-	// Findings are what must never be, Late what must not be on a machine that has
-	// time for the processes: resets of living flows, flows after a drain, a late
-	// recovery or configuration.
+	// Findings are violations that must never occur. Late are violations that may occur
+	// only if the machine is overloaded: resets of flows of a running upstream, flows
+	// after a drain, a late recovery or configuration.
 	Findings, Late []string
-	// Recovery is the time from the end of the faults until everything is served.
+	// Recovery is the time from the end of the faults until all requests are served.
 	Recovery time.Duration
 }
 
 const (
-	// recoveryBound is the time after the last fault within which everything is
+	// recoveryBound is the time after the last fault within which all requests must be
 	// served again.
 	recoveryBound = 12 * time.Second
-	// provedBy is the number of flows in a row that show it.
-	provedBy = 20
-	// shortFlowS is the age of a flow, in seconds, in every second seed: balancers
-	// that are three times as old ask only agents of the services of a face.
-	shortFlowS = 2
-	readyTick  = 100 * time.Millisecond
+	// recoveredFlows is the number of consecutive successful flows that count as
+	// recovery.
+	recoveredFlows = 20
+	// shortFlowS is the maximum age of a flow, in seconds, for odd seeds. Balancers that
+	// have run three times as long ask only the agents of a face's services, which
+	// a run of the default length is too short to reach with the default age.
+	shortFlowS        = 2
+	readyPollInterval = 100 * time.Millisecond
 )
 
-// run is a soak that runs.
+// run is the state of a soak run.
 type run struct {
 	Options
 	fleet *packetfleet.Fleet
-	// way is that of all processes to the store.
-	way    *harness.Link
-	judge  *judge
-	caller *packetplatform.Caller
-	// busy are nodes under a fault, "store" and "fabric" stand for themselves.
+	// storeLink is the link through which all processes reach the store.
+	storeLink *harness.Link
+	checker   *checker
+	caller    *packetplatform.Caller
+	// busy are the subjects under a fault: nodes, or one of the names "store", "fabric"
+	// and "annex".
 	mu      sync.Mutex
 	busy    map[any]bool
 	version int
-	// wanted is since when operators want the annex empty, or all that knew it were killed.
-	wanted time.Time
+	// evacuateSince is when operators asked for the evacuation of the annex, or when all
+	// processes that knew of the request were killed, whichever is later.
+	evacuateSince time.Time
 }
 
-// Run plays the plan of a seed. An error says that it could not be played.
+// Run executes the plan of a seed. It returns an error only if the run can't be carried out;
+// violations are in the report.
 func Run(ctx context.Context, o Options) (Report, error) {
 	fleet, err := packetfleet.New(o.Dir, o.Program)
 	if err != nil {
 		return Report{}, err
 	}
 	defer fleet.Close()
-	r := &run{Options: o, fleet: fleet, judge: newJudge(), busy: make(map[any]bool)}
-	if r.way, err = harness.NewLinkTo("store", fleet.Store.Address()); err != nil {
+	r := &run{Options: o, fleet: fleet, checker: newChecker(), busy: make(map[any]bool)}
+	if r.storeLink, err = harness.NewLinkTo("store", fleet.Store.Address()); err != nil {
 		return Report{}, err
 	}
-	defer r.way.Close()
-	fleet.StoreAddress = r.way.Address()
+	defer r.storeLink.Close()
+	fleet.StoreAddress = r.storeLink.Address()
 	if o.Seed%2 == 1 {
 		fleet.FlowMaxS = shortFlowS
 	}
@@ -105,9 +110,9 @@
 	loadCtx, endLoad := context.WithCancel(ctx)
 	defer endLoad()
 	var load sync.WaitGroup
-	r.judge.began = time.Now() // nobody else has the judge yet
+	r.checker.began = time.Now() // no other goroutine uses the checker yet
 	for i := range o.Callers {
-		load.Go(func() { (&worker{id: i, caller: r.caller, judge: r.judge}).run(loadCtx) })
+		load.Go(func() { (&worker{id: i, caller: r.caller, checker: r.checker}).run(loadCtx) })
 	}
 	load.Go(func() { r.followReady(loadCtx) })
 	r.play(ctx, plan)
@@ -118,11 +123,11 @@
 	endLoad()
 	load.Wait()
 	r.checkVersions(ctx)
-	r.judge.upstreams()
-	return Report{Seed: o.Seed, Faults: plan, Seconds: r.judge.seconds, Findings: r.judge.findings, Late: r.judge.late, Recovery: recovery}, nil
+	r.checker.checkUpstreams()
+	return Report{Seed: o.Seed, Faults: plan, Seconds: r.checker.seconds, Findings: r.checker.findings, Late: r.checker.late, Recovery: recovery}, nil
 }
 
-// start starts all processes and waits until they serve.
+// start starts all processes and waits until they are ready.
 func (r *run) start(ctx context.Context) (err error) {
 	r.configure()
 	for i := range r.Agents {
@@ -131,7 +136,7 @@
 		if err != nil {
 			return err
 		}
-		r.judge.begin(n.Upstream, service)
+		r.checker.begin(n.Upstream, service)
 	}
 	for i := range r.Balancers {
 		if _, err := r.fleet.AddBalancer(ctx, packetfleet.Name("balancer", i)); err != nil {
@@ -141,12 +146,13 @@
 	if r.caller, err = r.fleet.Caller(); err != nil {
 		return err
 	}
-	r.caller.SetRequestTimeout(patience)
+	r.caller.SetRequestTimeout(requestTimeout)
 	r.caller.Use(r.fleet.Ready()...)
 	return nil
 }
 
-// configure writes the next version; every second one has a further face.
+// configure writes the next version of the configuration; every second version has a
+// further face.
 func (r *run) configure() {
 	r.mu.Lock()
 	r.version++
@@ -162,16 +168,16 @@
 	r.fleet.Configure(version, routes...)
 }
 
-// followReady keeps the fabric's list of balancers, as readiness shows it.
+// followReady updates the fabric's list of balancers from their readiness checks.
 func (r *run) followReady(ctx context.Context) {
-	for wait.For(ctx, readyTick) == nil {
+	for wait.For(ctx, readyPollInterval) == nil {
 		if ready := r.fleet.Ready(); len(ready) > 0 {
 			r.caller.Use(ready...)
 		}
 	}
 }
 
-// play brings about all faults and returns when they have ended.
+// play injects all faults and returns when they have ended.
 func (r *run) play(ctx context.Context, plan []Fault) {
 	began := time.Now()
 	var faults sync.WaitGroup
@@ -179,20 +185,21 @@
 		if wait.For(ctx, fault.At-time.Since(began)) != nil {
 			break
 		}
-		faults.Go(func() { r.bring(ctx, fault) })
+		faults.Go(func() { r.inject(ctx, fault) })
 	}
 	faults.Wait()
-	_ = wait.For(ctx, r.For-time.Since(began)) // what follows sees the end of ctx
+	_ = wait.For(ctx, r.For-time.Since(began)) // the code that follows checks ctx
 }
 
-// recover returns how long it takes until everything is served.
+// recover waits until recoveredFlows consecutive flows are served, at most recoveryBound,
+// and returns the time that this took.
 func (r *run) recover(ctx context.Context) time.Duration {
 	began := time.Now()
-	for served := 0; served < provedBy; {
+	for served := 0; served < recoveredFlows; {
 		if ctx.Err() != nil || time.Since(began) > recoveryBound {
-			r.judge.mu.Lock()
-			r.judge.findLate("not everything is served %s after the last fault", recoveryBound)
-			r.judge.mu.Unlock()
+			r.checker.mu.Lock()
+			r.checker.addLateFinding("some requests still fail %s after the last fault", recoveryBound)
+			r.checker.mu.Unlock()
 			break
 		}
 		served++
@@ -210,32 +217,33 @@
 
 var adopted = regexp.MustCompile(`"msg":"Configuration adopted\.".*?"version":(\d+)`)
 
-// checkVersions checks that each balancer has the newest configuration, and that
-// none went back to an older one.
+// checkVersions checks that the newest configuration is in force on each balancer, and
+// that none adopted an older one after a newer one.
 func (r *run) checkVersions(ctx context.Context) {
-	r.judge.mu.Lock()
-	defer r.judge.mu.Unlock()
+	r.checker.mu.Lock()
+	defer r.checker.mu.Unlock()
 	for _, b := range r.fleet.Balancers {
 		believed, err := report.Fetch(ctx, b.Host.Control())
 		if err != nil || believed.Version != uint64(r.version) {
-			r.judge.findLate("%s has version %d of %d in force (%v)", b.Host.Name, believed.Version, r.version, err)
+			r.checker.addLateFinding("balancer %s has configuration version %d in force, newest is %d (error: %v)", b.Host.Name, believed.Version, r.version, err)
 		}
 		text, err := b.Log()
 		if err != nil {
-			r.judge.find("the log of %s: %s", b.Host.Name, err)
+			r.checker.addFinding("can't read the log of balancer %s: %s", b.Host.Name, err)
 		}
 		last := 0
 		for _, match := range adopted.FindAllStringSubmatch(text, -1) {
-			version, _ := strconv.Atoi(match[1]) // the expression matches digits only
+			version, _ := strconv.Atoi(match[1]) // the regular expression matches digits only
 			if version <= last {
-				r.judge.find("%s adopted version %d after %d", b.Host.Name, version, last)
+				r.checker.addFinding("balancer %s adopted configuration version %d after version %d", b.Host.Name, version, last)
 			}
 			last = version
 		}
 	}
 }
 
-// Err returns the findings as an error, nil without any.
+// Err returns an error with the number of findings and the first of them, nil if there
+// are none.
 func (r Report) Err() error {
 	all := append(slices.Clone(r.Findings), r.Late...)
 	if len(all) == 0 {
@@ -244,7 +252,7 @@
 	return errors.Errorf("seed %d: %d findings, the first: %s", r.Seed, len(all), all[0])
 }
 
-// Total returns the sums over all seconds.
+// Total returns the sums of the counts over all seconds.
 func (r Report) Total() (sum Second) {
 	for _, s := range r.Seconds {
 		sum.Asked += s.Asked
@@ -260,10 +268,10 @@
 func (r Report) AppendTo(path string) error {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errors.Wrap(err, "open the report")
+		return errors.Wrap(err, "open the report file")
 	}
 	if err := json.NewEncoder(file).Encode(r); err != nil {
-		_ = file.Close() // the first error counts
+		_ = file.Close() // the first error is returned
 		return errors.Wrap(err, "write the report")
 	}
 	return errors.Wrap(file.Close(), "write the report")
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -14,21 +14,21 @@
 	"github.com/saltbend/saltbend/test/soak"
 )
 
-// regressions are seeds that failed once, each with its cause. Kinds were added
-// since, so that a seed's plan is another now: what they found has tests of its
-// own in internal/packetface, named here.
+// regressions are seeds that once failed, each with the cause. Adding kinds of faults has
+// changed the plans of these seeds, so tests in internal/packetface, named here, guard
+// against the faults that they found.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{100, "a balancer that started after a lapse reset living flows (TestNoResetBeforePeersAreAsked)"},
-	{201, "the same, with two agents"},
-	{300, "an agent that was frozen while its entry lapsed stayed forgotten (TestAForgottenAgentThatSpeaksIsBack)"},
-	{7011, "an agent whose upstream had left and begun another life while the store was away stayed forgotten (TestAnAgentThatLeftStaysForgotten)"},
-	{302, "the stand-in upstream took late copies for new requests"},
+	{100, "a balancer that started after all leases had ended reset flows of running upstreams (TestNoResetBeforePeersAreAsked)"},
+	{201, "as seed 100, with two agents"},
+	{300, "an agent that was frozen while the lease of its entry ended was not restored (TestRemovedAgentIsRestoredByItsStatus)"},
+	{7011, "an agent whose upstream had drained and been replaced while the store was unavailable was not restored (TestAgentWithUpstreamDownIsNotRestored)"},
+	{302, "the simulated upstream ran delayed copies of a request as new requests"},
 }
 
-func TestPlansAreOfTheirSeed(t *testing.T) {
+func TestPlanDependsOnlyOnSeed(t *testing.T) {
 	g := NewWithT(t)
 	plan := soak.Plan(7, time.Minute)
 	g.Expect(plan).To(Equal(soak.Plan(7, time.Minute)))
@@ -53,17 +53,17 @@
 	}
 }
 
-// withReturns are seeds in which the store comes back from copies.
+// withReturns are seeds of plans in which the store is restored from copies.
 var withReturns = []struct {
 	seed  uint64
 	cause string
 }{
-	{500, "nothing yet"},
-	{700040, "nothing yet"},
-	{730045, "a balancer that woke forgot agents whose entries had lapsed, and an entry waited for a frozen one (TestAPauseIsNoSilenceOfUnlistedAgents, TestAnEntryIsWrittenWithoutTheBalancers)"},
+	{500, "no failure so far"},
+	{700040, "no failure so far"},
+	{730045, "a balancer that resumed after a pause removed agents whose leases had ended, and the write of an entry waited for a frozen balancer (TestPauseDoesNotRemoveUnlistedAgents, TestEntryIsWrittenDirectlyWhenBalancersFail)"},
 }
 
-// soakOnce plays a seed beside others.
+// soakOnce runs a seed in parallel with the others.
 func soakOnce(t *testing.T, bin string, seed uint64, returns bool, cause string) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -72,8 +72,8 @@
 		Balancers: 3, Agents: 6, Callers: 20, Returns: returns, Log: io.Discard,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(report.Findings).To(BeEmpty(), "seed %d, which failed for: %s", seed, cause)
-	for _, late := range report.Late { // this machine may have had no time; make soak fails on them
+	g.Expect(report.Findings).To(BeEmpty(), "seed %d, which once failed because: %s", seed, cause)
+	for _, late := range report.Late { // the machine may have been overloaded; `make soak` fails on these
 		t.Logf("seed %d: %s", seed, late)
 	}
 	g.Expect(report.Total().Answered).To(BeNumerically(">", 0))
