--- a/test/caller/caller.go
+++ b/test/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller stands in for callers over HTTP/3: lookups, feeds, timer
-// batches, exam answers and uploads. It checks each answer against its own
-// request and counts outcomes as they were told.
+// Package caller simulates callers over HTTP/3: lookups, feeds, timer batches, exam answers
+// and uploads. It checks that each answer belongs to its request, and counts the outcomes
+// that callers receive.
 package caller
 
 import (
@@ -32,10 +32,10 @@
 	headerOutcome = "Saltbend-Outcome"
 
 	idleTimeout = 60 * time.Second
-	// redialPause keeps a caller whose attempt failed in transport from
-	// spinning.
+	// redialPause is the pause after a transport failure, which keeps a caller from
+	// reconnecting in a busy loop.
 	redialPause = 50 * time.Millisecond
-	// defaultRetryAfter is used where a refusal names no time.
+	// defaultRetryAfter is the pause after a refusal without the header Retry-After.
 	defaultRetryAfter = time.Second
 )
 
@@ -49,15 +49,16 @@
 	ServerName string
 	Roots      *x509.CertPool
 	Tally      *Tally
-	// AttemptTimeout bounds one attempt of a submission; zero is no bound.
+	// AttemptTimeout limits one attempt of a submission; zero means no limit.
 	AttemptTimeout time.Duration
-	// KeepAlive is how often a silent connection is pinged; zero is never.
+	// KeepAlive is the interval of keep-alive pings on an idle connection; zero disables
+	// them.
 	KeepAlive time.Duration
 }
 
-// Caller has one HTTP/3 connection at a time, and another for submissions,
-// which it leaves when an attempt fails. Its methods may be called
-// concurrently, but for Submit: a caller has one ticket.
+// Caller uses one HTTP/3 connection for submissions, which it replaces when an attempt
+// fails, and another for all other requests. Its methods are safe for concurrent use except
+// for Submit, since a caller has only one ticket.
 type Caller struct {
 	o          Options
 	transport  *http3.Transport
@@ -65,7 +66,7 @@
 	ticket     string
 }
 
-// New returns a caller that connects at its first request.
+// New returns a caller. It connects with the first request.
 func New(o Options) *Caller {
 	return &Caller{o: o, transport: newTransport(o), submitting: newTransport(o)}
 }
@@ -77,19 +78,19 @@
 	}
 }
 
-// Close ends the caller's connections.
+// Close closes the caller's connections.
 func (c *Caller) Close() {
-	_ = c.transport.Close() // whatever they say, they are not used again
+	_ = c.transport.Close() // errors don't matter, the connections aren't used again
 	_ = c.submitting.Close()
 }
 
-// redial leaves the submissions' connection; the next one opens another.
+// redial closes the connection for submissions; the next submission opens a new one.
 func (c *Caller) redial() {
-	_ = c.submitting.Close() // whatever it says, it is not used again
+	_ = c.submitting.Close() // an error doesn't matter, the connection isn't used again
 	c.submitting = newTransport(c.o)
 }
 
-// reply is one response as the caller sees it.
+// reply is a response as received by the caller.
 type reply struct {
 	status     int
 	outcome    string
@@ -139,34 +140,34 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// check compares a whole answer with the request it should belong to.
+// check checks that a reply is the complete answer to the request with the id and body.
 func (c *Caller) check(r reply, id string, body []byte) error {
 	if r.status != http.StatusOK {
 		return errors.Errorf("status %d outcome %q: %.100s", r.status, r.outcome, r.body)
 	}
 	var a upstream.Answer
 	if err := json.Unmarshal(r.body, &a); err != nil {
-		return errors.Wrap(err, "answer is not whole")
+		return errors.Wrap(err, "decode answer")
 	}
 	sum := sha256.Sum256(body)
 	switch {
 	case a.Service != c.o.Service:
 		return errors.Errorf("answer of service %q to a request for %q", a.Service, c.o.Service)
 	case a.ID != id:
-		return errors.Errorf("answer to %q in place of %q", a.ID, id)
+		return errors.Errorf("answer to request %q instead of %q", a.ID, id)
 	case a.BodySum != hex.EncodeToString(sum[:]):
-		return errors.Errorf("the upstream saw %d bytes, other than the %d sent", a.BodyBytes, len(body))
+		return errors.Errorf("the upstream received a body of %d bytes that differs from the %d bytes sent", a.BodyBytes, len(body))
 	}
 	return nil
 }
 
-// Lookup asks for one runner. A refusal is tried again when it said, until ctx
-// ends; a failed connection is not.
+// Lookup looks up one runner. After a refusal it retries at the time that the refusal names,
+// until ctx is cancelled. It does not retry after a failed connection.
 func (c *Caller) Lookup(ctx context.Context) error {
 	return c.idempotent(ctx, KindLookup, http.MethodGet, upstream.PathLookup, nil)
 }
 
-// Upload sends a photo.
+// Upload sends a photo. It retries as Lookup does.
 func (c *Caller) Upload(ctx context.Context, photo []byte) error {
 	return c.idempotent(ctx, KindUpload, http.MethodPut, upstream.PathUpload, photo)
 }
@@ -181,7 +182,7 @@
 			if wait.For(ctx, r.retryAfter) == nil {
 				continue
 			}
-			err = errors.New("refused until the deadline")
+			err = errors.New("request was refused until its deadline")
 		}
 		if err == nil {
 			err = c.check(r, id, body)
@@ -191,7 +192,7 @@
 	}
 }
 
-// Outcome is how a submission ended.
+// Outcome is the result of a submission.
 type Outcome string
 
 // Outcomes of Submit.
@@ -201,10 +202,10 @@
 	OutcomeFailed   Outcome = "failed"
 )
 
-// Submit sends a non-idempotent request under a ticket. While it has no final
-// answer it asks again under the same ticket, on a new connection after a
-// transport failure; after a refusal it asks with a fresh ticket and a new
-// attempt in its id, so that a run behind a refusal is seen.
+// Submit sends a non-idempotent request with a ticket. Until it receives a final answer it
+// repeats the request with the same ticket, after a transport failure on a new connection.
+// After a refusal it uses a new ticket and a new attempt number in the request id, so that
+// a run of the refused attempt can be detected.
 func (c *Caller) Submit(ctx context.Context, path string, body []byte) (Outcome, error) {
 	stem := c.newID()
 	start := time.Now()
@@ -232,7 +233,7 @@
 			attempt++
 			ticket = r.ticket
 			if wait.For(ctx, r.retryAfter) != nil {
-				return OutcomeFailed, errors.New("refused until the deadline")
+				return OutcomeFailed, errors.New("request was refused until its deadline")
 			}
 		case r.outcome == string(OutcomeUnknown):
 			c.ticket = r.ticket
@@ -259,11 +260,11 @@
 	return c.send(ctx, c.submitting, http.MethodPost, path, id, ticket, body)
 }
 
-// AttemptID is the request id of an attempt; attempts of one submission share
-// the stem.
+// AttemptID returns the request id of an attempt. All attempts of one submission have the
+// same stem.
 func AttemptID(stem string, attempt int) string { return fmt.Sprintf("%s.%d", stem, attempt) }
 
-// ids number the requests of all callers in the process.
+// ids is the number of request ids issued to all callers of this process.
 var ids atomic.Uint64
 
 func (c *Caller) newID() string {
--- a/test/caller/feed.go
+++ b/test/caller/feed.go
@@ -14,11 +14,12 @@
 	"github.com/saltbend/saltbend/test/upstream"
 )
 
-// eventIDPrefix starts the line that carries an event's id.
+// eventIDPrefix is the start of the line with an event's id.
 const eventIDPrefix = "id: "
 
-// Feed holds a live feed open until ctx ends and calls opened, if not nil, at
-// the first event. Any other end, a gap or a repeated event breaks it.
+// Feed keeps a feed open until ctx is cancelled, and calls opened, if not nil, at the first
+// event. It returns an error if the feed ends otherwise, or if events are missing or
+// repeated.
 func (c *Caller) Feed(ctx context.Context, opened func()) error {
 	id := c.newID()
 	err := c.feed(ctx, id, opened)
@@ -47,7 +48,7 @@
 		}
 		c.o.Tally.refuse(KindFeed, id)
 		if wait.For(ctx, retryAfter(resp.Header)) != nil {
-			return errors.New("feed: refused until the deadline")
+			return errors.New("feed: refused until the context was cancelled")
 		}
 	}
 }
--- a/test/caller/group.go
+++ b/test/caller/group.go
@@ -10,40 +10,41 @@
 	"github.com/saltbend/saltbend/test/upstream"
 )
 
-// Load is what each caller of a crowd does until it is stopped.
+// Load is the load that each caller of a group generates until the group is stopped.
 type Load struct {
-	// Feed holds a feed open all the while.
+	// Feed keeps a feed open the whole time.
 	Feed bool
-	// LookupEvery, SubmitEvery and UploadEvery are mean pauses; zero is never.
+	// LookupEvery, SubmitEvery and UploadEvery are the mean pauses between requests of
+	// each kind; zero disables the kind.
 	LookupEvery, SubmitEvery, UploadEvery time.Duration
-	// Timeout bounds one piece of work.
+	// Timeout limits each request.
 	Timeout time.Duration
 	// UploadBytes is the size of a photo, BatchBytes that of a submission.
 	UploadBytes, BatchBytes int
 }
 
-// Crowd runs many callers.
-type Crowd struct {
-	stop  context.CancelFunc
-	feeds context.CancelFunc
-	work  sync.WaitGroup
-	held  sync.WaitGroup
-	all   []*Caller
+// Group is a group of callers that generate load.
+type Group struct {
+	stop      context.CancelFunc
+	feeds     context.CancelFunc
+	work      sync.WaitGroup
+	openFeeds sync.WaitGroup
+	all       []*Caller
 }
 
-// Gather starts load on each of the callers. It returns once every caller that
-// holds a feed has it open, or ctx has ended.
-func Gather(ctx context.Context, callers []*Caller, load Load) *Crowd {
+// StartGroup starts the load of all callers. It returns when every caller that has a feed
+// has opened it, or ctx is cancelled.
+func StartGroup(ctx context.Context, callers []*Caller, load Load) *Group {
 	working, stop := context.WithCancel(ctx)
 	feeding, feeds := context.WithCancel(ctx)
-	c := &Crowd{stop: stop, feeds: feeds, all: callers}
+	c := &Group{stop: stop, feeds: feeds, all: callers}
 	opened := make(chan struct{}, len(callers))
 	for _, one := range callers {
 		if load.Feed {
-			c.held.Go(func() {
-				tell := sync.OnceFunc(func() { opened <- struct{}{} })
-				_ = one.Feed(feeding, tell) // counted by the tally
-				tell()                      // also when it never opened
+			c.openFeeds.Go(func() {
+				signalOpened := sync.OnceFunc(func() { opened <- struct{}{} })
+				_ = one.Feed(feeding, signalOpened) // the tally counts errors
+				signalOpened()                      // unblocks StartGroup also if the feed never opened
 			})
 		}
 	}
@@ -68,9 +69,9 @@
 	return c
 }
 
-// every does work at random pauses around the mean until ctx ends; work that
-// has begun goes on to its own end.
-func (c *Crowd) every(ctx context.Context, mean, timeout time.Duration, work func(context.Context)) {
+// every calls work with random pauses between 0 and twice the mean until ctx is cancelled.
+// Work in progress is not cancelled.
+func (c *Group) every(ctx context.Context, mean, timeout time.Duration, work func(context.Context)) {
 	if mean == 0 {
 		return
 	}
@@ -83,12 +84,12 @@
 	})
 }
 
-// Disperse lets work in progress end, then closes the feeds and connections.
-func (c *Crowd) Disperse() {
+// Stop waits for the requests in progress, then closes the feeds and connections.
+func (c *Group) Stop() {
 	c.stop()
 	c.work.Wait()
 	c.feeds()
-	c.held.Wait()
+	c.openFeeds.Wait()
 	for _, one := range c.all {
 		one.Close()
 	}
--- a/test/caller/tally.go
+++ b/test/caller/tally.go
@@ -8,10 +8,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Kind is a kind of work that callers do.
+// Kind is a kind of request of callers.
 type Kind string
 
-// Kinds of work.
+// Kinds of requests.
 const (
 	KindLookup     Kind = "lookup"
 	KindUpload     Kind = "upload"
@@ -20,12 +20,12 @@
 )
 
 const (
-	maxLatencyMicros    = 120_000_000
-	significantFigures  = 3
-	maxRememberedErrors = 20
+	maxLatencyMicros   = 120_000_000
+	significantFigures = 3
+	maxErrors          = 20
 )
 
-// Counts are the outcomes of one kind of work.
+// Counts are the numbers of requests of one kind by outcome.
 type Counts struct {
 	OK, Failed, Unknown, Refused int
 }
@@ -79,7 +79,7 @@
 	c := t.of(kind)
 	if err != nil {
 		c.Failed++
-		t.remember(kind, id, err)
+		t.addError(kind, id, err)
 		return
 	}
 	c.OK++
@@ -117,29 +117,30 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.feedsBroken++
-	t.remember(KindFeed, id, err)
+	t.addError(KindFeed, id, err)
 }
 
 // measure records a latency; mu must be held.
 func (t *Tally) measure(kind Kind, d time.Duration) {
-	_ = t.latency[kind].RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // in range by the clamp
+	_ = t.latency[kind].RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // never fails, since the value is clamped to the range
 }
 
-// remember keeps an error for the report; mu must be held.
-func (t *Tally) remember(kind Kind, id string, err error) {
-	if len(t.errors) < maxRememberedErrors {
+// addError adds an error to the report, which holds the first maxRememberedErrors; mu must
+// be held.
+func (t *Tally) addError(kind Kind, id string, err error) {
+	if len(t.errors) < maxErrors {
 		t.errors = append(t.errors, string(kind)+" "+id+": "+err.Error())
 	}
 }
 
-// OK returns how much work of a kind went well so far.
+// OK returns the number of successful requests of a kind so far.
 func (t *Tally) OK(kind Kind) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.of(kind).OK
 }
 
-// Events returns the feed events that were received so far.
+// Events returns the number of feed events received so far.
 func (t *Tally) Events() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,23 +154,24 @@
 	return maps.Clone(t.lastEvents)
 }
 
-// Report is a copy of a tally.
+// Report is a snapshot of a tally.
 type Report struct {
 	Counts map[Kind]Counts
-	// P50, P99 and Max are latencies of what went well.
+	// P50, P99 and Max are latencies of successful requests.
 	P50, P99, Max map[Kind]time.Duration
 	FeedsOpened   int
 	FeedsBroken   int
 	Events        int
 	// LongestGap is the longest time between two events of one feed.
 	LongestGap time.Duration
-	// Refused holds the ids of attempts that were told "not run".
+	// Refused are the ids of attempts that were refused, which means that they were not
+	// run.
 	Refused map[string]bool
-	// Errors are the first failures in words.
+	// Errors describes the first failures.
 	Errors []string
 }
 
-// Report returns what was counted so far.
+// Report returns a snapshot of the tally.
 func (t *Tally) Report() Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/test/cmd/demo/main.go
+++ b/test/cmd/demo/main.go
@@ -97,7 +97,7 @@
 	}
 	tally := caller.NewTally()
 	say("Gathering %d callers, each with an open feed.", callersPerFace*len(services))
-	crowd := caller.Gather(ctx, callers(fleet, services, tally), caller.Load{
+	crowd := caller.StartGroup(ctx, callers(fleet, services, tally), caller.Load{
 		Feed: true, LookupEvery: lookupEvery, SubmitEvery: submitEvery, UploadEvery: uploadEvery,
 		Timeout: workTimeout, UploadBytes: uploadBytes, BatchBytes: submissionBytes,
 	})
@@ -105,7 +105,7 @@
 		return summary{}, err
 	}
 	say("Letting the work in progress end.")
-	crowd.Disperse()
+	crowd.Stop()
 	report := tally.Report()
 	audit, err := fleet.Audit(report)
 	if err != nil {
--- a/test/integration/agents_test.go
+++ b/test/integration/agents_test.go
@@ -21,24 +21,24 @@
 	ginkgo.It("leave under load: work ends, feeds stay, nothing new comes", func(ctx ginkgo.SpecContext) {
 		fleet, pairs := start(ctx, size{balancers: 3, pairs: 3}, harness.DefaultValues(), results)
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callers, load)
-		progress(tally, callers, callers)
+		crowd := startCallers(ctx, fleet, tally, callers, load)
+		awaitProgress(tally, callers, callers)
 		leaving := pairs[0]
 		leaving.Agent.Signal(syscall.SIGTERM)
-		progress(tally, 8*callers, 8*callers)
+		awaitProgress(tally, 8*callers, 8*callers)
 		settled := runs(fleet, tally, leaving)
-		progress(tally, 8*callers, 8*callers)
-		gomega.Expect(runs(fleet, tally, leaving)).To(gomega.Equal(settled), "new work at a leaving upstream")
-		gomega.Expect(leaving.Agent.Alive()).To(gomega.BeTrue(), "it still holds feeds")
-		everyFeedGoesOn(tally, callers)
-		crowd.Disperse()
-		gomega.Eventually(leaving.Agent.Done(), patience).Should(gomega.BeClosed())
+		awaitProgress(tally, 8*callers, 8*callers)
+		gomega.Expect(runs(fleet, tally, leaving)).To(gomega.Equal(settled), "an upstream whose agent is stopping ran new requests")
+		gomega.Expect(leaving.Agent.Alive()).To(gomega.BeTrue(), "the agent ended while it still served feeds")
+		awaitEventsOnAllFeeds(tally, callers)
+		crowd.Stop()
+		gomega.Eventually(leaving.Agent.Done(), waitTimeout).Should(gomega.BeClosed())
 		gomega.Expect(leaving.Agent.ExitCode()).To(gomega.BeZero())
-		expectWhole(fleet, tally, callers)
+		expectNoErrors(fleet, tally, callers)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
 
-// runs counts the requests, feeds aside, that a pair's upstream has run.
+// runs returns the number of requests, without feeds, that a pair's upstream has run.
 func runs(fleet *harness.Fleet, tally *caller.Tally, pair *harness.Pair) int {
 	ginkgo.GinkgoHelper()
 	audit, err := fleet.Audit(tally.Report())
--- a/test/integration/balancers_test.go
+++ b/test/integration/balancers_test.go
@@ -18,46 +18,47 @@
 		silentEach  = 20
 	)
 	load := caller.Load{Feed: true, LookupEvery: 300 * time.Millisecond}
-	// A caller that only holds a feed sends nothing while it gets nothing.
+	// A caller that has only a feed sends packets only in response to packets received.
 	silence := caller.Load{Feed: true}
 
 	ginkgo.It("may all be killed and replaced in turn", func(ctx ginkgo.SpecContext) {
 		fleet, _ := start(ctx, size{balancers: 3, pairs: 3}, harness.DefaultValues(), results, exams)
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
-		silent := gather(ctx, fleet, tally, silentEach, silence)
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
+		silent := startCallers(ctx, fleet, tally, silentEach, silence)
 		for _, old := range fleet.Balancers() {
 			gomega.Expect(fleet.KillBalancer(ctx, old)).To(gomega.Succeed())
 			_, err := fleet.AddBalancer(ctx)
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
-			progress(tally, 4*callersEach, 8*callersEach)
+			awaitProgress(tally, 4*callersEach, 8*callersEach)
 		}
-		crowd.Disperse()
-		silent.Disperse()
-		expectWhole(fleet, tally, 2*(callersEach+silentEach))
+		crowd.Stop()
+		silent.Stop()
+		expectNoErrors(fleet, tally, 2*(callersEach+silentEach))
 	}, ginkgo.SpecTimeout(specTimeout))
 
-	// recovers fails one balancer while the fabric goes on spraying over it.
+	// recovers injects a fault into one balancer while the fabric continues to send
+	// packets through it, and checks that no flow breaks.
 	recovers := func(ctx ginkgo.SpecContext, what string, fail func(*harness.Fleet, *harness.Process)) {
 		fleet, _ := start(ctx, size{balancers: 3, pairs: 2}, harness.DefaultValues(), results)
 		tally, quiet := caller.NewTally(), caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
-		silent := gather(ctx, fleet, quiet, silentEach, silence)
-		progress(tally, callersEach, callersEach)
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
+		silent := startCallers(ctx, fleet, quiet, silentEach, silence)
+		awaitProgress(tally, callersEach, callersEach)
 		before := tally.Report()
 		fail(fleet, fleet.Balancers()[0])
-		progress(tally, 4*callersEach, 8*callersEach)
-		everyFeedGoesOn(quiet, silentEach)
-		crowd.Disperse()
-		silent.Disperse()
+		awaitProgress(tally, 4*callersEach, 8*callersEach)
+		awaitEventsOnAllFeeds(quiet, silentEach)
+		crowd.Stop()
+		silent.Stop()
 		after := tally.Report()
 		ginkgo.AddReportEntry("recovery", fmt.Sprintf(
 			"%s: longest gap in a feed %s (%s of a silent caller), slowest lookup %s; before the fault %s and %s",
 			what, after.LongestGap, quiet.Report().LongestGap, after.Max[caller.KindLookup],
 			before.LongestGap, before.Max[caller.KindLookup]),
 			ginkgo.ReportEntryVisibilityAlways)
-		expectWhole(fleet, tally, callersEach)
-		expectWhole(fleet, quiet, silentEach)
+		expectNoErrors(fleet, tally, callersEach)
+		expectNoErrors(fleet, quiet, silentEach)
 	}
 
 	ginkgo.It("may freeze without breaking a flow", func(ctx ginkgo.SpecContext) {
--- a/test/integration/control_faults_test.go
+++ b/test/integration/control_faults_test.go
@@ -23,8 +23,9 @@
 )
 
 const (
-	// cutVariable sets the least length of a cut; without it a cut lasts only
-	// until every balancer has noticed it and would have acted on it.
+	// cutVariable is the environment variable with the minimum duration of a partition.
+	// Without it, a partition lasts only until every balancer has detected it and would
+	// have declared the unreachable members gone.
 	cutVariable = "SALTBEND_TEST_CUT"
 
 	metricAgents    = `saltbend_control_members{role="agent"}`
@@ -35,23 +36,23 @@
 	metricSuspected = "saltbend_control_suspected_members"
 )
 
-// noted is one event of a process's time line about control.
-type noted struct {
+// controlEvent is an event of the part control in a process's timeline.
+type controlEvent struct {
 	Time    time.Time
 	Process string
 	Kind    event.Kind
 	Detail  string
 }
 
-// notedSince returns the events of all processes that answer, after a time.
-func notedSince(ctx context.Context, fleet *harness.Fleet, since time.Time) []noted {
+// eventsSince returns the events of all responding processes after the given time.
+func eventsSince(ctx context.Context, fleet *harness.Fleet, since time.Time) []controlEvent {
 	ginkgo.GinkgoHelper()
 	r, err := fleet.CLI(ctx, "timeline", "--part", control.Part, "--output", "json")
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	var out []noted
+	var out []controlEvent
 	lines := json.NewDecoder(strings.NewReader(r.Stdout))
 	for lines.More() {
-		var e noted
+		var e controlEvent
 		gomega.Expect(lines.Decode(&e)).To(gomega.Succeed())
 		if e.Time.After(since) {
 			out = append(out, e)
@@ -60,31 +61,32 @@
 	return out
 }
 
-// notedAt returns the time of each balancer's first event that is so.
-func notedAt(all []noted, fleet *harness.Fleet, is func(noted) bool) map[string]time.Time {
+// firstEvents returns, by control address, the time of each balancer's first event that
+// satisfies is.
+func firstEvents(all []controlEvent, fleet *harness.Fleet, is func(controlEvent) bool) map[string]time.Time {
 	first := make(map[string]time.Time)
 	for _, b := range fleet.Balancers() {
 		address := b.Address("control").String()
-		if i := slices.IndexFunc(all, func(e noted) bool { return e.Process == address && is(e) }); i >= 0 {
+		if i := slices.IndexFunc(all, func(e controlEvent) bool { return e.Process == address && is(e) }); i >= 0 {
 			first[address] = all[i].Time
 		}
 	}
 	return first
 }
 
-// everyBalancerNotes waits until each balancer's time line has such an event
-// after the time, and returns when each had the first.
-func everyBalancerNotes(ctx context.Context, fleet *harness.Fleet, since time.Time, is func(noted) bool) map[string]time.Time {
+// awaitEventOnAll waits until the timeline of each balancer contains an event after since
+// that satisfies is, and returns the time of the first such event by control address.
+func awaitEventOnAll(ctx context.Context, fleet *harness.Fleet, since time.Time, is func(controlEvent) bool) map[string]time.Time {
 	ginkgo.GinkgoHelper()
 	var at map[string]time.Time
 	gomega.Eventually(func() map[string]time.Time {
-		at = notedAt(notedSince(ctx, fleet, since), fleet, is)
+		at = firstEvents(eventsSince(ctx, fleet, since), fleet, is)
 		return at
-	}, patience, "250ms").Should(gomega.HaveLen(len(fleet.Balancers())))
+	}, waitTimeout, "250ms").Should(gomega.HaveLen(len(fleet.Balancers())))
 	return at
 }
 
-// gauge reads a metric of one process.
+// gauge returns the value of a metric of one process.
 func gauge(ctx context.Context, p *harness.Process, name string) float64 {
 	ginkgo.GinkgoHelper()
 	v, err := p.Metric(ctx, name)
@@ -92,7 +94,7 @@
 	return v
 }
 
-// gauges reads a metric of several processes.
+// gauges returns the values of a metric of several processes.
 func gauges(ctx context.Context, processes []*harness.Process, name string) []float64 {
 	ginkgo.GinkgoHelper()
 	var out []float64
@@ -102,13 +104,13 @@
 	return out
 }
 
-// allOf matches the metric of several processes when each has the value.
+// allOf matches a list with the same value for each of the processes.
 func allOf(value, processes int) gomega.OmegaMatcher {
 	return gomega.And(gomega.HaveLen(processes), gomega.HaveEach(float64(value)))
 }
 
-// expectTables waits until each process knows all balancers and agents, and
-// returns the check that it does.
+// expectTables waits until the member tables of all processes contain all balancers and
+// agents, and returns the function that checks this.
 func expectTables(ctx context.Context, fleet *harness.Fleet, pairs []*harness.Pair) func(gomega.Gomega) {
 	ginkgo.GinkgoHelper()
 	members := fleet.Balancers()
@@ -120,12 +122,12 @@
 		g.Expect(gauges(ctx, members, metricAgents)).To(allOf(len(pairs), len(members)))
 		g.Expect(gauges(ctx, members, metricBalancers)).To(allOf(balancers, len(members)))
 	}
-	gomega.Eventually(whole, patience).Should(gomega.Succeed())
+	gomega.Eventually(whole, waitTimeout).Should(gomega.Succeed())
 	return whole
 }
 
-// newFlowsThroughEach sends lookups over new connections until every balancer
-// has placed some of them.
+// newFlowsThroughEach sends lookups over new connections until every balancer has forwarded
+// the first packets of some of them.
 func newFlowsThroughEach(ctx context.Context, fleet *harness.Fleet, tally *caller.Tally) {
 	ginkgo.GinkgoHelper()
 	const enough = 5
@@ -142,11 +144,11 @@
 			least = min(least, gauge(ctx, b, metricInitials)-before[b.Name])
 		}
 		return least
-	}, patience, "1ms").Should(gomega.BeNumerically(">=", enough))
+	}, waitTimeout, "1ms").Should(gomega.BeNumerically(">=", enough))
 }
 
-// cutLength is how long the cut goes on after every balancer has noticed it:
-// long enough for a declaration of those that it hides.
+// cutLength returns how long a partition continues after every balancer has detected it:
+// long enough for the unreachable members to be declared gone if that were possible.
 func cutLength(since time.Time) time.Duration {
 	ginkgo.GinkgoHelper()
 	least := 4 * gossip.DefaultTiming().Renew
@@ -159,17 +161,17 @@
 	return max(least, asked-time.Since(since))
 }
 
-// transitions are the events of which a cut or a frozen process may cause none:
-// each would change what balancers route by.
+// transitions are the kinds of events that neither a partition nor a frozen process may
+// cause, since each would change the members that balancers route to.
 var transitions = []event.Kind{control.EventDeclared, control.EventReturned, control.EventState, control.EventJoined}
 
-// expectNoTransitions checks that no process has had a member leave, come or
-// change since the time, and says what else was noted.
+// expectNoTransitions checks that no process has recorded a transition of a member since
+// the given time, and adds the counts of all events to the report.
 func expectNoTransitions(ctx context.Context, fleet *harness.Fleet, since time.Time) {
 	ginkgo.GinkgoHelper()
 	counts := make(map[event.Kind]int)
-	var changed []noted
-	for _, e := range notedSince(ctx, fleet, since) {
+	var changed []controlEvent
+	for _, e := range eventsSince(ctx, fleet, since) {
 		counts[e.Kind]++
 		if slices.Contains(transitions, e.Kind) {
 			changed = append(changed, e)
@@ -179,7 +181,7 @@
 	gomega.Expect(changed).To(gomega.BeEmpty())
 }
 
-// holders returns those of the balancers that hold a lease.
+// holders returns the balancers that hold a seed lease, according to their metrics.
 func holders(ctx context.Context, balancers []*harness.Process) (seeds []*harness.Process) {
 	ginkgo.GinkgoHelper()
 	for _, b := range balancers {
@@ -216,42 +218,43 @@
 		}
 		tablesWhole := expectTables(ctx, fleet, agents)
 		before := int(change(ctx, fleet, 100))
-		gomega.Eventually(gauges, patience).WithArguments(ctx, all, metricRevision).Should(allOf(before, balancers))
+		gomega.Eventually(gauges, waitTimeout).WithArguments(ctx, all, metricRevision).Should(allOf(before, balancers))
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
-		gomega.Eventually(holders, patience).WithArguments(ctx, all).Should(gomega.HaveLen(seed.Slots))
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
+		gomega.Eventually(holders, waitTimeout).WithArguments(ctx, all).Should(gomega.HaveLen(seed.Slots))
 		seeds := holders(ctx, all)
 		others := slices.DeleteFunc(slices.Clone(all), func(b *harness.Process) bool { return slices.Contains(seeds, b) })
-		// One seed on either side, so that the others need not wait for a spare.
-		island, mainland := []*harness.Process{seeds[0], others[0]}, []*harness.Process{seeds[1], others[1]}
-		network.Cut(island...)
+		// One seed on either side of the partition, so that neither side has to wait for
+		// another balancer to become a seed.
+		isolated, remaining := []*harness.Process{seeds[0], others[0]}, []*harness.Process{seeds[1], others[1]}
+		network.Cut(isolated...)
 		begun := time.Now()
 		revision := int(change(ctx, fleet, 101))
-		gomega.Eventually(gauges, patience).WithArguments(ctx, mainland, metricRevision).Should(allOf(revision, len(mainland)))
-		gomega.Eventually(gauges, patience).WithArguments(ctx, all, metricSuspected).Should(allOf(balancers/2, balancers))
+		gomega.Eventually(gauges, waitTimeout).WithArguments(ctx, remaining, metricRevision).Should(allOf(revision, len(remaining)))
+		gomega.Eventually(gauges, waitTimeout).WithArguments(ctx, all, metricSuspected).Should(allOf(balancers/2, balancers))
 		gomega.Consistently(tablesWhole, cutLength(begun), "500ms").Should(gomega.Succeed())
 		newFlowsThroughEach(ctx, fleet, tally)
-		progress(tally, callersEach, callersEach)
-		gomega.Expect(gauges(ctx, island, metricRevision)).To(allOf(before, len(island)), "the cut leaks")
+		awaitProgress(tally, callersEach, callersEach)
+		gomega.Expect(gauges(ctx, isolated, metricRevision)).To(allOf(before, len(isolated)), "the change crossed the partition")
 		lasted := time.Since(begun)
 
 		network.Heal()
 		healed := time.Now()
-		gomega.Eventually(gauges, patience).WithArguments(ctx, all, metricRevision).Should(allOf(revision, balancers))
+		gomega.Eventually(gauges, waitTimeout).WithArguments(ctx, all, metricRevision).Should(allOf(revision, balancers))
 		risen := time.Since(healed)
-		gomega.Eventually(gauges, patience).WithArguments(ctx, all, metricSuspected).Should(allOf(0, balancers))
-		ginkgo.AddReportEntry("cut", fmt.Sprintf("for %s; after its end the change was in force everywhere in %s, nobody suspected in %s",
+		gomega.Eventually(gauges, waitTimeout).WithArguments(ctx, all, metricSuspected).Should(allOf(0, balancers))
+		ginkgo.AddReportEntry("cut", fmt.Sprintf("partition of %s; after its end the change was in force on all balancers within %s, no member suspected after %s",
 			lasted, risen, time.Since(healed)), ginkgo.ReportEntryVisibilityAlways)
 		revision = int(change(ctx, fleet, 102))
-		gomega.Eventually(gauges, patience).WithArguments(ctx, all, metricRevision).Should(allOf(revision, balancers))
-		// What a process sent before the cut arrives only now.
+		gomega.Eventually(gauges, waitTimeout).WithArguments(ctx, all, metricRevision).Should(allOf(revision, balancers))
+		// Messages sent before the partition are delivered only now.
 		gomega.Consistently(tablesWhole, 2*gossip.DefaultTiming().Renew, "500ms").Should(gomega.Succeed())
 		newFlowsThroughEach(ctx, fleet, tally)
-		progress(tally, callersEach, callersEach)
+		awaitProgress(tally, callersEach, callersEach)
 		expectNoTransitions(ctx, fleet, begun)
-		inForce(ctx, fleet, uint64(revision), all) // and nobody ever went back
-		crowd.Disperse()
-		expectWhole(fleet, tally, callersEach)
+		inForce(ctx, fleet, uint64(revision), all) // also checks that no process went back to an older revision
+		crowd.Stop()
+		expectNoErrors(fleet, tally, callersEach)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
 
@@ -262,71 +265,71 @@
 	)
 	load := caller.Load{Feed: true, LookupEvery: 200 * time.Millisecond}
 
-	// stateOf recognizes that a balancer has learned of the agent's state.
-	stateOf := func(pair *harness.Pair, state string) func(noted) bool {
+	// stateOf matches events that report that a process received the agent's state.
+	stateOf := func(pair *harness.Pair, state string) func(controlEvent) bool {
 		about := " " + pair.Agent.Address("control").String() + ","
-		return func(e noted) bool {
+		return func(e controlEvent) bool {
 			return strings.Contains(e.Detail, about) && strings.HasSuffix(e.Detail, ", state "+state) && e.Kind != control.EventSuspected
 		}
 	}
-	// timed adds how long it took each balancer, in microseconds.
+	// timed records the times from begun to the balancers' events, in microseconds.
 	timed := func(h *hdrhistogram.Histogram, begun time.Time, at map[string]time.Time) {
 		for _, t := range at {
-			_ = h.RecordValue(max(1, t.Sub(begun).Microseconds())) // bounded by the spec's own time
+			_ = h.RecordValue(max(1, t.Sub(begun).Microseconds())) // in range, since the spec's time-out is shorter
 		}
 	}
 	report := func(what string, h *hdrhistogram.Histogram) {
-		ginkgo.AddReportEntry("known", fmt.Sprintf("%s: %d times at a balancer, p50 %s, max %s", what, h.TotalCount(),
+		ginkgo.AddReportEntry("known", fmt.Sprintf("%s: %d observations by balancers, p50 %s, max %s", what, h.TotalCount(),
 			micros(h.ValueAtPercentile(50)), micros(h.Max())), ginkgo.ReportEntryVisibilityAlways)
 	}
 	times := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxInForce.Microseconds(), 3) }
 
 	ginkgo.It("that comes, leaves or crashes is known to every balancer", func(ctx ginkgo.SpecContext) {
 		fleet, pairs := start(ctx, size{balancers: 5, pairs: rounds}, harness.DefaultValues(), results)
-		expectTables(ctx, fleet, pairs) // so that each gets some of the flows
+		expectTables(ctx, fleet, pairs) // so that all upstreams receive flows
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
-		came, left, crashed := times(), times(), times()
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
+		added, left, crashed := times(), times(), times()
 		add := func() *harness.Pair {
 			begun := time.Now()
 			pair, err := fleet.AddPair(ctx, results)
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
-			timed(came, begun, everyBalancerNotes(ctx, fleet, begun, stateOf(pair, "ready")))
+			timed(added, begun, awaitEventOnAll(ctx, fleet, begun, stateOf(pair, "ready")))
 			return pair
 		}
 		var begun time.Time
 		leavers := make(map[string]time.Time)
 		for _, pair := range pairs {
 			add()
-			progress(tally, 4*callersEach, callersEach)
-			gomega.Expect(runs(fleet, tally, pair)).NotTo(gomega.BeZero(), "no work would be missed there")
+			awaitProgress(tally, 4*callersEach, callersEach)
+			gomega.Expect(runs(fleet, tally, pair)).NotTo(gomega.BeZero(), "the upstream ran no requests before its agent stops, so the check for new work would be void")
 			begun = time.Now()
 			pair.Agent.Signal(syscall.SIGTERM)
-			timed(left, begun, everyBalancerNotes(ctx, fleet, begun, stateOf(pair, "draining")))
+			timed(left, begun, awaitEventOnAll(ctx, fleet, begun, stateOf(pair, "draining")))
 			leavers[pair.Upstream.Name] = begun
 		}
-		gomega.Eventually(func() bool { // the last one leaves for as long as the others
-			progress(tally, callersEach, callersEach)
+		gomega.Eventually(func() bool { // give the last one as much time as the others
+			awaitProgress(tally, callersEach, callersEach)
 			return time.Since(begun) > 2*drainNotice
-		}, patience).Should(gomega.BeTrue())
-		crowd.Disperse()
+		}, waitTimeout).Should(gomega.BeTrue())
+		crowd.Stop()
 		for name, begun := range leavers {
 			expectNoNewWork(fleet, name, begun.Add(drainNotice))
 		}
-		expectWhole(fleet, tally, callersEach)
+		expectNoErrors(fleet, tally, callersEach)
 
-		// Flows of a host that is lost end with it, so nothing is open here.
+		// The crash of a host breaks its flows, so no caller has open flows here.
 		for range rounds {
 			pair := add()
 			begun := time.Now()
 			pair.Agent.Kill()
 			pair.Upstream.Kill()
-			timed(crashed, begun, everyBalancerNotes(ctx, fleet, begun, stateOf(pair, "gone")))
+			timed(crashed, begun, awaitEventOnAll(ctx, fleet, begun, stateOf(pair, "gone")))
 		}
 		newFlowsThroughEach(ctx, fleet, tally)
-		report("new, from the start of its processes", came)
+		report("new, from the start of its processes", added)
 		report("leaving, from the signal", left)
 		report("crashed, from its end", crashed)
-		expectWhole(fleet, tally, callersEach)
+		expectNoErrors(fleet, tally, callersEach)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
--- a/test/integration/drain_test.go
+++ b/test/integration/drain_test.go
@@ -11,10 +11,11 @@
 	"github.com/saltbend/saltbend/test/upstream"
 )
 
-// drainNotice is the time after which a leaving upstream gets no new work.
+// drainNotice is the time after the start of a drain after which the upstream must not
+// receive new requests.
 const drainNotice = 3 * time.Second
 
-// expectNoNewWork checks that no run began at the upstream after the time.
+// expectNoNewWork checks that the upstream started no run after the given time.
 func expectNoNewWork(fleet *harness.Fleet, name string, after time.Time) {
 	ginkgo.GinkgoHelper()
 	records, err := fleet.Records()
@@ -39,17 +40,17 @@
 	ginkgo.It("announced by an upstream ends new work there and cuts nothing", func(ctx ginkgo.SpecContext) {
 		fleet, pairs := start(ctx, shape, harness.DefaultValues(), results)
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
-		progress(tally, callersEach, callersEach)
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
+		awaitProgress(tally, callersEach, callersEach)
 		leaving := pairs[0]
 		gomega.Expect(leaving.SetBehaviour(ctx, upstream.Behaviour{
 			Slots: 5, ServiceTime: 20 * time.Millisecond, FeedInterval: 200 * time.Millisecond, Drain: true,
 		})).To(gomega.Succeed())
 		begun := time.Now()
-		gomega.Eventually(func() bool { return time.Since(begun) > 2*drainNotice }, patience).Should(gomega.BeTrue())
-		progress(tally, 4*callersEach, 8*callersEach)
-		crowd.Disperse()
+		gomega.Eventually(func() bool { return time.Since(begun) > 2*drainNotice }, waitTimeout).Should(gomega.BeTrue())
+		awaitProgress(tally, 4*callersEach, 8*callersEach)
+		crowd.Stop()
 		expectNoNewWork(fleet, leaving.Upstream.Name, begun.Add(drainNotice))
-		expectWhole(fleet, tally, callersEach)
+		expectNoErrors(fleet, tally, callersEach)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
--- a/test/integration/explain_test.go
+++ b/test/integration/explain_test.go
@@ -14,7 +14,8 @@
 	"github.com/saltbend/saltbend/test/packetplatform"
 )
 
-// explain runs the documented command on the logs of all processes.
+// explain returns the output of `saltbend explain` for the id and the logs of all
+// processes.
 func (f *packetFleet) explain(ctx context.Context, id string) string {
 	args := []string{"explain", id}
 	for _, n := range f.Nodes() {
@@ -27,16 +28,16 @@
 	return string(out)
 }
 
-// told waits until the command tells something of a flow: log lines are written
-// a little after what they tell of.
-func (f *packetFleet) told(ctx context.Context, id string, words ...string) {
+// expectExplained waits until the output of the command for a flow contains all words. It
+// polls because log lines are written shortly after the events that they describe.
+func (f *packetFleet) expectExplained(ctx context.Context, id string, words ...string) {
 	defer func() { GinkgoWriter.Println(f.explain(ctx, id)) }()
 	for _, word := range words {
-		Eventually(func() string { return f.explain(ctx, id) }, patience).Should(ContainSubstring(word))
+		Eventually(func() string { return f.explain(ctx, id) }, waitTimeout).Should(ContainSubstring(word))
 	}
 }
 
-// containsLine reports whether one line has all the words.
+// containsLine reports whether a single line of text contains all words.
 func containsLine(text string, words ...string) bool {
 	for line := range strings.Lines(text) {
 		if !slices.ContainsFunc(words, func(word string) bool { return !strings.Contains(line, word) }) {
@@ -46,8 +47,8 @@
 	return false
 }
 
-// The three kinds of failed request of docs/OPERATIONS.md, each found from the
-// id of its flow by the command there alone.
+// The specs cover the three kinds of failed request that docs/OPERATIONS.md describes. Each
+// is diagnosed from the flow's id with the documented command alone.
 var _ = Describe("a failed request is explained by saltbend explain", func() {
 	It("when its upstream died", func(ctx SpecContext) {
 		f := startPackets(ctx, 1, results)
@@ -57,7 +58,7 @@
 		startUpstream(a)
 		_, err := flow.Request("second")
 		Expect(err).To(MatchError(packetplatform.ErrReset))
-		f.told(ctx, flow.ID(), "placed", "upstream", "reset", "ready "+a.Upstream.ID)
+		f.expectExplained(ctx, flow.ID(), "placed", "upstream", "reset", "ready "+a.Upstream.ID)
 	}, SpecTimeout(specTimeout))
 
 	It("when no upstream would take it", func(ctx SpecContext) {
@@ -71,8 +72,8 @@
 			var err error
 			refused, err = f.caller.Open(packetFace)
 			return err
-		}, patience).Should(MatchError(packetplatform.ErrReset))
-		f.told(ctx, refused.ID(), "reset", "refuses-packets")
+		}, waitTimeout).Should(MatchError(packetplatform.ErrReset))
+		f.expectExplained(ctx, refused.ID(), "reset", "refuses-packets")
 	}, SpecTimeout(specTimeout))
 
 	It("when it waited for a slot", func(ctx SpecContext) {
@@ -89,6 +90,6 @@
 				}
 			}
 			return waited
-		}, patience).Should(BeNumerically(">=", packetplatform.Slots/2), fmt.Sprint(waited))
+		}, waitTimeout).Should(BeNumerically(">=", packetplatform.Slots/2), fmt.Sprint(waited))
 	}, SpecTimeout(specTimeout))
 })
--- a/test/integration/gone_test.go
+++ b/test/integration/gone_test.go
@@ -22,20 +22,21 @@
 		defer watcher.Close()
 		opened, ended := make(chan struct{}), make(chan error, 1)
 		go func() { ended <- watcher.Feed(ctx, func() { close(opened) }) }()
-		gomega.Eventually(opened, patience).Should(gomega.BeClosed())
+		gomega.Eventually(opened, waitTimeout).Should(gomega.BeClosed())
 
-		// Others serve on; its flow alone is lost, and nobody takes its address.
+		// Another agent keeps serving, so only the flow of the killed agent is lost, and no
+		// other process uses the address of the killed agent.
 		_, err := fleet.AddPair(ctx, results)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		killed := time.Now()
 		pairs[0].Agent.Kill()
-		gomega.Eventually(ended, patience+patience).Should(gomega.Receive(&err))
+		gomega.Eventually(ended, waitTimeout+waitTimeout).Should(gomega.Receive(&err))
 		ginkgo.AddReportEntry("known", fmt.Sprintf("%.1f s after the kill: %v", time.Since(killed).Seconds(), err))
-		var told *quic.StatelessResetError
-		gomega.Expect(errors.As(err, &told)).To(gomega.BeTrue(), "%v", err)
+		var reset *quic.StatelessResetError
+		gomega.Expect(errors.As(err, &reset)).To(gomega.BeTrue(), "%v", err)
 
 		again := make(chan struct{})
 		go func() { ended <- watcher.Feed(ctx, func() { close(again) }) }()
-		gomega.Eventually(again, patience).Should(gomega.BeClosed(), "the caller connects anew")
+		gomega.Eventually(again, waitTimeout).Should(gomega.BeClosed(), "the caller must be able to connect again")
 	}, ginkgo.SpecTimeout(specTimeout))
 })
--- a/test/integration/inforce_test.go
+++ b/test/integration/inforce_test.go
@@ -22,7 +22,7 @@
 	maxInForce = 10 * time.Minute
 )
 
-// configWrites returns the writes of the configuration that took effect.
+// configWrites returns the writes of the configuration that the store applied.
 func configWrites(ctx context.Context, fleet *harness.Fleet) []storefake.Write {
 	ginkgo.GinkgoHelper()
 	all, err := fleet.StoreWrites(ctx)
@@ -36,8 +36,9 @@
 	return writes
 }
 
-// served is one event of the time line: a process put a revision in force.
-type served struct {
+// servingEvent is a timeline event that reports that a process put a revision of the
+// configuration in force.
+type servingEvent struct {
 	Time     time.Time
 	Process  string
 	Kind     string
@@ -45,17 +46,17 @@
 	Revision uint64
 }
 
-// servedBy returns, by process, the revisions put in force in their order.
-func servedBy(ctx context.Context, fleet *harness.Fleet) map[string][]served {
+// servingEvents returns, for each process, the events of revisions put in force, in order.
+func servingEvents(ctx context.Context, fleet *harness.Fleet) map[string][]servingEvent {
 	ginkgo.GinkgoHelper()
 	r, err := fleet.CLI(ctx, "timeline", "--output", "json")
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	// Failure says that a process that is frozen, say, did not answer.
+	// exit.Failure means that a process did not answer, for example because it is frozen.
 	gomega.Expect(r.Code).To(gomega.BeElementOf(exit.OK, exit.Failure), r.Stderr)
-	all := make(map[string][]served)
+	all := make(map[string][]servingEvent)
 	lines := json.NewDecoder(strings.NewReader(r.Stdout))
 	for lines.More() {
-		var s served
+		var s servingEvent
 		gomega.Expect(lines.Decode(&s)).To(gomega.Succeed())
 		if s.Kind != string(control.EventServing) {
 			continue
@@ -67,16 +68,16 @@
 	return all
 }
 
-// timeToInForce returns the times from each write until each process had that
-// revision or a later one in force.
-func timeToInForce(writes []storefake.Write, all map[string][]served) *hdrhistogram.Histogram {
+// timeToInForce returns the times from each write until each process had that revision or
+// a later one in force, in microseconds.
+func timeToInForce(writes []storefake.Write, all map[string][]servingEvent) *hdrhistogram.Histogram {
 	const significantFigures = 3
 	h := hdrhistogram.New(1, maxInForce.Microseconds(), significantFigures)
 	for _, w := range writes {
 		for _, events := range all {
 			for _, s := range events {
 				if s.Revision >= w.Revision {
-					_ = h.RecordValue(max(1, s.Time.Sub(w.Time).Microseconds())) // bounded by the spec's own time
+					_ = h.RecordValue(max(1, s.Time.Sub(w.Time).Microseconds())) // in range, since the spec's time-out is shorter
 					break
 				}
 			}
@@ -87,13 +88,14 @@
 
 func micros(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// inForce waits until each of the processes has the revision in force, checks
-// that no process of the fleet ever went back, and returns the events.
-func inForce(ctx context.Context, fleet *harness.Fleet, revision uint64, processes []*harness.Process) map[string][]served {
+// inForce waits until each of the processes has the revision in force, checks that no
+// process of the fleet ever put an older revision in force after a newer one, and returns
+// the events.
+func inForce(ctx context.Context, fleet *harness.Fleet, revision uint64, processes []*harness.Process) map[string][]servingEvent {
 	ginkgo.GinkgoHelper()
-	var events map[string][]served
+	var events map[string][]servingEvent
 	gomega.Eventually(func() int {
-		events = servedBy(ctx, fleet)
+		events = servingEvents(ctx, fleet)
 		done := 0
 		for _, p := range processes {
 			if of := events[p.Address("control").String()]; len(of) > 0 && of[len(of)-1].Revision == revision {
@@ -101,7 +103,7 @@
 			}
 		}
 		return done
-	}, patience, "500ms").Should(gomega.Equal(len(processes)))
+	}, waitTimeout, "500ms").Should(gomega.Equal(len(processes)))
 	for process, of := range events {
 		for i := 1; i < len(of); i++ {
 			gomega.Expect(of[i].Revision).To(gomega.BeNumerically(">", of[i-1].Revision), process)
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -14,8 +14,8 @@
 	"github.com/saltbend/saltbend/test/upstream"
 )
 
-// fault fails a pair in the middle of its work and mends it again; the tally
-// shows what callers learn meanwhile.
+// fault injects a fault into a pair while it serves requests, and repairs the pair. The
+// tally shows the outcomes that callers receive meanwhile.
 type fault func(context.Context, *harness.Fleet, *harness.Pair, *caller.Tally)
 
 func killAgent(ctx context.Context, fleet *harness.Fleet, pair *harness.Pair, _ *caller.Tally) {
@@ -23,14 +23,14 @@
 	gomega.Expect(fleet.AddAgent(ctx, pair)).To(gomega.Succeed())
 }
 
-// freezeAgent holds the agent past the deadline of everything that it holds.
-// Answers that reached it meanwhile may still win when it goes on, so it stays
-// frozen until a caller that asked elsewhere was told "unknown".
+// freezeAgent freezes the agent beyond the deadline of all requests that it has. Answers
+// that upstreams sent meanwhile can still be delivered when it resumes, so it stays frozen
+// until a caller that repeated its request elsewhere has received the outcome "unknown".
 func freezeAgent(_ context.Context, _ *harness.Fleet, pair *harness.Pair, tally *caller.Tally) {
 	before := unknown(tally)
 	gomega.Expect(pair.Agent.Freeze()).To(gomega.Succeed())
 	time.Sleep(attemptTimeout)
-	gomega.Eventually(func() int { return unknown(tally) }, patience).Should(gomega.BeNumerically(">", before))
+	gomega.Eventually(func() int { return unknown(tally) }, waitTimeout).Should(gomega.BeNumerically(">", before))
 	pair.Agent.Thaw()
 }
 
@@ -39,8 +39,8 @@
 func crashUpstream(ctx context.Context, fleet *harness.Fleet, pair *harness.Pair, _ *caller.Tally) {
 	b := upstream.Behaviour{Slots: submissionSlots, ServiceTime: submissionTime, CrashNext: true}
 	gomega.Expect(pair.SetBehaviour(ctx, b)).To(gomega.Succeed())
-	gomega.Eventually(pair.Upstream.Done(), patience).Should(gomega.BeClosed())
-	pair.Agent.Kill() // its upstream is gone for good
+	gomega.Eventually(pair.Upstream.Done(), waitTimeout).Should(gomega.BeClosed())
+	pair.Agent.Kill() // its upstream doesn't return
 	next, err := fleet.AddPair(ctx, pair.Service, submissionArgs...)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	*pair = *next
@@ -62,20 +62,20 @@
 			values.Slots, values.Deadline = submissionSlots, "3s"
 			fleet, pairs := start(ctx, size{balancers: 2, pairs: 3, upstreamArgs: submissionArgs}, values, exams)
 			tally := caller.NewTally()
-			// More than the slots can take, so that requests wait, run and
-			// end at the moment of the fault.
-			crowd := gather(ctx, fleet, tally, callersEach, caller.Load{SubmitEvery: 300 * time.Millisecond, BatchBytes: 400})
+			// The load exceeds the slots, so that at the time of the fault some
+			// requests are queued, some are running, and some are finishing.
+			crowd := startCallers(ctx, fleet, tally, callersEach, caller.Load{SubmitEvery: 300 * time.Millisecond, BatchBytes: 400})
 			for _, pair := range pairs {
 				gomega.Eventually(func() (int, error) {
 					load, err := pair.Load(ctx)
 					return load.Busy, err
-				}, patience).Should(gomega.Equal(submissionSlots), "a fault needs requests to hit")
+				}, waitTimeout).Should(gomega.Equal(submissionSlots), "the fault must occur while requests are running")
 				seen := tally.OK(caller.KindSubmission)
 				fail(ctx, fleet, pair, tally)
-				gomega.Eventually(func() int { return tally.OK(caller.KindSubmission) }, patience).
+				gomega.Eventually(func() int { return tally.OK(caller.KindSubmission) }, waitTimeout).
 					Should(gomega.BeNumerically(">", seen+callersEach))
 			}
-			crowd.Disperse()
+			crowd.Stop()
 			report := tally.Report()
 			audit, err := fleet.Audit(report)
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -83,7 +83,7 @@
 				ginkgo.ReportEntryVisibilityAlways)
 			gomega.Expect(audit.Findings).To(gomega.BeEmpty())
 			gomega.Expect(audit.RanTwice + audit.RanRefused).To(gomega.BeZero())
-			gomega.Expect(unknown(tally)).NotTo(gomega.BeZero(), "the fault hit nothing")
+			gomega.Expect(unknown(tally)).NotTo(gomega.BeZero(), "no request had an unknown outcome, so the fault affected none")
 			gomega.Expect(report.Errors).To(gomega.BeEmpty())
 		},
 		ginkgo.Entry("agents are killed", fault(killAgent), ginkgo.SpecTimeout(specTimeout)),
--- a/test/integration/operators_test.go
+++ b/test/integration/operators_test.go
@@ -19,20 +19,20 @@
 
 const (
 	operators = 5
-	changes   = 10 // of each operator
+	changes   = 10 // per operator
 )
 
-// told is what operators were told.
-type told struct {
+// applyResults collects the results of the operators' changes.
+type applyResults struct {
 	mu        sync.Mutex
 	accepted  []uint64
 	conflicts int
 	wrong     []string
 }
 
-// operate applies changes one after the other; one that met a conflict is
-// applied again.
-func (t *told) operate(ctx context.Context, fleet *harness.Fleet, operator int) {
+// applyChanges applies the changes of an operator one after the other. A change that fails
+// with a conflict is applied again.
+func (t *applyResults) applyChanges(ctx context.Context, fleet *harness.Fleet, operator int) {
 	defer ginkgo.GinkgoRecover()
 	for change := 0; change < changes; {
 		values := harness.DefaultValues()
@@ -41,14 +41,15 @@
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		r, err := fleet.CLI(ctx, "apply", "--output", "json", path)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
-		if t.take(r) {
+		if t.record(r) {
 			change++
 		}
 	}
 }
 
-// take notes an answer and reports whether the change was accepted.
-func (t *told) take(r harness.Result) bool {
+// record records the result of a change and reports whether to go on with the next one,
+// which is false after a conflict.
+func (t *applyResults) record(r harness.Result) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var answer struct {
@@ -75,13 +76,13 @@
 		gomega.Expect(fleet.SetStoreFaults(ctx, storefake.Faults{LoseAnswer: 1, LosePrefix: configKey})).To(gomega.Succeed())
 		const callers = 30
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callers, caller.Load{Feed: true, LookupEvery: 200 * time.Millisecond})
+		crowd := startCallers(ctx, fleet, tally, callers, caller.Load{Feed: true, LookupEvery: 200 * time.Millisecond})
 		before := len(configWrites(ctx, fleet))
 
-		var t told
+		var t applyResults
 		var racing sync.WaitGroup
 		for operator := range operators {
-			racing.Go(func() { t.operate(ctx, fleet, operator) })
+			racing.Go(func() { t.applyChanges(ctx, fleet, operator) })
 		}
 		racing.Wait()
 		gomega.Expect(t.wrong).To(gomega.BeEmpty())
@@ -100,9 +101,9 @@
 		ginkgo.AddReportEntry("in force", fmt.Sprintf("%d changes, %d conflicts, %d processes: p50 %s, p99 %s, max %s",
 			len(writes), t.conflicts, len(events), micros(h.ValueAtPercentile(50)), micros(h.ValueAtPercentile(99)), micros(h.Max())),
 			ginkgo.ReportEntryVisibilityAlways)
-		progress(tally, callers, callers)
-		everyFeedGoesOn(tally, callers)
-		crowd.Disperse()
-		expectWhole(fleet, tally, callers)
+		awaitProgress(tally, callers, callers)
+		awaitEventsOnAllFeeds(tally, callers)
+		crowd.Stop()
+		expectNoErrors(fleet, tally, callers)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
--- a/test/integration/outage_test.go
+++ b/test/integration/outage_test.go
@@ -18,13 +18,13 @@
 	ginkgo.It("keeps nobody from replacing balancers, agents and upstreams one by one", func(ctx ginkgo.SpecContext) {
 		fleet, pairs := start(ctx, size{balancers: 3, pairs: 2}, harness.DefaultValues(), results, exams)
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, caller.Load{Feed: true, LookupEvery: 200 * time.Millisecond})
+		crowd := startCallers(ctx, fleet, tally, callersEach, caller.Load{Feed: true, LookupEvery: 200 * time.Millisecond})
 		gomega.Expect(fleet.SetStoreFaults(ctx, storefake.Faults{Down: true})).To(gomega.Succeed())
 		for _, old := range fleet.Balancers() {
 			_, err := fleet.AddBalancer(ctx)
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
 			gomega.Expect(fleet.StopBalancer(ctx, old)).To(gomega.Succeed())
-			progress(tally, callersEach, callersEach)
+			awaitProgress(tally, callersEach, callersEach)
 		}
 		added := make(map[string]bool)
 		for _, old := range pairs {
@@ -36,18 +36,18 @@
 				load, err := old.Load(ctx)
 				gomega.Expect(err).NotTo(gomega.HaveOccurred())
 				return load.Busy + load.Feeds
-			}, patience).Should(gomega.BeZero(), "work is left at an upstream that leaves")
+			}, waitTimeout).Should(gomega.BeZero(), "an upstream whose agent is stopping still has requests or feeds")
 			old.Upstream.Kill()
-			progress(tally, callersEach, callersEach)
-			everyFeedGoesOn(tally, 2*callersEach)
+			awaitProgress(tally, callersEach, callersEach)
+			awaitEventsOnAllFeeds(tally, 2*callersEach)
 		}
-		crowd.Disperse()
+		crowd.Stop()
 		for _, old := range pairs {
-			// It ends with the last connection of its callers.
-			gomega.Eventually(old.Agent.Done(), patience).Should(gomega.BeClosed())
+			// The agent ends when its callers have closed their last connection.
+			gomega.Eventually(old.Agent.Done(), waitTimeout).Should(gomega.BeClosed())
 			gomega.Expect(old.Agent.ExitCode()).To(gomega.BeZero())
 		}
-		expectWhole(fleet, tally, 2*callersEach)
+		expectNoErrors(fleet, tally, 2*callersEach)
 		audit, err := fleet.Audit(tally.Report())
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		for _, upstreams := range audit.Runs {
@@ -55,6 +55,6 @@
 				delete(added, name)
 			}
 		}
-		gomega.Expect(added).To(gomega.BeEmpty(), "upstreams that were not found")
+		gomega.Expect(added).To(gomega.BeEmpty(), "new upstreams that received no requests")
 	}, ginkgo.SpecTimeout(specTimeout))
 })
--- a/test/integration/packet_test.go
+++ b/test/integration/packet_test.go
@@ -32,12 +32,12 @@
 type packetFleet struct {
 	*packetfleet.Fleet
 	caller *packetplatform.Caller
-	// opened counts the calls of openFlows, so that no two requests are alike.
+	// opened counts the calls of openFlows, which makes the text of each request unique.
 	opened int
 }
 
-// startPackets starts balancers and, for each service named, an agent with its
-// upstream; the faces lead to the first two services.
+// startPackets starts balancers and, for each of the services, an agent with its upstream.
+// packetFace is routed to the service results, packetOther to exams.
 func startPackets(ctx context.Context, balancers int, services ...string) *packetFleet {
 	fleet, err := packetfleet.New(GinkgoT().TempDir(), bin+"/saltbendd")
 	Expect(err).NotTo(HaveOccurred())
@@ -53,7 +53,7 @@
 	}
 	f.caller, err = f.Caller()
 	Expect(err).NotTo(HaveOccurred())
-	f.useAll()
+	f.useReadyBalancers()
 	return f
 }
 
@@ -69,16 +69,16 @@
 	return n
 }
 
-// run starts the node's process and waits until it serves.
+// run starts the node's process and waits until it is ready.
 func (f *packetFleet) run(ctx context.Context, n *packetfleet.Node) {
 	Expect(f.Start(ctx, n)).To(Succeed())
 }
 
-// startUpstream begins a new life of the node's upstream.
+// startUpstream starts a new upstream for the node.
 func startUpstream(n *packetfleet.Node) { Expect(n.StartUpstream()).To(Succeed()) }
 
-// useAll lets the caller spray its packets over all balancers that are ready.
-func (f *packetFleet) useAll() { f.caller.Use(f.Ready()...) }
+// useReadyBalancers makes the caller distribute its packets over all ready balancers.
+func (f *packetFleet) useReadyBalancers() { f.caller.Use(f.Ready()...) }
 
 func (f *packetFleet) close() {
 	if f.caller != nil {
@@ -105,7 +105,8 @@
 	return flows
 }
 
-// requestOnAll sends a request on each flow and expects its own answer.
+// requestOnAll sends a request on each flow concurrently and checks that each receives the
+// answer to its own request.
 func (f *packetFleet) requestOnAll(flows []*packetplatform.Flow, text string) {
 	var wait sync.WaitGroup
 	errs := make(chan error, len(flows))
@@ -114,7 +115,7 @@
 			request := fmt.Sprintf("%s-%d", text, i)
 			answer, err := flow.Request(request)
 			if err == nil && !strings.HasSuffix(answer, " to "+request) {
-				err = fmt.Errorf("request %s got %q", request, answer)
+				err = fmt.Errorf("request %s received the answer %q", request, answer)
 			}
 			errs <- err
 		})
@@ -126,8 +127,8 @@
 	}
 }
 
-// expectOnce expects that no request has run twice.
-func (f *packetFleet) expectOnce() {
+// expectRunOnce checks that no request has run more than once.
+func (f *packetFleet) expectRunOnce() {
 	runs := map[string]int{}
 	for _, a := range f.Agents {
 		for id, n := range a.Upstream.Runs() {
@@ -139,7 +140,7 @@
 	}
 }
 
-// logOf returns what a node's process has logged, for polling.
+// logOf returns a function that reads the log of a node's process, for polling.
 func logOf(n *packetfleet.Node) func() string {
 	return func() string {
 		text, err := n.Log()
@@ -153,7 +154,7 @@
 		f := startPackets(ctx, 3, results, results, results)
 		flows := f.openFlows(30)
 		f.requestOnAll(flows, "second")
-		f.expectOnce()
+		f.expectRunOnce()
 	}, SpecTimeout(specTimeout))
 
 	It("keeps flows while all balancers are replaced", func(ctx SpecContext) {
@@ -163,9 +164,9 @@
 			b.Process.Kill()
 		}
 		f.addBalancer(ctx, "balancer-new")
-		f.useAll()
+		f.useReadyBalancers()
 		f.requestOnAll(flows, "second")
-		f.expectOnce()
+		f.expectRunOnce()
 	}, SpecTimeout(specTimeout))
 
 	It("keeps flows while agents restart beside living upstreams", func(ctx SpecContext) {
@@ -178,9 +179,9 @@
 		f.requestOnAll(flows, "second")
 		f.Balancers[0].Process.Kill()
 		f.run(ctx, f.Balancers[0])
-		f.useAll()
+		f.useReadyBalancers()
 		f.requestOnAll(flows, "third")
-		f.expectOnce()
+		f.expectRunOnce()
 	}, SpecTimeout(specTimeout))
 
 	It("resets flows whose upstream has been replaced, at once", func(ctx SpecContext) {
@@ -211,8 +212,8 @@
 		Expect(f.Agents[0].Upstream.Runs()).NotTo(HaveKey("exam"))
 		Expect(f.Agents[1].Upstream.Runs()).To(HaveLen(1))
 
-		// The address of the only agent of results goes to exams; the balancers
-		// are not told, as the store is away.
+		// The address of the only agent of results is reused for exams. The balancers
+		// can't learn of it, since the store is unavailable.
 		f.Store.Fail(http.StatusServiceUnavailable)
 		a := f.Agents[0]
 		a.Process.Kill()
@@ -227,7 +228,7 @@
 		go func() {
 			defer GinkgoRecover()
 			defer close(started)
-			f.run(ctx, a) // it is ready once the store is back
+			f.run(ctx, a) // it becomes ready when the store is available again
 		}()
 		Eventually(func() error {
 			flow, err := f.caller.Open(packetFace)
@@ -235,22 +236,22 @@
 				_, err = flow.Request("results")
 			}
 			return err
-		}, patience).Should(MatchError(packetplatform.ErrReset))
+		}, waitTimeout).Should(MatchError(packetplatform.ErrReset))
 		Expect(a.Upstream.Runs()).To(BeEmpty())
 		f.Store.Fail(0)
-		Eventually(started, patience).Should(BeClosed())
+		Eventually(started, waitTimeout).Should(BeClosed())
 	}, SpecTimeout(specTimeout))
 
 	It("gives a draining upstream no new flow and keeps its old ones", func(ctx SpecContext) {
 		f := startPackets(ctx, 2, results, results)
 		flows := f.openFlows(10)
 		f.Agents[0].Upstream.Drain()
-		Eventually(logOf(f.Agents[0]), patience).Should(ContainSubstring("draining " + f.Agents[0].Upstream.ID))
+		Eventually(logOf(f.Agents[0]), waitTimeout).Should(ContainSubstring("draining " + f.Agents[0].Upstream.ID))
 		ran := len(f.Agents[0].Upstream.Runs())
 		f.requestOnAll(f.openFlows(10), "new")
 		Expect(f.Agents[0].Upstream.Runs()).To(HaveLen(ran))
 		f.requestOnAll(flows, "second")
-		f.expectOnce()
+		f.expectRunOnce()
 	}, SpecTimeout(specTimeout))
 
 	It("serves on through an outage of the store in which all leases end", func(ctx SpecContext) {
@@ -261,7 +262,7 @@
 		f.requestOnAll(flows, "away")
 		f.openFlows(10)
 		f.Store.Fail(0)
-		Eventually(func() []string { return f.Store.Keys("saltbend/agents/") }, patience).Should(HaveLen(2))
+		Eventually(func() []string { return f.Store.Keys("saltbend/agents/") }, waitTimeout).Should(HaveLen(2))
 		f.requestOnAll(flows, "back")
 	}, SpecTimeout(specTimeout))
 
@@ -272,13 +273,13 @@
 		f.Balancers[1].Process.Kill()
 		f.addBalancer(ctx, "balancer-new") // returns once it is ready
 		f.Balancers[0].Process.Kill()
-		f.useAll()
+		f.useReadyBalancers()
 		f.requestOnAll(flows, "away")
 		f.openFlows(10)
 		f.Configure(2, packetplatform.Route{Face: packetFace, Service: results, Safe: true})
 		f.Store.Fail(0)
-		Eventually(logOf(f.Balancers[2]), patience).Should(ContainSubstring("Configuration adopted."))
-		f.expectOnce()
+		Eventually(logOf(f.Balancers[2]), waitTimeout).Should(ContainSubstring("Configuration adopted."))
+		f.expectRunOnce()
 	}, SpecTimeout(specTimeout))
 
 	It("puts a configuration in force and drops routes", func(ctx SpecContext) {
@@ -289,9 +290,9 @@
 		Eventually(func() error {
 			_, err := f.caller.Open(packetOther)
 			return err
-		}, patience).Should(MatchError(packetplatform.ErrReset))
-		f.Configure(3, packetplatform.Route{Face: packetOther, Service: exams, Safe: true}) // an older one
-		Eventually(logOf(f.Balancers[0]), patience).Should(ContainSubstring("Configuration is not newer."))
+		}, waitTimeout).Should(MatchError(packetplatform.ErrReset))
+		f.Configure(3, packetplatform.Route{Face: packetOther, Service: exams, Safe: true}) // an older version
+		Eventually(logOf(f.Balancers[0]), waitTimeout).Should(ContainSubstring("Configuration is not newer."))
 		f.openFlows(3)
 	}, SpecTimeout(specTimeout))
 
@@ -300,22 +301,22 @@
 		flows := f.openFlows(5)
 		stopped := f.Balancers[0]
 		stopped.Process.Signal(syscall.SIGTERM)
-		Eventually(stopped.Host.Ready, patience).Should(BeFalse())
+		Eventually(stopped.Host.Ready, waitTimeout).Should(BeFalse())
 		f.caller.Use(stopped.Host.Packets()) // the fabric has not noticed yet
 		f.requestOnAll(flows, "late")
-		f.useAll()
+		f.useReadyBalancers()
 		f.requestOnAll(flows, "second")
-		Eventually(stopped.Process.Alive, patience).Should(BeFalse())
+		Eventually(stopped.Process.Alive, waitTimeout).Should(BeFalse())
 	}, SpecTimeout(specTimeout))
 
 	It("reads changed settings on SIGHUP and tells what they are", func(ctx SpecContext) {
 		f := startPackets(ctx, 1, results)
 		b := f.Balancers[0]
 		b.Process.Signal(syscall.SIGHUP)
-		Eventually(logOf(b), patience).Should(ContainSubstring("nothing differs"))
+		Eventually(logOf(b), waitTimeout).Should(ContainSubstring("nothing differs"))
 		Expect(os.WriteFile(b.Host.Settings, []byte("{"), 0o600)).To(Succeed())
 		b.Process.Signal(syscall.SIGHUP)
-		Eventually(logOf(b), patience).Should(ContainSubstring("Settings not read again."))
+		Eventually(logOf(b), waitTimeout).Should(ContainSubstring("Settings not read again."))
 		f.openFlows(2)
 	}, SpecTimeout(specTimeout))
 
@@ -335,7 +336,7 @@
 		text, code := status("--output", "json")
 		Expect(code).To(Equal(0))
 		Expect(json.Unmarshal([]byte(text), &views)).To(Succeed())
-		Expect(views).To(HaveLen(2), "the seed that the first names is asked, too")
+		Expect(views).To(HaveLen(2), "the command must also query the seed that the first balancer names")
 		Expect(views[0]).To(HaveKeyWithValue("host", "balancer-1"))
 		Expect(views[0]).To(HaveKeyWithValue("version", BeEquivalentTo(1)))
 		Expect(views[0]["agents"]).To(HaveLen(2))
@@ -378,8 +379,8 @@
 		Eventually(func() error {
 			_, err := f.caller.Open(packetOther)
 			return err
-		}, patience).Should(MatchError(packetplatform.ErrReset))
-		Eventually(logOf(f.Agents[0]), patience).Should(ContainSubstring("Settings changed."))
+		}, waitTimeout).Should(MatchError(packetplatform.ErrReset))
+		Eventually(logOf(f.Agents[0]), waitTimeout).Should(ContainSubstring("Settings changed."))
 	}, SpecTimeout(specTimeout))
 
 	It("lets requests wait for a slot, and runs each once", func(ctx SpecContext) {
@@ -387,6 +388,6 @@
 		flows := f.openFlows(4 * packetplatform.Slots)
 		f.Agents[0].Upstream.SetWork(50 * time.Millisecond)
 		f.requestOnAll(flows, "second")
-		f.expectOnce()
+		f.expectRunOnce()
 	}, SpecTimeout(specTimeout))
 })
--- a/test/integration/rotation_test.go
+++ b/test/integration/rotation_test.go
@@ -22,8 +22,9 @@
 
 	ginkgo.It("may be rotated one process at a time under load", func(ctx ginkgo.SpecContext) {
 		fleet, _ := start(ctx, size{balancers: 2, pairs: 2}, harness.DefaultValues(), results, exams)
-		// statusWith asks a balancer with the secrets and returns the exit code. A
-		// member is shown as late until it has renewed, so success is waited for.
+		// statusWith runs `saltbend status` with the secrets and returns its exit code.
+		// It fails as long as a member is shown as late, which ends with the member's
+		// next renewal, so callers poll it.
 		statusWith := func(secrets string) int {
 			path := filepath.Join(ginkgo.GinkgoT().TempDir(), "secrets")
 			gomega.Expect(os.WriteFile(path, []byte(secrets), 0o600)).To(gomega.Succeed())
@@ -32,29 +33,29 @@
 			return r.Code
 		}
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
-		progress(tally, callersEach, callersEach)
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
+		awaitProgress(tally, callersEach, callersEach)
 		gomega.Expect(statusWith(nextSecret)).To(gomega.Equal(exit.Unavailable))
 		for _, step := range []string{harness.Secrets + "," + nextSecret, nextSecret + "," + harness.Secrets} {
 			gomega.Expect(fleet.RotateSecrets(ctx, step)).To(gomega.Succeed())
-			gomega.Eventually(statusWith, patience).WithArguments(step).Should(gomega.Equal(exit.OK))
-			progress(tally, 4*callersEach, 4*callersEach)
+			gomega.Eventually(statusWith, waitTimeout).WithArguments(step).Should(gomega.Equal(exit.OK))
+			awaitProgress(tally, 4*callersEach, 4*callersEach)
 		}
-		// A member that starts during the rotation serves flows of both keys.
+		// A balancer that starts during the rotation must serve flows of both keys.
 		_, err := fleet.AddBalancer(ctx)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		gomega.Expect(fleet.KillBalancer(ctx, fleet.Balancers()[0])).To(gomega.Succeed())
-		progress(tally, 4*callersEach, 4*callersEach)
-		crowd.Disperse()
-		expectWhole(fleet, tally, 2*callersEach)
+		awaitProgress(tally, 4*callersEach, 4*callersEach)
+		crowd.Stop()
+		expectNoErrors(fleet, tally, 2*callersEach)
 
 		gomega.Expect(fleet.RotateSecrets(ctx, nextSecret)).To(gomega.Succeed())
 		gomega.Expect(statusWith(harness.Secrets)).To(gomega.Equal(exit.Unavailable))
-		gomega.Eventually(statusWith, patience).WithArguments(nextSecret).Should(gomega.Equal(exit.OK))
-		// The same tally, since it numbers the submissions of callers of one name.
-		crowd = gather(ctx, fleet, tally, callersEach, load)
-		progress(tally, 4*callersEach, 4*callersEach)
-		crowd.Disperse()
-		expectWhole(fleet, tally, 4*callersEach)
+		gomega.Eventually(statusWith, waitTimeout).WithArguments(nextSecret).Should(gomega.Equal(exit.OK))
+		// Reuse the tally, since the new callers have the names of the earlier ones.
+		crowd = startCallers(ctx, fleet, tally, callersEach, load)
+		awaitProgress(tally, 4*callersEach, 4*callersEach)
+		crowd.Stop()
+		expectNoErrors(fleet, tally, 4*callersEach)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
--- a/test/integration/seeds_test.go
+++ b/test/integration/seeds_test.go
@@ -16,7 +16,8 @@
 	"github.com/saltbend/saltbend/test/harness"
 )
 
-// seedsOf returns the balancers that hold a lease in the store.
+// seedsOf returns the balancers that hold a seed lease in the store, according to
+// `saltbend status`.
 func seedsOf(ctx context.Context, fleet *harness.Fleet) []*harness.Process {
 	ginkgo.GinkgoHelper()
 	r, err := fleet.CLI(ctx, "status", "--output", "json")
@@ -39,8 +40,7 @@
 	return seeds
 }
 
-// change applies a configuration that differs in a queue's length and returns
-// its revision.
+// change applies a configuration with the given queue length and returns its revision.
 func change(ctx context.Context, fleet *harness.Fleet, queue int) uint64 {
 	ginkgo.GinkgoHelper()
 	values := harness.DefaultValues()
@@ -50,8 +50,9 @@
 	return writes[len(writes)-1].Revision
 }
 
-// reportInForce says how long the last change took to each process.
-func reportInForce(ctx context.Context, fleet *harness.Fleet, what string, events map[string][]served) {
+// reportInForce adds to the report how long the last change took to be in force on the
+// processes.
+func reportInForce(ctx context.Context, fleet *harness.Fleet, what string, events map[string][]servingEvent) {
 	ginkgo.GinkgoHelper()
 	writes := configWrites(ctx, fleet)
 	h := timeToInForce(writes[len(writes)-1:], events)
@@ -66,32 +67,33 @@
 	ginkgo.It("that are frozen past their lease change nobody's routing and never bring back what was", func(ctx ginkgo.SpecContext) {
 		fleet, pairs := start(ctx, size{balancers: 4, pairs: 2}, harness.DefaultValues(), results)
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
 		var seeds []*harness.Process
 		gomega.Eventually(func() int {
 			seeds = seedsOf(ctx, fleet)
 			return len(seeds)
-		}, patience).Should(gomega.Equal(seed.Slots))
+		}, waitTimeout).Should(gomega.Equal(seed.Slots))
 		expectTables(ctx, fleet, pairs)
 		frozen := seeds[0]
 		gomega.Expect(frozen.Freeze()).To(gomega.Succeed())
 		others := slices.DeleteFunc(fleet.Balancers(), func(b *harness.Process) bool { return b == frozen })
 		begun := time.Now()
-		gomega.Eventually(func() int { return len(holders(ctx, others)) }, patience).Should(gomega.Equal(seed.Slots))
+		gomega.Eventually(func() int { return len(holders(ctx, others)) }, waitTimeout).Should(gomega.Equal(seed.Slots))
 		revision := change(ctx, fleet, 100)
 		reportInForce(ctx, fleet, "a seed frozen", inForce(ctx, fleet, revision, others))
 		frozen.Thaw()
 		reportInForce(ctx, fleet, "woken", inForce(ctx, fleet, revision, fleet.Balancers()))
-		// It leaves the slot to who took it, and took nobody for dead meanwhile.
+		// The resumed seed must not reclaim the slot that another balancer has taken, and
+		// must not have declared other members gone.
 		gomega.Consistently(func() int { return len(holders(ctx, fleet.Balancers())) }, seed.DefaultLease/2).
 			Should(gomega.Equal(seed.Slots))
-		for _, e := range notedSince(ctx, fleet, begun) {
+		for _, e := range eventsSince(ctx, fleet, begun) {
 			concernsFrozen := strings.Contains(e.Detail, " "+frozen.Address("control").String()+",")
 			gomega.Expect(slices.Contains(transitions, e.Kind) && !concernsFrozen).To(gomega.BeFalse(), "%+v", e)
 		}
-		progress(tally, callersEach, callersEach)
-		crowd.Disperse()
-		expectWhole(fleet, tally, callersEach)
+		awaitProgress(tally, callersEach, callersEach)
+		crowd.Stop()
+		expectNoErrors(fleet, tally, callersEach)
 	}, ginkgo.SpecTimeout(specTimeout))
 
 	ginkgo.It("that are all cut from the store don't keep a change from any balancer", func(ctx ginkgo.SpecContext) {
@@ -108,12 +110,12 @@
 		_, err := fleet.AddPair(ctx, results)
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		tally := caller.NewTally()
-		crowd := gather(ctx, fleet, tally, callersEach, load)
+		crowd := startCallers(ctx, fleet, tally, callersEach, load)
 		var seeds []*harness.Process
 		gomega.Eventually(func() int {
 			seeds = seedsOf(ctx, fleet)
 			return len(seeds)
-		}, patience).Should(gomega.Equal(seed.Slots))
+		}, waitTimeout).Should(gomega.Equal(seed.Slots))
 		for _, s := range seeds {
 			gomega.Expect(links[s].Cut()).To(gomega.Succeed())
 		}
@@ -124,7 +126,7 @@
 		}
 		revision = change(ctx, fleet, 101)
 		reportInForce(ctx, fleet, "healed", inForce(ctx, fleet, revision, fleet.Balancers()))
-		crowd.Disperse()
-		expectWhole(fleet, tally, callersEach)
+		crowd.Stop()
+		expectNoErrors(fleet, tally, callersEach)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
--- a/test/integration/strangers_test.go
+++ b/test/integration/strangers_test.go
@@ -20,22 +20,23 @@
 const (
 	shortHeader = 0x40
 	packetSize  = 100
-	// strangerKey is a secret that the fleet does not hold; it has the id of
-	// the one that it holds.
+	// strangerKey is a secret that the fleet does not have, under the id of the fleet's
+	// secret; unknownKey is one under an id that the fleet does not have.
 	strangerKey = "1:00112233445566778899aabbccddeeff"
 	unknownKey  = "9:00112233445566778899aabbccddeeff"
 )
 
-// packet is a QUIC packet with a short header and the connection ID.
+// packet returns a QUIC packet with a short header, the connection ID and random content.
 func packet(id []byte) []byte {
 	p := make([]byte, packetSize)
-	_, _ = rand.Read(p) // never fails
+	_, _ = rand.Read(p) // crypto/rand.Read never returns an error
 	p[0] = shortHeader
 	copy(p[1:], id)
 	return p
 }
 
-// seal makes a token for the agent of the pair under the secrets.
+// seal returns a connection ID with a token for the pair's agent and the service,
+// encrypted with the secrets.
 func seal(secrets string, pair *harness.Pair, service string) []byte {
 	ring, err := keyring.Parse(secrets)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -65,22 +66,22 @@
 			drops := fmt.Sprintf(`saltbend_balancer_dropped_total{direction="forward",reason=%q}`, reason)
 			before := total(ctx, fleet, drops)
 			gomega.Eventually(func() float64 {
-				_, _ = conn.Write(bad) // a lost one is sent again
+				_, _ = conn.Write(bad) // the poll repeats lost packets
 				return total(ctx, fleet, drops) - before
-			}, patience, time.Microsecond).Should(gomega.BeNumerically(">=", enough), reason)
+			}, waitTimeout, time.Microsecond).Should(gomega.BeNumerically(">=", enough), reason)
 		}
 		gomega.Expect(total(ctx, fleet, `saltbend_balancer_forwarded_total`)).To(gomega.Equal(forwarded))
 
-		// A caller that asks the right face is served all the same.
+		// A valid caller is still served.
 		tally := caller.NewTally()
 		one := fleet.Caller("one", exams, tally, 0)
 		defer one.Close()
 		gomega.Expect(one.Lookup(ctx)).To(gomega.Succeed())
-		expectWhole(fleet, tally, 0)
+		expectNoErrors(fleet, tally, 0)
 	}, ginkgo.SpecTimeout(specTimeout))
 })
 
-// total sums a metric over the live balancers.
+// total returns the sum of a metric over the running balancers.
 func total(ctx context.Context, fleet *harness.Fleet, prefix string) float64 {
 	ginkgo.GinkgoHelper()
 	sum := 0.0
--- a/test/integration/suite_test.go
+++ b/test/integration/suite_test.go
@@ -1,4 +1,4 @@
-// Package integration_test runs the whole system as real processes and fails
+// Package integration_test runs the whole system as real processes and injects faults into
 // parts of it under load.
 package integration_test
 
@@ -17,12 +17,13 @@
 )
 
 const (
-	// patience bounds waits for a condition; no verdict depends on the time.
-	patience    = 60 * time.Second
+	// waitTimeout limits waits for a condition. It is generous, so that results don't
+	// depend on the speed of the machine.
+	waitTimeout = 60 * time.Second
 	specTimeout = 3 * time.Minute
 	workTimeout = 20 * time.Second
-	// attemptTimeout is when a caller gives up an attempt of a submission; it
-	// is longer than the deadline of the class.
+	// attemptTimeout is the time-out of a caller's attempt of a submission; it is longer
+	// than the deadline of the request class.
 	attemptTimeout = 4 * time.Second
 
 	results = "results"
@@ -41,14 +42,15 @@
 	gomega.Expect(harness.Build(ctx, bin)).To(gomega.Succeed())
 })
 
-// size is how many processes a fleet has.
+// size is the number of processes of a fleet.
 type size struct {
 	balancers, pairs int
-	// upstreamArgs are flags of each upstream.
+	// upstreamArgs are additional flags of each upstream.
 	upstreamArgs []string
 }
 
-// start runs a fleet with its configuration applied; it ends with the spec.
+// start starts a fleet with n.pairs pairs for each service and applies its configuration.
+// The fleet is closed at the end of the spec.
 func start(ctx context.Context, n size, values harness.Values, services ...string) (*harness.Fleet, []*harness.Pair) {
 	fleet, err := harness.New(ctx, bin, ginkgo.GinkgoT().TempDir(), services...)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -74,9 +76,9 @@
 	return fleet, pairs
 }
 
-// gather starts load by count callers for each service; callers without
-// lookups are named silent.
-func gather(ctx context.Context, fleet *harness.Fleet, tally *caller.Tally, count int, load caller.Load) *caller.Crowd {
+// startCallers starts load from count callers for each service. The names of callers that
+// send no lookups begin with "silent-".
+func startCallers(ctx context.Context, fleet *harness.Fleet, tally *caller.Tally, count int, load caller.Load) *caller.Group {
 	kind := ""
 	if load.LookupEvery == 0 {
 		kind = "silent-"
@@ -88,19 +90,20 @@
 		}
 	}
 	load.Timeout = workTimeout
-	return caller.Gather(ctx, all, load)
+	return caller.StartGroup(ctx, all, load)
 }
 
-// progress waits until further lookups and feed events have come in.
-func progress(tally *caller.Tally, lookups, events int) {
+// awaitProgress waits until the given numbers of further lookups have succeeded and of
+// further feed events have been received.
+func awaitProgress(tally *caller.Tally, lookups, events int) {
 	ginkgo.GinkgoHelper()
 	wantLookups, wantEvents := tally.OK(caller.KindLookup)+lookups, tally.Events()+events
-	gomega.Eventually(func() int { return tally.OK(caller.KindLookup) }, patience).Should(gomega.BeNumerically(">=", wantLookups))
-	gomega.Eventually(tally.Events, patience).Should(gomega.BeNumerically(">=", wantEvents))
+	gomega.Eventually(func() int { return tally.OK(caller.KindLookup) }, waitTimeout).Should(gomega.BeNumerically(">=", wantLookups))
+	gomega.Eventually(tally.Events, waitTimeout).Should(gomega.BeNumerically(">=", wantEvents))
 }
 
-// everyFeedGoesOn waits until each of the feeds has had further events.
-func everyFeedGoesOn(tally *caller.Tally, feeds int) {
+// awaitEventsOnAllFeeds waits until each of the feeds has received further events.
+func awaitEventsOnAllFeeds(tally *caller.Tally, feeds int) {
 	ginkgo.GinkgoHelper()
 	const further = 5
 	before := tally.LastEvents()
@@ -113,11 +116,12 @@
 			}
 		}
 		return going
-	}, patience).Should(gomega.Equal(feeds))
+	}, waitTimeout).Should(gomega.Equal(feeds))
 }
 
-// expectWhole checks that nothing was lost, broken, doubled or misled.
-func expectWhole(fleet *harness.Fleet, tally *caller.Tally, feeds int) {
+// expectNoErrors checks that no request failed, ran twice, ran after a refusal or ran at
+// the wrong service, and that no feed was interrupted.
+func expectNoErrors(fleet *harness.Fleet, tally *caller.Tally, feeds int) {
 	ginkgo.GinkgoHelper()
 	report := tally.Report()
 	audit, err := fleet.Audit(report)
--- a/test/integration/timeline_test.go
+++ b/test/integration/timeline_test.go
@@ -17,7 +17,8 @@
 		fleet, _ := start(ctx, size{balancers: 3, pairs: 1}, harness.DefaultValues(), results)
 		all := fleet.Balancers()
 		victim := all[0].Address("control").String()
-		// kinds returns the kinds of events that concern the victim, in order.
+		// kinds returns the kinds of the timeline events that mention the victim, in
+		// order.
 		kinds := func() (out []event.Kind) {
 			r, err := fleet.CLI(ctx, "timeline", "--part", "control", "--output", "json", "--peer", all[1].Address("control").String())
 			gomega.Expect(err).NotTo(gomega.HaveOccurred())
@@ -34,9 +35,9 @@
 			}
 			return out
 		}
-		gomega.Eventually(kinds, patience).Should(gomega.ContainElement(control.EventJoined))
+		gomega.Eventually(kinds, waitTimeout).Should(gomega.ContainElement(control.EventJoined))
 		gomega.Expect(fleet.KillBalancer(ctx, all[0])).To(gomega.Succeed())
-		gomega.Eventually(kinds, patience).Should(gomega.ContainElement(control.EventDeclared))
+		gomega.Eventually(kinds, waitTimeout).Should(gomega.ContainElement(control.EventDeclared))
 		first := make(map[event.Kind]int)
 		for i, kind := range kinds() {
 			if _, seen := first[kind]; !seen {
