--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -93,7 +93,7 @@
 	return f, nil
 }
 
-// Build compiles the product's programs and the stand-ins into the directory bin.
+// Build compiles the product's programs and the test program standin into the directory bin.
 func Build(ctx context.Context, bin string) error {
 	const module = "github.com/saltbend/saltbend"
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", bin+"/",
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return p, f.Spray(ctx, p)
+	return p, f.AddToFabric(ctx, p)
 }
 
 // startBalancer starts a balancer that uses the store at the URL.
@@ -190,8 +190,8 @@
 	return p, nil
 }
 
-// Spray waits until the balancer is ready and serves all faces, and adds it to the fabric.
-func (f *Fleet) Spray(ctx context.Context, p *Process) error {
+// AddToFabric waits until the balancer is ready and serves all faces, and adds it to the fabric.
+func (f *Fleet) AddToFabric(ctx context.Context, p *Process) error {
 	var faces map[netip.AddrPort]netip.AddrPort
 	err := f.await(ctx, p, func() bool {
 		faces = nil
@@ -272,7 +272,7 @@
 }
 
 // AddPair starts an upstream of the service with its agent and waits until the
-// agent is ready. upstreamArgs are further flags of the stand-in.
+// agent is ready. upstreamArgs are further flags of the simulated upstream.
 func (f *Fleet) AddPair(ctx context.Context, service string, upstreamArgs ...string) (*Pair, error) {
 	name := f.id("upstream")
 	args := append([]string{
--- a/test/harness/network.go
+++ b/test/harness/network.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	r.open(p, p.Address("control_bound"))
-	return p, n.fleet.Spray(ctx, p)
+	return p, n.fleet.AddToFabric(ctx, p)
 }
 
 // Cut withholds all bytes between the given processes on one side and the other balancers
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -1,5 +1,5 @@
-// Package harness runs the product and the stand-ins for its environment (store, fabric,
-// upstreams) as real processes on loopback. Ports are assigned by the kernel; processes
+// Package harness runs the product, and simulations of its environment (store, fabric,
+// upstreams), as real processes on loopback. Ports are assigned by the kernel; processes
 // are ended by process id.
 package harness
 
--- a/test/packetplatform/copy.go
+++ b/test/packetplatform/copy.go
@@ -14,7 +14,7 @@
 	revision       uint64
 	leases         map[uint64]time.Duration
 	lastLease      uint64
-	operatorWrites int
+	operatorWrites int // number of writes of operators when the copy was made
 }
 
 // Copy returns a snapshot of the store.
--- a/test/packetplatform/upstream.go
+++ b/test/packetplatform/upstream.go
@@ -130,8 +130,8 @@
 	return n
 }
 
-// Strays returns the number of packets of unknown flows, which were sent back.
-func (u *Upstream) Strays() int {
+// ReturnedPackets returns the number of packets of unknown flows, which were sent back.
+func (u *Upstream) ReturnedPackets() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.returnedPackets
