--- a/test/fabric/control.go
+++ b/test/fabric/control.go
@@ -8,7 +8,7 @@
 	"github.com/saltbend/saltbend/test/jsonhttp"
 )
 
-// Handler serves the fabric's steering over HTTP; Client is its counterpart.
+// Handler returns the HTTP API that controls the fabric; Client is its client.
 func (f *Fabric) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faces", func(w http.ResponseWriter, _ *http.Request) {
@@ -40,7 +40,7 @@
 	return mux
 }
 
-// Client steers a fabric that runs as a process; URL is its base.
+// Client controls a fabric that runs as another process, through the API at URL.
 type Client struct {
 	URL string
 }
@@ -52,12 +52,12 @@
 	return public, err
 }
 
-// SetBalancer adds a balancer to the spray.
+// SetBalancer adds a balancer to those that receive callers' datagrams.
 func (c Client) SetBalancer(ctx context.Context, name string, faces map[netip.AddrPort]netip.AddrPort) error {
 	return jsonhttp.Do(ctx, http.MethodPut, c.URL+"/balancers/"+name, faces, nil)
 }
 
-// RemoveBalancer takes a balancer out of the spray.
+// RemoveBalancer removes a balancer from those that receive callers' datagrams.
 func (c Client) RemoveBalancer(ctx context.Context, name string) error {
 	return jsonhttp.Do(ctx, http.MethodDelete, c.URL+"/balancers/"+name, nil, nil)
 }
@@ -67,7 +67,7 @@
 	return jsonhttp.Do(ctx, http.MethodPut, c.URL+"/faults/"+name, faults, nil)
 }
 
-// Counts returns what the fabric has carried.
+// Counts returns the fabric's counts of datagrams.
 func (c Client) Counts(ctx context.Context) (Counts, error) {
 	var counts Counts
 	err := jsonhttp.Do(ctx, http.MethodGet, c.URL+"/counts", nil, &counts)
--- a/test/fabric/fabric.go
+++ b/test/fabric/fabric.go
@@ -1,7 +1,7 @@
-// Package fabric stands in for the platform's packet fabric. It owns the
-// public face addresses, sends each caller datagram to a random live balancer
-// and relays what any balancer sends back. It can lose, delay and reorder
-// datagrams and cut a balancer off, in one direction or both.
+// Package fabric simulates the platform's packet fabric. It listens on the public addresses
+// (faces), sends each datagram of a caller to a random registered balancer, and relays
+// datagrams from all balancers to the callers. It can drop, delay and reorder datagrams,
+// and cut off a balancer in one direction or both.
 package fabric
 
 import (
@@ -18,31 +18,31 @@
 const (
 	maxDatagram   = 2048
 	maxFlows      = 8192
-	maxHeldBack   = 65536
+	maxDelayed    = 65536
 	socketBuffer  = 1 << 20
 	flowIdleLimit = 2 * time.Minute
 )
 
-// Faults are what the fabric does to the datagrams of one balancer.
+// Faults are the faults that the fabric applies to the datagrams of one balancer.
 type Faults struct {
-	// Drop and Reorder are shares of datagrams, 0 to 1. A reordered datagram
-	// is held back for ReorderBy.
+	// Drop and Reorder are fractions of the datagrams, 0 to 1. A reordered datagram is
+	// delayed by ReorderBy.
 	Drop      float64
 	Reorder   float64
 	ReorderBy time.Duration
-	// Delay holds back every datagram.
+	// Delay is the delay of every datagram.
 	Delay time.Duration
-	// CutTo loses all datagrams to the balancer, CutFrom all from it.
+	// CutTo drops all datagrams to the balancer, CutFrom all from it.
 	CutTo   bool
 	CutFrom bool
 }
 
-// Counts tell what the fabric has carried.
+// Counts are numbers of datagrams.
 type Counts struct {
 	ToBalancers uint64
 	ToCallers   uint64
 	Dropped     uint64
-	// Unrouted datagrams came while no balancer was live.
+	// Unrouted counts datagrams received while no balancer served the face.
 	Unrouted uint64
 }
 
@@ -52,19 +52,19 @@
 	faults Faults
 }
 
-// table is the immutable set of balancers that the relays read.
+// table is an immutable set of balancers, which the relays read without locks.
 type table struct {
 	live    []*balancer
 	byLocal map[netip.AddrPort]*balancer
 }
 
-// Fabric relays between callers and balancers until Close.
+// Fabric relays datagrams between callers and balancers until Close.
 type Fabric struct {
 	mu    sync.Mutex // serialises changes of the table and of faces
 	faces []*face
 	table atomic.Pointer[table]
 
-	held        atomic.Int64
+	delayed     atomic.Int64
 	toBalancers atomic.Uint64
 	toCallers   atomic.Uint64
 	dropped     atomic.Uint64
@@ -87,7 +87,7 @@
 	}
 }
 
-// OpenFace opens a public face on a port that the kernel chooses.
+// OpenFace opens a public face on a port assigned by the kernel.
 func (f *Fabric) OpenFace() (netip.AddrPort, error) {
 	conn, err := listen()
 	if err != nil {
@@ -106,16 +106,16 @@
 	return face.public, nil
 }
 
-// SetBalancer adds a balancer to the spray or replaces its addresses. faces
-// maps public face addresses to those on which the balancer listens.
+// SetBalancer adds a balancer to those that receive callers' datagrams, or replaces its
+// addresses. faces maps each public face address to the one that the balancer listens on.
 func (f *Fabric) SetBalancer(name string, faces map[netip.AddrPort]netip.AddrPort) {
 	f.change(func(live []*balancer) []*balancer {
 		return append(without(live, name), &balancer{name: name, faces: faces})
 	})
 }
 
-// RemoveBalancer takes a balancer out of the spray; what it still sends is
-// relayed.
+// RemoveBalancer removes a balancer from those that receive callers' datagrams. Datagrams
+// that it still sends are relayed.
 func (f *Fabric) RemoveBalancer(name string) {
 	f.change(func(live []*balancer) []*balancer { return without(live, name) })
 }
@@ -134,7 +134,7 @@
 	})
 }
 
-// Counts returns what was carried so far.
+// Counts returns the counts so far.
 func (f *Fabric) Counts() Counts {
 	return Counts{
 		ToBalancers: f.toBalancers.Load(),
@@ -156,7 +156,7 @@
 	f.table.Store(next)
 }
 
-// pick returns a random live balancer that serves the face.
+// pick returns a random balancer that serves the face, nil if there is none.
 func (t *table) pick(public netip.AddrPort) (*balancer, netip.AddrPort) {
 	if len(t.live) == 0 {
 		return nil, netip.AddrPort{}
@@ -171,9 +171,9 @@
 	return nil, netip.AddrPort{}
 }
 
-// carry applies the faults and calls send at the due time with its own copy
-// of the datagram where it is held back.
-func (f *Fabric) carry(faults Faults, cut bool, datagram []byte, send func([]byte)) {
+// applyFaults applies the faults to a datagram and calls send unless it is dropped. For a delayed
+// datagram, send is called later with a copy.
+func (f *Fabric) applyFaults(faults Faults, cut bool, datagram []byte, send func([]byte)) {
 	if cut || (faults.Drop > 0 && rand.Float64() < faults.Drop) {
 		f.dropped.Add(1)
 		return
@@ -186,15 +186,15 @@
 		send(datagram)
 		return
 	}
-	if f.held.Add(1) > maxHeldBack {
-		f.held.Add(-1)
+	if f.delayed.Add(1) > maxDelayed {
+		f.delayed.Add(-1)
 		f.dropped.Add(1)
 		return
 	}
-	held := append([]byte(nil), datagram...)
+	delayed := append([]byte(nil), datagram...)
 	time.AfterFunc(delay, func() {
-		f.held.Add(-1)
-		send(held)
+		f.delayed.Add(-1)
+		send(delayed)
 	})
 }
 
--- a/test/fabric/fabric_test.go
+++ b/test/fabric/fabric_test.go
@@ -11,9 +11,9 @@
 	"github.com/saltbend/saltbend/test/fabric"
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
-// echo answers each datagram with its own name.
+// echo starts a server that answers each datagram with the given name.
 func echo(t *testing.T, name string) netip.AddrPort {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -33,7 +33,7 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-func TestSprayAndCut(t *testing.T) {
+func TestPacketsAreSpreadOverBalancersAndCutsDropThem(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := fabric.New()
 	defer f.Close()
@@ -57,8 +57,9 @@
 			answers <- string(buf[:n])
 		}
 	}()
-	// seen sends until want further answers came, and counts them by balancer.
-	seen := func(want int) map[string]int {
+	// countAnswers sends datagrams until it has received want answers, and returns their
+	// number by balancer.
+	countAnswers := func(want int) map[string]int {
 		counts := map[string]int{}
 		g.Eventually(func() int {
 			_, _ = conn.Write([]byte("ping"))
@@ -68,23 +69,23 @@
 			case <-time.After(time.Millisecond):
 			}
 			return counts["a"] + counts["b"]
-		}, patience, time.Microsecond).Should(gomega.BeNumerically(">=", want))
+		}, waitTimeout, time.Microsecond).Should(gomega.BeNumerically(">=", want))
 		return counts
 	}
 
 	const enough = 200
-	counts := seen(enough)
+	counts := countAnswers(enough)
 	g.Expect(counts["a"]).To(gomega.BeNumerically(">", enough/5))
 	g.Expect(counts["b"]).To(gomega.BeNumerically(">", enough/5))
 
 	f.SetFaults("a", fabric.Faults{CutFrom: true})
-	seen(2 * cap(answers)) // what was under way has come by then
-	g.Expect(seen(enough)["a"]).To(gomega.BeZero())
+	countAnswers(2 * cap(answers)) // discards the answers sent before the cut
+	g.Expect(countAnswers(enough)["a"]).To(gomega.BeZero())
 
 	f.SetFaults("a", fabric.Faults{CutTo: true})
 	f.RemoveBalancer("b")
 	dropped := f.Counts().Dropped
 	_, err = conn.Write([]byte("ping"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Eventually(func() uint64 { return f.Counts().Dropped }, patience).Should(gomega.BeNumerically(">", dropped))
+	g.Eventually(func() uint64 { return f.Counts().Dropped }, waitTimeout).Should(gomega.BeNumerically(">", dropped))
 }
--- a/test/fabric/flow.go
+++ b/test/fabric/flow.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// face is one public address; run is its only reader.
+// face is a public address; only its method run reads from conn.
 type face struct {
 	fabric *Fabric
 	conn   *net.UDPConn
@@ -17,8 +17,8 @@
 	flows map[netip.AddrPort]*flow
 }
 
-// flow is the translation of one caller at one face: balancers see the caller
-// as the flow's own socket.
+// flow translates the address of one caller at one face: balancers receive the caller's
+// datagrams from the flow's socket.
 type flow struct {
 	face   *face
 	caller netip.AddrPort
@@ -41,7 +41,8 @@
 	}
 }
 
-// flow returns the caller's flow, opening it if the bound allows.
+// flow returns the caller's flow. It opens one if there is none, and returns nil if the
+// limit of maxFlows is reached.
 func (f *face) flow(caller netip.AddrPort) *flow {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,7 +78,7 @@
 		fabric.unrouted.Add(1)
 		return
 	}
-	fabric.carry(b.faults, b.faults.CutTo, datagram, func(d []byte) {
+	fabric.applyFaults(b.faults, b.faults.CutTo, datagram, func(d []byte) {
 		if _, err := f.conn.WriteToUDPAddrPort(d, local); err == nil {
 			fabric.toBalancers.Add(1)
 		}
@@ -86,7 +87,7 @@
 
 // run relays replies until the flow has been idle for flowIdleLimit.
 func (f *flow) run() {
-	defer f.forget()
+	defer f.remove()
 	fabric := f.face.fabric
 	buf := make([]byte, maxDatagram)
 	for {
@@ -99,7 +100,7 @@
 		if b := fabric.table.Load().byLocal[from]; b != nil {
 			faults = b.faults
 		}
-		fabric.carry(faults, faults.CutFrom, buf[:n], func(d []byte) {
+		fabric.applyFaults(faults, faults.CutFrom, buf[:n], func(d []byte) {
 			if _, err := f.face.conn.WriteToUDPAddrPort(d, f.caller); err == nil {
 				fabric.toCallers.Add(1)
 			}
@@ -107,7 +108,7 @@
 	}
 }
 
-func (f *flow) forget() {
+func (f *flow) remove() {
 	f.face.mu.Lock()
 	delete(f.face.flows, f.caller)
 	f.face.mu.Unlock()
--- a/test/storefake/http.go
+++ b/test/storefake/http.go
@@ -16,15 +16,15 @@
 
 const keyPath = "/v1/kv/"
 
-// entry is one element of a list answer.
+// entry is an element of the answer to a list call.
 type entry struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Handler serves the store's protocol under /v1/kv/ and its steering under
-// /faults and /calls.
+// Handler returns the store's HTTP API: the store's protocol under /v1/kv/, and for the
+// control of tests the paths /faults, /calls and /writes.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+keyPath, s.serveRead)
@@ -45,7 +45,8 @@
 	return mux
 }
 
-// admit counts the call and reports whether it may go on.
+// admit counts the call, applies the faults Slow and Down, and reports whether to process
+// the call.
 func (s *Store) admit(w http.ResponseWriter, r *http.Request, count func(*Calls)) (Faults, bool) {
 	f := s.begin(count)
 	if f.Slow > 0 {
@@ -167,7 +168,7 @@
 	loseAnswer(faults, key)
 }
 
-// loseAnswer closes the connection in place of an answer, by chance.
+// loseAnswer closes the connection without an answer with the probability LoseAnswer.
 func loseAnswer(f Faults, key string) {
 	if strings.HasPrefix(key, f.LosePrefix) && rand.Float64() < f.LoseAnswer {
 		panic(http.ErrAbortHandler)
@@ -193,7 +194,7 @@
 		return
 	}
 	w.Header().Set("ETag", etag(v.revision))
-	_, _ = w.Write(v.data) // the client is gone: nobody to tell
+	_, _ = w.Write(v.data) // an error means that the client has closed the connection
 }
 
 func etag(revision uint64) string { return fmt.Sprintf("%q", strconv.FormatUint(revision, 10)) }
--- a/test/storefake/storefake.go
+++ b/test/storefake/storefake.go
@@ -1,7 +1,6 @@
-// Package storefake stands in for the platform's key-value service: values up
-// to a megabyte with compare-and-swap on revisions, leases that expire and
-// long-poll watches. It can be down, slow, or lose the answer to a write that
-// took effect, and it counts each call.
+// Package storefake simulates the platform's key-value service: values of up to 1 MiB with
+// compare-and-swap on revisions, leases that expire, and long-poll watches. It can be
+// unavailable or slow, or apply a write without answering it, and it counts calls.
 package storefake
 
 import (
@@ -16,27 +15,27 @@
 	maxWrites     = 10_000
 )
 
-// Faults are what the store does to calls.
+// Faults are the faults that the store applies to calls.
 type Faults struct {
-	// Down refuses every call with 503.
+	// Down answers every call with status 503.
 	Down bool
-	// Slow holds every call back first.
+	// Slow delays every call.
 	Slow time.Duration
-	// LoseAnswer is the share of writes (0 to 1) that take effect and whose
-	// connection is then closed without an answer.
+	// LoseAnswer is the fraction of writes (0 to 1) that are applied but not answered: the
+	// store closes the connection.
 	LoseAnswer float64
-	// LosePrefix limits LoseAnswer to keys that start with it.
+	// LosePrefix restricts LoseAnswer to keys with this prefix.
 	LosePrefix string
 }
 
-// Write is one write that took effect.
+// Write is a write that was applied.
 type Write struct {
 	Key      string
 	Revision uint64
 	Time     time.Time
 }
 
-// Calls counts calls by kind; a waiting watch counts as one.
+// Calls counts calls by kind. A long-poll watch counts as one call.
 type Calls struct {
 	Get, List, Put, Delete, Watch uint64
 }
@@ -52,7 +51,7 @@
 	mu       sync.Mutex
 	values   map[string]value
 	revision uint64
-	changed  chan struct{} // closed and replaced at each change
+	changed  chan struct{} // closed and replaced with each change
 	faults   Faults
 	calls    Calls
 	writes   []Write // the last maxWrites
@@ -64,7 +63,7 @@
 	return &Store{values: make(map[string]value), changed: make(chan struct{}), now: time.Now}
 }
 
-// SetFaults replaces the faults. Waiting watches notice at once.
+// SetFaults replaces the faults. They apply at once to pending watches, too.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,14 +71,14 @@
 	s.wake()
 }
 
-// Calls returns the calls so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// begin counts a call and returns the faults that it meets.
+// begin counts a call and returns the faults that apply to it.
 func (s *Store) begin(count func(*Calls)) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,13 +86,13 @@
 	return s.faults
 }
 
-// wake must be called with mu held.
+// wake wakes pending watches; mu must be held.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// read returns the live value of a key; mu must be held.
+// read returns the value of a key if its lease has not expired; mu must be held.
 func (s *Store) read(key string) (value, bool) {
 	v, ok := s.values[key]
 	if ok && !v.expires.IsZero() && !s.now().Before(v.expires) {
@@ -103,7 +102,8 @@
 	return v, ok
 }
 
-// get returns a value with the channel that closes at the next change.
+// get returns the value of a key, a channel that is closed at the next change, and the
+// faults.
 func (s *Store) get(key string) (value, bool, <-chan struct{}, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,8 @@
 	return v, ok, s.changed, s.faults
 }
 
-// swap writes data when the key's revision is expected (0: no such key).
+// swap writes data if the key has the revision expected, where 0 means that the key does
+// not exist. It returns the new revision and whether the value was written.
 func (s *Store) swap(key string, data []byte, expected uint64, lease time.Duration) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,20 +126,21 @@
 		time.AfterFunc(lease, s.SweepExpired)
 	}
 	s.values[key] = next
-	s.remember(Write{Key: key, Revision: s.revision, Time: s.now()})
+	s.recordWrite(Write{Key: key, Revision: s.revision, Time: s.now()})
 	s.wake()
 	return s.revision, true
 }
 
-// remember keeps a write for Writes; mu must be held.
-func (s *Store) remember(w Write) {
+// recordWrite records a write for Writes and drops the oldest of more than maxWrites; mu must
+// be held.
+func (s *Store) recordWrite(w Write) {
 	if len(s.writes) == maxWrites {
 		s.writes = s.writes[1:]
 	}
 	s.writes = append(s.writes, w)
 }
 
-// Writes returns the last writes of values, oldest first.
+// Writes returns the last maxWrites writes of values, oldest first.
 func (s *Store) Writes() []Write {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +160,7 @@
 	return true
 }
 
-// SweepExpired drops values whose lease has run out and wakes watches.
+// SweepExpired deletes values whose leases have expired, and wakes pending watches.
 func (s *Store) SweepExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/storefake/storefake_test.go
+++ b/test/storefake/storefake_test.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/test/storefake"
 )
 
-func TestStore(t *testing.T) {
+func TestStoreSwapsWatchesAndAppliesFaults(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := storefake.New()
 	server := httptest.NewServer(store.Handler())
@@ -49,7 +49,7 @@
 	store.SetFaults(storefake.Faults{LoseAnswer: 1})
 	g.Expect(put("a", "If-Match", `"2"`, "three")).To(gomega.BeNil())
 	store.SetFaults(storefake.Faults{})
-	g.Expect(get("a?after=2&wait=1s")).To(gomega.Equal(http.StatusOK), "the write took effect")
+	g.Expect(get("a?after=2&wait=1s")).To(gomega.Equal(http.StatusOK), "a write whose answer is lost must be applied")
 
 	store.SetFaults(storefake.Faults{Down: true})
 	g.Expect(get("a")).To(gomega.Equal(http.StatusServiceUnavailable))
