--- a/test/cmd/footprint/change.go
+++ b/test/cmd/footprint/change.go
@@ -11,13 +11,14 @@
 	"github.com/saltbend/saltbend/test/harness"
 )
 
-// firstDeadline is the value that changes vary, in milliseconds.
+// firstDeadline is the deadline in milliseconds before the first change; each change makes
+// it 1 ms longer.
 const firstDeadline = 5000
 
-// change applies changes for the length of the window, one an interval, and
-// returns for each the time from the start of the operator's command until the
-// last balancer logged that it is in force. The log is read and nobody asked,
-// so that asking is not measured.
+// change applies one configuration change per interval for the given length. For each it
+// returns the time from the start of the operator's command until the last balancer logged
+// that the change is in force. It reads the logs instead of querying the balancers, so that
+// the measurement doesn't include the cost of queries.
 func (f *fleet) change(ctx context.Context, length, interval time.Duration) ([]time.Duration, error) {
 	var starts []time.Time
 	end := time.Now().Add(length)
@@ -40,7 +41,7 @@
 			return nil, err
 		}
 		if len(times) != len(starts) {
-			return nil, errors.Errorf("%s put %d changes of %d in force", p.Name, len(times), len(starts))
+			return nil, errors.Errorf("balancer %s logged %d changes in force, want %d", p.Name, len(times), len(starts))
 		}
 		for i, at := range times {
 			delays[i] = max(delays[i], at.Sub(starts[i]))
--- a/test/cmd/footprint/fleet.go
+++ b/test/cmd/footprint/fleet.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// balancerShare: one process in so many is a balancer.
+	// balancerShare is the ratio of processes to balancers.
 	balancerShare = 4
-	// agentsPerService keeps services at one size while the fleet grows.
+	// agentsPerService is the number of agents of a service, the same for all fleet sizes.
 	agentsPerService = 7
-	// startsAtOnce bounds the agents that start at the same time.
-	startsAtOnce = 4
+	// maxConcurrentStarts limits the number of agents that start concurrently.
+	maxConcurrentStarts = 4
 )
 
 // Roles of the measured processes.
@@ -31,11 +31,11 @@
 
 var roles = []string{balancer, agent}
 
-// fleet is a running fleet with its processes by role.
+// fleet is a running fleet.
 type fleet struct {
 	harness   *harness.Fleet
 	processes map[string][]*harness.Process
-	// applyCalls are the calls to the store that one change costs an operator.
+	// applyCalls are the calls to the store made by one `saltbend apply`.
 	applyCalls storefake.Calls
 }
 
@@ -62,8 +62,9 @@
 	return f, nil
 }
 
-// populate starts the members. The first configuration is applied while the
-// store has no other client, which tells what a change costs an operator.
+// populate applies a configuration and starts the members. The configuration is applied
+// first, while the store has no other client, so that the calls to the store are those of
+// the command alone.
 func (f *fleet) populate(ctx context.Context, balancers, agents int, services []string) error {
 	if err := f.harness.Apply(ctx, harness.DefaultValues()); err != nil {
 		return err
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// addService starts agents of a service. They share one upstream, so that the
-// machine holds little besides the measured processes.
+// addService starts agents of a service. They share one upstream, so that few processes
+// other than the measured ones use the machine.
 func (f *fleet) addService(ctx context.Context, service string, agents int) error {
 	first, err := f.harness.AddPair(ctx, service)
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 	pairs := []*harness.Pair{first}
 	var group errgroup.Group
-	group.SetLimit(startsAtOnce)
+	group.SetLimit(maxConcurrentStarts)
 	for len(pairs) < agents {
 		pair := *first
 		pairs = append(pairs, &pair)
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// add notes a process and tells where it is, for those who want a profile.
+// add records a process and prints its pid and address, which are needed to profile it.
 func (f *fleet) add(role string, p *harness.Process) {
 	f.processes[role] = append(f.processes[role], p)
 	fmt.Fprintf(os.Stderr, "%s pid %d ops %s\n", p.Name, p.PID(), p.Address("ops"))
@@ -122,7 +123,7 @@
 	return calls, err
 }
 
-// minus takes the calls o, times over, from c.
+// minus returns c less o multiplied by times.
 func minus(c, o storefake.Calls, times uint64) storefake.Calls {
 	return storefake.Calls{
 		Get: c.Get - times*o.Get, List: c.List - times*o.List, Put: c.Put - times*o.Put,
--- a/test/cmd/footprint/main.go
+++ b/test/cmd/footprint/main.go
@@ -1,9 +1,9 @@
-// Command footprint measures what control costs: it starts fleets of several
-// sizes as processes on loopback, without callers, and reports for each role
-// the control bytes, processor time and memory of a process, the calls to the
-// store, and the time until a change is in force on every balancer; once idle
-// and once under configuration changes. The output is in the format of Go
-// benchmarks; test/cmd/slope fits lines through it.
+// Command footprint measures the resources used by the control plane. It starts
+// fleets of several sizes as processes on loopback, without callers, and
+// reports for each role the control bytes, processor time and memory of a
+// process, the calls to the store, and the time until a change is in force on
+// every balancer, once for an idle fleet and once during configuration changes.
+// The output is in the format of Go benchmarks, which test/cmd/slope reads.
 package main
 
 import (
@@ -29,16 +29,16 @@
 type options struct {
 	Parts   []string      `long:"part" choice:"fleets" choice:"crowd" default:"fleets" default:"crowd" description:"What to measure; may be repeated."`
 	Sizes   []int         `long:"sizes" default:"5" default:"20" default:"40" default:"60" description:"Number of processes of a fleet; may be repeated."`
-	Members []int         `long:"members" default:"700" default:"2100" default:"6900" description:"Number of members around one balancer, all but it stand-ins; may be repeated."`
-	Window  time.Duration `long:"window" default:"30s" description:"Length of each measurement; watches of the store last this long."`
-	Settle  time.Duration `long:"settle" default:"75s" description:"Time to get quiet: former seeds go on for a minute."`
-	Changes int           `long:"changes" default:"10" description:"Configuration changes a minute in the second measurement."`
+	Members []int         `long:"members" default:"700" default:"2100" default:"6900" description:"Number of members of a fleet of one real balancer, all others simulated; may be repeated."`
+	Window  time.Duration `long:"window" default:"30s" description:"Duration of each measurement; a watch of the store lasts this long."`
+	Settle  time.Duration `long:"settle" default:"75s" description:"Time to wait before the measurement; former seeds continue for a minute."`
+	Changes int           `long:"changes" default:"10" description:"Configuration changes per minute in the second measurement."`
 }
 
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		os.Exit(1) // the parser has said why
+		os.Exit(1) // the parser has printed the error
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// measureFleet measures one fleet from its start to its end.
+// measureFleet starts a fleet of the given size and measures it.
 func measureFleet(ctx context.Context, o options, dir string, size int) error {
 	f, err := startFleet(ctx, dir, size)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return f.measureBoth(ctx, o, "Fleet", fmt.Sprintf("processes=%d", size))
 }
 
-// measureCrowd measures one balancer among stand-ins for the other members.
+// measureCrowd measures one balancer in a fleet whose other members are simulated.
 func measureCrowd(ctx context.Context, o options, dir string, members int) error {
 	f, err := startFleet(ctx, dir, 1)
 	if err != nil {
@@ -91,11 +91,11 @@
 		return err
 	}
 	defer others.Close()
-	fmt.Fprintf(os.Stderr, "in touch with %d of %d members\n", others.Touched(), members)
+	fmt.Fprintf(os.Stderr, "the balancer communicates with %d of %d members\n", others.Contacts(), members)
 	return f.measureBoth(ctx, o, "Crowd", fmt.Sprintf("members=%d", members))
 }
 
-// measureBoth measures once idle and once under changes.
+// measureBoth measures the idle fleet, then the fleet during configuration changes.
 func (f *fleet) measureBoth(ctx context.Context, o options, name, size string) error {
 	if err := pause(ctx, o.Settle); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	changing.calls = minus(changing.calls, f.applyCalls, uint64(len(delays))) // the operator's own
+	changing.calls = minus(changing.calls, f.applyCalls, uint64(len(delays))) // without the calls of `saltbend apply`
 	changing.report(name+"Changing", size)
 	reportDelays(name+"InForce", size, delays)
 	return nil
--- a/test/cmd/footprint/sample.go
+++ b/test/cmd/footprint/sample.go
@@ -8,24 +8,24 @@
 	"github.com/saltbend/saltbend/test/storefake"
 )
 
-// usage is what one process has used so far, or in a window.
+// usage is the resource usage of a process, since its start or within a window.
 type usage struct {
 	bytesIn, bytesOut float64
 	cpuSeconds        float64
-	// resident is all memory of the process that the machine holds; of it
-	// anonymous is backed by no file, so that only this process has it.
+	// resident is the resident memory; anonymous is the part of it that is not backed by
+	// a file and thus not shared with other processes.
 	resident, anonymous float64
 	heap, stack         float64
 }
 
-// window is what the processes of a fleet used over a time.
+// window is the resource usage of a fleet's processes within a period.
 type window struct {
 	length time.Duration
 	byRole map[string][]usage
 	calls  storefake.Calls
 }
 
-// measure runs during and returns what the fleet used meanwhile.
+// measure calls during and returns the fleet's resource usage in that time.
 func (f *fleet) measure(ctx context.Context, during func() error) (window, error) {
 	before, err := f.sample(ctx)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return after, err
 }
 
-// sample reads what was used so far. A process that is asked for its metrics
-// works for the answer, in each window once.
+// sample reads the resource usage since the start. Reading a process's metrics itself costs
+// processor time, which each window includes once.
 func (f *fleet) sample(ctx context.Context) (w window, err error) {
 	w.byRole = make(map[string][]usage)
 	if w.calls, err = f.storeCalls(ctx); err != nil {
--- a/test/crowd/contact.go
+++ b/test/crowd/contact.go
@@ -11,8 +11,8 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// stand stands in for one member that the balancer is in touch with.
-type stand struct {
+// contact simulates one member that the balancer communicates with.
+type contact struct {
 	crowd  *Crowd
 	self   member.Member
 	peer   *peer.Peer
@@ -20,33 +20,34 @@
 	cancel context.CancelFunc
 }
 
-func newStand(c *Crowd, m member.Member) (*stand, error) {
+func newContact(c *Crowd, m member.Member) (*contact, error) {
 	p, err := peer.Listen(m.Control, c.ring)
 	if err != nil {
 		return nil, err
 	}
-	s := &stand{crowd: c, self: m, peer: p}
+	s := &contact{crowd: c, self: m, peer: p}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s, p.Register("Control", &Service{s})
 }
 
-func (s *stand) close() error {
+func (s *contact) close() error {
 	s.cancel()
 	return s.peer.Close()
 }
 
-func (s *stand) call(ctx context.Context, method string, args, reply any) error {
+func (s *contact) call(ctx context.Context, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return s.peer.Call(ctx, s.crowd.balancer, "Control."+method, args, reply)
 }
 
-func (s *stand) claim(revision uint64) gossip.Claim {
+func (s *contact) claim(revision uint64) gossip.Claim {
 	return gossip.Claim{Revision: revision, Balancers: targetBalancers}
 }
 
-// renew renews as the member would, at times of its own.
-func (s *stand) renew() {
+// renew renews the member's record periodically, starting at a random time within the
+// period, as a real member does.
+func (s *contact) renew() {
 	period := gossip.DefaultTiming().Renew
 	a := gossip.Announce{Self: s.self, Claim: s.claim(0)}
 	pause := time.Duration(rand.Int64N(int64(period)))
@@ -64,35 +65,35 @@
 	}
 }
 
-// Service answers the balancer's calls as a member without news does.
-type Service struct{ stand *stand }
+// Service answers the balancer's calls as a member that has no changes to report.
+type Service struct{ contact *contact }
 
-// Announce takes the balancer's renewal.
+// Announce answers a renewal of the balancer.
 func (s *Service) Announce(a gossip.Announce, reply *gossip.AnnounceReply) error {
-	*reply = gossip.AnnounceReply{Epoch: s.stand.self.Incarnation, Cursor: 1, Claim: s.stand.claim(a.Claim.Revision)}
+	*reply = gossip.AnnounceReply{Epoch: s.contact.self.Incarnation, Cursor: 1, Claim: s.contact.claim(a.Claim.Revision)}
 	return nil
 }
 
-// Push takes transitions and passes the news of a revision back, as one of the
-// balancers does that push to this one.
+// Push accepts transitions and pushes the revision back to the balancer, as the balancers
+// that push to it do.
 func (s *Service) Push(p gossip.Push, reply *gossip.PushReply) error {
-	claim := s.stand.claim(p.Claim.Revision)
+	claim := s.contact.claim(p.Claim.Revision)
 	reply.Claim = claim
 	go func() {
-		back := gossip.Push{From: s.stand.self.Control, Claim: claim}
-		_ = s.stand.call(s.stand.ctx, "Push", &back, &gossip.PushReply{}) // a lost push is made up for by digests
+		back := gossip.Push{From: s.contact.self.Control, Claim: claim}
+		_ = s.contact.call(s.contact.ctx, "Push", &back, &gossip.PushReply{}) // digests compensate for a lost push
 	}()
 	return nil
 }
 
-// Digest says that the members are the same.
+// Digest answers that both have the same members.
 func (s *Service) Digest(d gossip.Digest, reply *gossip.DigestReply) error {
-	*reply = gossip.DigestReply{Equal: true, Claim: s.stand.claim(d.Claim.Revision)}
+	*reply = gossip.DigestReply{Equal: true, Claim: s.contact.claim(d.Claim.Revision)}
 	return nil
 }
 
-// Exchange has nothing to add.
+// Exchange answers with no members.
 func (s *Service) Exchange(gossip.Exchange, *gossip.Exchange) error { return nil }
 
-// Ping answers that the member lives.
+// Ping answers, which shows that the member is alive.
 func (s *Service) Ping(control.PingArgs, *control.PingReply) error { return nil }
--- a/test/crowd/crowd.go
+++ b/test/crowd/crowd.go
@@ -1,6 +1,7 @@
-// Package crowd stands in for the other members of a large fleet towards one
-// balancer: it tells it of all of them, renews for those that it watches, and
-// answers where it renews and pushes to. All others have no socket.
+// Package crowd simulates the other members of a large fleet for one real balancer. It sends
+// the balancer records of all members, renews the records of those that the balancer
+// watches, and answers the balancer's renewals and pushes. Only the members that the
+// balancer communicates with have a socket.
 package crowd
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/saltbend/saltbend/internal/peer"
 )
 
-// The crowd has the shape of the largest fleet expected.
+// Composition of the largest expected fleet; smaller crowds have the same proportions.
 const (
 	targetBalancers  = 780
 	targetMembers    = 6880
@@ -30,22 +31,23 @@
 const (
 	exchangeBatch = 2048
 	callTimeout   = 2 * time.Second
-	// pushedTo bounds the balancers to which one balancer pushes.
-	pushedTo = 5
-	// portFrom is the address of which the kernel chooses the port; the same
-	// port is then free at the other loopback addresses, which nobody else uses.
+	// maxPushTargets is the maximum number of balancers to which one balancer pushes.
+	maxPushTargets = 5
+	// portFrom is the address for which the kernel assigns a port. The same port is then
+	// free at the other addresses of 127.1.0.0/16, which no other process uses.
 	portFrom = "127.1.0.1:0"
 )
 
-// Crowd is the members besides one balancer.
+// Crowd is the set of simulated members around one balancer.
 type Crowd struct {
 	ring     *keyring.Ring
 	balancer netip.AddrPort
 	members  []member.Member
-	live     []*stand
+	running  []*contact
 }
 
-// Surround makes the balancer at the address one of a fleet of so many members.
+// Surround starts a crowd that makes the balancer at the address a member of a fleet of size
+// members.
 func Surround(ctx context.Context, secrets string, balancer netip.AddrPort, size int) (*Crowd, error) {
 	ring, err := keyring.Parse(secrets)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return c, nil
 }
 
-// populate makes the records, the balancers first.
+// populate creates the records of count members, the balancers first.
 func (c *Crowd) populate(count int) error {
 	probe, err := peer.Listen(netip.MustParseAddrPort(portFrom), c.ring)
 	if err != nil {
@@ -77,7 +79,7 @@
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}).Next(), port)
 		m := member.Member{
 			Control: addr, Data: addr, Ops: addr, Role: member.RoleBalancer,
-			DataCentre:  fmt.Sprintf("elsewhere-%d", i%dataCentres), // the balancer stays a seed of its own
+			DataCentre:  fmt.Sprintf("elsewhere-%d", i%dataCentres), // other data centres, so that the real balancer remains a seed in its own
 			Incarnation: uint64(time.Now().UnixNano()), Version: 1, State: member.StateReady,
 		}
 		if i >= balancers {
@@ -89,30 +91,31 @@
 	return nil
 }
 
-// start opens the sockets that the balancer will call and tells it of all.
+// start opens the sockets of the members that the balancer communicates with, sends the
+// balancer the records of all members, and starts the renewals.
 func (c *Crowd) start(ctx context.Context) error {
-	for _, m := range c.touched() {
-		s, err := newStand(c, m)
+	for _, m := range c.contacts() {
+		s, err := newContact(c, m)
 		if err != nil {
 			return err
 		}
-		c.live = append(c.live, s)
+		c.running = append(c.running, s)
 	}
-	teller := c.live[0]
+	sender := c.running[0]
 	for batch := range slices.Chunk(c.members, exchangeBatch) {
-		x := gossip.Exchange{From: teller.self.Control, Members: batch}
-		if err := teller.call(ctx, "Exchange", &x, &gossip.Exchange{}); err != nil {
-			return errors.Wrap(err, "tell of the members")
+		x := gossip.Exchange{From: sender.self.Control, Members: batch}
+		if err := sender.call(ctx, "Exchange", &x, &gossip.Exchange{}); err != nil {
+			return errors.Wrap(err, "send the records of the members")
 		}
 	}
-	for _, s := range c.live {
+	for _, s := range c.running {
 		go s.renew()
 	}
 	return nil
 }
 
-// touched returns the members that the balancer watches or calls.
-func (c *Crowd) touched() []member.Member {
+// contacts returns the members that the balancer watches or calls.
+func (c *Crowd) contacts() []member.Member {
 	all := []member.Member{{Control: c.balancer}}
 	for _, m := range c.members {
 		if m.Role == member.RoleBalancer {
@@ -120,7 +123,7 @@
 		}
 	}
 	candidates := member.NewCandidates(all)
-	called := append(candidates.Choose(c.balancer, member.Witnesses, nil), candidates.Neighbours(c.balancer, pushedTo)...)
+	called := append(candidates.Choose(c.balancer, member.Witnesses, nil), candidates.Neighbours(c.balancer, maxPushTargets)...)
 	var out []member.Member
 	for _, m := range c.members {
 		watched := candidates.Chooses(m.Control, member.Witnesses, c.balancer)
@@ -131,14 +134,14 @@
 	return out
 }
 
-// Touched returns the number of members that the balancer is in touch with.
-func (c *Crowd) Touched() int { return len(c.live) }
+// Contacts returns the number of members that the balancer communicates with.
+func (c *Crowd) Contacts() int { return len(c.running) }
 
-// Close ends the crowd without a word.
+// Close closes all sockets without notifying the balancer.
 func (c *Crowd) Close() {
 	var group errgroup.Group
-	for _, s := range c.live {
+	for _, s := range c.running {
 		group.Go(s.close)
 	}
-	_ = group.Wait() // the sockets end with the process at the latest
+	_ = group.Wait() // sockets that fail to close are closed at the end of the process
 }
