--- a/test/rolerun/rolerun.go
+++ b/test/rolerun/rolerun.go
@@ -1,5 +1,5 @@
-// Package rolerun runs a role of the daemon inside a test, beside a stand-in of
-// the platform's store.
+// Package rolerun runs a role of the daemon (balancer or agent) within a test, with a
+// simulated store of the platform.
 package rolerun
 
 import (
@@ -21,22 +21,22 @@
 	"github.com/saltbend/saltbend/test/storefake"
 )
 
-// patience bounds the wait for the role to serve.
-const patience = 20 * time.Second
+// readyTimeout limits the wait until the role is ready.
+const readyTimeout = 20 * time.Second
 
-// Role is a role that runs.
+// Role is a running role.
 type Role struct {
 	Addresses settings.Addresses
 	Keys      *settings.Keys
-	// Stop asks the role to end; Ended is closed when it has, and Err is what
-	// it returned then.
+	// Stop stops the role. Ended is closed when it has ended; Err is then the error that
+	// it returned.
 	Stop  context.CancelFunc
 	Ended chan struct{}
 	Err   error
 }
 
-// Start calls run, the Run of a role's package, waits until the role serves,
-// and stops it when the test ends.
+// Start calls run, which is the function Run of a role's package, and waits until the role
+// is ready. The role is stopped at the end of the test.
 func Start(t testing.TB, ring *keyring.Ring, run func(context.Context, settings.Env) error) *Role {
 	t.Helper()
 	ready := make(chan settings.Addresses, 1)
@@ -56,11 +56,11 @@
 		stop()
 		<-r.Ended
 	})
-	gomega.NewWithT(t).Eventually(ready, patience).Should(gomega.Receive(&r.Addresses))
+	gomega.NewWithT(t).Eventually(ready, readyTimeout).Should(gomega.Receive(&r.Addresses))
 	return r
 }
 
-// NewStore returns the URL of a store that holds the configuration.
+// NewStore starts a store that contains the configuration, and returns its URL.
 func NewStore(t testing.TB, configuration string) string {
 	t.Helper()
 	g := gomega.NewWithT(t)
--- a/test/simfleet/simfleet.go
+++ b/test/simfleet/simfleet.go
@@ -1,5 +1,5 @@
-// Package simfleet runs the gossip engines of a whole fleet on a clock of its
-// own, over a network that loses, doubles, delays and cuts.
+// Package simfleet runs the gossip engines of a whole fleet in simulated time, over a
+// simulated network that drops, duplicates and delays messages and can be partitioned.
 package simfleet
 
 import (
@@ -12,30 +12,31 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Tick is the time between two looks at an engine's actions.
+// Tick is the interval at which the engines' actions are requested.
 const Tick = 200 * time.Millisecond
 
-// Begin is when the clock starts.
+// Begin is the simulated time at which a fleet starts.
 var Begin = time.Unix(1_000_000, 0)
 
-// delivery is a message, a reply or a timeout under way.
+// delivery is a pending message, reply or time-out.
 type delivery struct {
 	at  time.Time
 	run func()
 }
 
-// Fleet carries messages between engines. It delays them and so reorders them.
-// It belongs to one goroutine.
+// Fleet delivers messages between engines. It delays and thereby reorders them. It is not
+// safe for concurrent use.
 type Fleet struct {
 	Now time.Time
-	// Loss is the share of messages that are lost, and of those that come
-	// twice.
+	// Loss is the fraction of messages that are dropped, and also the fraction of those
+	// that are duplicated.
 	Loss float64
-	// Engines are the processes that run; one that isn't there refuses.
+	// Engines are the engines of the running processes by control address. A call to an
+	// address without an engine is refused.
 	Engines map[netip.AddrPort]*gossip.Engine
-	// Cut, if set, tells which processes can't reach each other.
+	// Cut, if not nil, reports whether two processes can't reach each other.
 	Cut func(a, b netip.AddrPort) bool
-	// Notices counts what the engines noticed.
+	// Notices counts the engines' notices by kind.
 	Notices map[gossip.NoticeKind]int
 
 	rand  *rand.Rand
@@ -43,7 +44,7 @@
 	queue []delivery
 }
 
-// New returns a fleet without processes, whose chances follow from the seed.
+// New returns a fleet without processes. Its random numbers are derived from the seed.
 func New(seed uint64) *Fleet {
 	return &Fleet{
 		Now:     Begin,
@@ -53,12 +54,13 @@
 	}
 }
 
-// At returns the control address of the process with the number.
+// At returns the control address of the i-th process.
 func At(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 4100)
 }
 
-// Start starts a process, or its successor, at an address.
+// Start starts a process at the member's control address. It replaces an earlier process at
+// that address.
 func (f *Fleet) Start(m member.Member, join ...netip.AddrPort) {
 	m.Incarnation = uint64(f.Now.UnixNano())
 	e := gossip.New(m, gossip.DefaultTiming(), rand.New(rand.NewPCG(f.rand.Uint64(), 0)))
@@ -69,10 +71,10 @@
 	f.Engines[m.Control] = e
 }
 
-// Crash ends a process without a word to the others.
+// Crash ends a process without notifying the others.
 func (f *Fleet) Crash(addr netip.AddrPort) { delete(f.Engines, addr) }
 
-// Run lets the engines work for d.
+// Run advances the simulation by d.
 func (f *Fleet) Run(d time.Duration) {
 	for end := f.Now.Add(d); f.Now.Before(end); f.Now = f.Now.Add(Tick) {
 		f.deliver()
@@ -126,8 +128,8 @@
 	}
 }
 
-// call delivers a request, perhaps twice, and its reply; or fails after a
-// timeout. A process that is not there refuses.
+// call delivers a request, possibly twice, and its reply, or fails with a time-out after 2 s
+// if either is lost. It fails as refused if the target is not running.
 func call[R any](f *Fleet, from, to netip.AddrPort, handle func(*gossip.Engine) R, done func(R), failed func(member.Evidence)) {
 	caller := f.Engines[from]
 	later := func(d time.Duration, run func()) { f.queue = append(f.queue, delivery{f.Now.Add(d), run}) }
@@ -172,7 +174,8 @@
 	return f.Cut != nil && (f.Cut(a, b) || f.Cut(b, a))
 }
 
-// delay is short mostly; now and then long enough to overtake many others.
+// delay returns a random delay below 5 ms. If Loss is set, a tenth of the delays are up to
+// 5 s, so that many other messages overtake the delayed one.
 func (f *Fleet) delay() time.Duration {
 	if f.Loss > 0 && f.rand.IntN(10) == 0 {
 		return time.Duration(f.rand.Int64N(int64(5 * time.Second)))
@@ -180,8 +183,8 @@
 	return time.Duration(f.rand.Int64N(int64(5 * time.Millisecond)))
 }
 
-// Differences compares what each balancer knows with what is; none means that
-// all is known.
+// Differences compares the member table of each balancer with the actual members, and
+// describes the differences.
 func (f *Fleet) Differences() []string {
 	var out []string
 	for _, viewer := range f.order {
@@ -194,15 +197,15 @@
 			truth := f.Engines[addr]
 			switch {
 			case truth == nil && ok && known.State != member.StateGone:
-				out = append(out, viewer.String()+" holds dead "+addr.String()+" for "+known.State.String())
-			case truth != nil && !sameLife(known, truth.Self()):
-				out = append(out, viewer.String()+" holds "+addr.String()+" for "+known.State.String()+", it is "+truth.Self().State.String())
+				out = append(out, viewer.String()+" lists ended process "+addr.String()+" as "+known.State.String())
+			case truth != nil && !sameVersion(known, truth.Self()):
+				out = append(out, viewer.String()+" lists "+addr.String()+" as "+known.State.String()+", its state is "+truth.Self().State.String())
 			}
 		}
 	}
 	return out
 }
 
-func sameLife(a, b member.Member) bool {
+func sameVersion(a, b member.Member) bool {
 	return a.Incarnation == b.Incarnation && a.Version == b.Version && a.State == b.State
 }
