--- a/test/cmd/demo/main.go
+++ b/test/cmd/demo/main.go
@@ -1,7 +1,7 @@
 // Command demo runs the whole system as processes on loopback for some
 // seconds: store, fabric, balancers, agents with upstreams, and callers. It
-// kills a balancer and starts another, and reports what callers and upstreams
-// saw. It fails unless nothing was lost, broken or doubled.
+// kills a balancer and starts another, and reports the outcomes at callers and
+// upstreams. It fails if requests were lost or ran twice, or if feeds broke.
 package main
 
 import (
@@ -20,26 +20,26 @@
 )
 
 const (
-	balancers        = 3
-	pairsPerService  = 4
-	callersPerFace   = 100
-	quietBefore      = 4 * time.Second
-	betweenFaults    = 4 * time.Second
-	quietAfter       = 7 * time.Second
-	workTimeout      = 10 * time.Second
-	demoTimeout      = 2 * time.Minute
-	serviceTime      = "5ms"
-	lookupEvery      = 500 * time.Millisecond
-	submitEvery      = 2 * time.Second
-	uploadEvery      = 10 * time.Second
-	uploadBytes      = 200_000
-	submissionBytes  = 400
-	microsPerMilli   = 1000
-	exitNotAllWasOK  = 1
-	exitDidNotFinish = 2
+	balancers       = 3
+	pairsPerService = 4
+	callersPerFace  = 100
+	quietBefore     = 4 * time.Second
+	betweenFaults   = 4 * time.Second
+	quietAfter      = 7 * time.Second
+	workTimeout     = 10 * time.Second
+	demoTimeout     = 2 * time.Minute
+	serviceTime     = "5ms"
+	lookupEvery     = 500 * time.Millisecond
+	submitEvery     = 2 * time.Second
+	uploadEvery     = 10 * time.Second
+	uploadBytes     = 200_000
+	submissionBytes = 400
+	microsPerMilli  = 1000
+	exitCheckFailed = 1
+	exitRunFailed   = 2
 )
 
-// summary is the last line of the report.
+// summary is the last line of the output, as JSON.
 type summary struct {
 	LookupsOK         int     `json:"lookups_ok"`
 	LookupsFailed     int     `json:"lookups_failed"`
@@ -68,10 +68,10 @@
 	s, err := run(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
-		os.Exit(exitDidNotFinish)
+		os.Exit(exitRunFailed)
 	}
-	if !s.whole() {
-		os.Exit(exitNotAllWasOK)
+	if !s.ok() {
+		os.Exit(exitCheckFailed)
 	}
 }
 
@@ -96,15 +96,15 @@
 		return summary{}, err
 	}
 	tally := caller.NewTally()
-	say("Gathering %d callers, each with an open feed.", callersPerFace*len(services))
+	say("Starting %d callers, each with an open feed.", callersPerFace*len(services))
 	crowd := caller.StartGroup(ctx, callers(fleet, services, tally), caller.Load{
 		Feed: true, LookupEvery: lookupEvery, SubmitEvery: submitEvery, UploadEvery: uploadEvery,
 		Timeout: workTimeout, UploadBytes: uploadBytes, BatchBytes: submissionBytes,
 	})
-	if err := disturb(ctx, fleet); err != nil {
+	if err := injectFault(ctx, fleet); err != nil {
 		return summary{}, err
 	}
-	say("Letting the work in progress end.")
+	say("Waiting for the requests in progress.")
 	crowd.Stop()
 	report := tally.Report()
 	audit, err := fleet.Audit(report)
@@ -115,7 +115,7 @@
 	return s, print(report, audit, s)
 }
 
-// populate starts the members and puts the configuration in force.
+// populate applies the configuration and starts the members.
 func populate(ctx context.Context, fleet *harness.Fleet, services []string) error {
 	say("Applying the configuration.")
 	if err := fleet.Apply(ctx, harness.DefaultValues()); err != nil {
@@ -126,7 +126,7 @@
 			return err
 		}
 	}
-	say("%d balancers serve.", balancers)
+	say("%d balancers are ready.", balancers)
 	for _, service := range services {
 		for range pairsPerService {
 			if _, err := fleet.AddPair(ctx, service, "--service-time", serviceTime); err != nil {
@@ -148,8 +148,8 @@
 	return all
 }
 
-// disturb kills a balancer under load and starts another.
-func disturb(ctx context.Context, fleet *harness.Fleet) error {
+// injectFault kills a balancer under load and starts another.
+func injectFault(ctx context.Context, fleet *harness.Fleet) error {
 	if err := pause(ctx, quietBefore); err != nil {
 		return err
 	}
@@ -203,8 +203,9 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / microsPerMilli }
 
-// whole reports whether work was done and nothing lost, broken or doubled.
-func (s summary) whole() bool {
+// ok reports whether all kinds of requests succeeded, no request failed, ran twice, ran after
+// a refusal or at a wrong service, and no feed broke.
+func (s summary) ok() bool {
 	done := s.LookupsOK > 0 && s.SubmissionsOK > 0 && s.UploadsOK > 0 && s.FeedsOpened > 0
 	lost := s.LookupsFailed + s.SubmissionsFailed + s.Unknown + s.UploadsFailed + s.FeedsBroken
 	return done && lost+s.WrongService+s.RanTwice+s.RanRefused == 0
--- a/test/cmd/slope/main.go
+++ b/test/cmd/slope/main.go
@@ -3,9 +3,9 @@
 // It reads the output of `go test -bench` on standard input. Benchmarks whose
 // names end in a parameter such as "/members=1000" are grouped by the rest of
 // the name, and for each unit the least-squares line value = a + b*parameter
-// is printed with its error: the largest deviation of a measured mean from the
-// line, relative to the largest measured mean. Fewer than three sizes give no
-// line.
+// is printed with its error: the largest deviation of the mean at a size from
+// the line, relative to the largest mean. No line is fitted to fewer than
+// three sizes.
 package main
 
 import (
--- a/test/cmd/slope/series.go
+++ b/test/cmd/slope/series.go
@@ -9,22 +9,21 @@
 	"golang.org/x/perf/benchfmt"
 )
 
-// minSizes is the least number of sizes through which a line is fitted: two
-// points always fit and so show no error.
+// minSizes is the minimum number of sizes to which a line is fitted: a line through two
+// points fits exactly, so its error would be meaningless.
 const minSizes = 3
 
-// series is one quantity of one benchmark, measured at several sizes.
+// series contains the values of one unit of one benchmark at several sizes.
 type series struct {
 	name, unit, param string
-	// values holds all measurements by size.
+	// values are all values by size.
 	values map[float64][]float64
 }
 
 // line is a least-squares fit.
 type line struct {
 	Intercept, Slope float64
-	// Error is the largest deviation of a mean from the line over the largest
-	// mean.
+	// Error is the largest deviation of a mean from the line divided by the largest mean.
 	Error float64
 }
 
@@ -37,7 +36,7 @@
 	return &seriesSet{byKey: map[[2]string]*series{}}
 }
 
-// add takes one benchmark result; names without a size are passed over.
+// add adds a benchmark result. It ignores results whose names have no size.
 func (s *seriesSet) add(res *benchfmt.Result) {
 	name, param, size, ok := splitName(string(res.Name))
 	if !ok {
@@ -63,7 +62,7 @@
 	return s.order
 }
 
-// splitName cuts "Name/param=123-12" into its name, parameter and size.
+// splitName splits "Name/param=123-12" into name, parameter and size.
 func splitName(full string) (name, param string, size float64, ok bool) {
 	full, _ = cutProcs(full)
 	i := strings.LastIndexByte(full, '/')
--- a/test/cmd/slope/slope_test.go
+++ b/test/cmd/slope/slope_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestFitsALineAndShowsItsError(t *testing.T) {
+func TestLineIsFittedAndErrorReported(t *testing.T) {
 	g := NewWithT(t)
 	in := "BenchmarkTable/members=100-12 1 250 bytes/op\n" +
 		"BenchmarkTable/members=200-12 1 450 bytes/op\n" +
--- a/test/cmd/spread/fleet.go
+++ b/test/cmd/spread/fleet.go
@@ -12,14 +12,14 @@
 
 const (
 	service = "results"
-	// balancerShare: one process in so many is a balancer.
+	// balancerShare is the ratio of processes to balancers.
 	balancerShare = 4
 	minBalancers  = 2
-	pollEvery     = 20 * time.Millisecond
-	knownWithin   = time.Minute
+	pollInterval  = 20 * time.Millisecond
+	knownTimeout  = time.Minute
 )
 
-// fleet is a running fleet whose agents share one upstream.
+// fleet is a running fleet. All its agents share one upstream.
 type fleet struct {
 	*harness.Fleet
 	size      int
@@ -74,16 +74,17 @@
 	return pair.Agent, nil
 }
 
-// comeAndGo lets an agent come and go in each way. A new agent is timed from
-// the moment at which it says that it is ready.
-func (f *fleet) comeAndGo(ctx context.Context) error {
+// measureChanges adds and removes an agent in each of the ways to end it, and prints how long
+// the balancers take to detect each change. The time for a new agent starts when the agent
+// reports that it is ready.
+func (f *fleet) measureChanges(ctx context.Context) error {
 	for _, end := range []struct {
 		name string
 		do   func(*harness.Process) error
 	}{
 		{"Killed", func(p *harness.Process) error { p.Kill(); return nil }},
 		{"Stopped", func(p *harness.Process) error {
-			go func() { _, _ = p.Stop(knownWithin) }()
+			go func() { _, _ = p.Stop(knownTimeout) }()
 			return nil
 		}},
 		{"Silent", (*harness.Process).Freeze},
@@ -92,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.known(ctx, "New", time.Now()); err != nil {
+		if err := f.awaitKnown(ctx, "New", time.Now()); err != nil {
 			return err
 		}
 		start := time.Now()
@@ -100,7 +101,7 @@
 			return err
 		}
 		f.agents--
-		if err := f.known(ctx, end.name, start); err != nil {
+		if err := f.awaitKnown(ctx, end.name, start); err != nil {
 			return err
 		}
 		if end.name == "Silent" {
@@ -110,9 +111,9 @@
 	return nil
 }
 
-// known waits until each balancer counts the agents that there are, and prints
-// the time since start.
-func (f *fleet) known(ctx context.Context, name string, start time.Time) error {
+// awaitKnown waits until each balancer counts the actual number of agents, and prints the
+// time since start.
+func (f *fleet) awaitKnown(ctx context.Context, name string, start time.Time) error {
 	for _, b := range f.balancers {
 		for {
 			n, err := b.Metric(ctx, `saltbend_control_members{role="agent"}`)
@@ -122,10 +123,10 @@
 			if int(n) == f.agents {
 				break
 			}
-			if time.Since(start) > knownWithin {
-				return errors.Errorf("%s: %s counts %v agents, want %d", name, b.Name, n, f.agents)
+			if time.Since(start) > knownTimeout {
+				return errors.Errorf("%s agent: balancer %s counts %v agents, want %d", name, b.Name, n, f.agents)
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	fmt.Printf("BenchmarkKnown%s/processes=%d 1 %.3f s\n", name, f.size, time.Since(start).Seconds())
--- a/test/cmd/spread/main.go
+++ b/test/cmd/spread/main.go
@@ -1,8 +1,8 @@
-// Command spread measures how long it takes until the last balancer of a fleet
-// of real processes on loopback knows of an agent that is new, was killed, has
-// stopped gracefully, or has fallen silent (is paused).
+// Command spread measures how long it takes until all balancers of a fleet of
+// real processes on loopback have detected that an agent has started, was
+// killed, has stopped gracefully, or no longer responds (is suspended).
 //
-// The output has the form of benchmark results, which test/cmd/slope reads.
+// The output is in the format of Go benchmarks, which test/cmd/slope reads.
 package main
 
 import (
@@ -19,7 +19,7 @@
 
 type settings struct {
 	Sizes  []int `long:"processes" default:"5" default:"20" default:"60" description:"number of processes, a quarter of them balancers; may be repeated"`
-	Rounds int   `long:"rounds" default:"3" description:"number of agents that come and go in each way"`
+	Rounds int   `long:"rounds" default:"3" description:"number of agents that are started and ended in each way"`
 }
 
 func main() {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// measure runs one fleet.
+// measure starts a fleet of the given size and measures s.Rounds rounds of changes.
 func measure(ctx context.Context, s settings, bin, dir string, size int) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	}
 	defer f.Close()
 	for range s.Rounds {
-		if err := f.comeAndGo(ctx); err != nil {
+		if err := f.measureChanges(ctx); err != nil {
 			return err
 		}
 	}
--- a/test/pages/pages_test.go
+++ b/test/pages/pages_test.go
@@ -1,4 +1,5 @@
-// Package pages_test keeps the operators' pages complete.
+// Package pages_test checks that the pages for operators are complete and their examples
+// valid.
 package pages_test
 
 import (
@@ -17,16 +18,16 @@
 	pages = root + "/docs/operations"
 )
 
-// What operators meet: names of metrics and kinds of events.
+// Patterns of the names that must be documented: metrics and kinds of events.
 var (
 	metric = regexp.MustCompile(`\b(saltbend_[a-z_]+)`)
 	kind   = regexp.MustCompile(`(?:event\.Kind|\bKind[A-Z]\w*\s+Kind)\s*=\s*"([^"]+)"`)
 )
 
-// kindForm is the form of all kinds of events.
+// kindForm is the required form of kinds of events.
 var kindForm = regexp.MustCompile(`^[a-z]+(-[a-z]+)*$`)
 
-// read returns the text of all files below dir that keep accepts.
+// read returns the concatenated text of all files below dir for which keep returns true.
 func read(t *testing.T, dir string, keep func(path string) bool) string {
 	t.Helper()
 	var all strings.Builder
@@ -44,7 +45,7 @@
 	return all.String()
 }
 
-func TestEachMetricAndEventIsExplainedToOperators(t *testing.T) {
+func TestMetricsAndEventsAreDocumented(t *testing.T) {
 	documented := read(t, pages, func(path string) bool { return strings.HasSuffix(path, ".md") })
 	program := func(path string) bool {
 		return strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
@@ -52,20 +53,20 @@
 	code := read(t, root+"/internal", program) + read(t, root+"/cmd", program) + read(t, root+"/platform", program)
 	for _, name := range found(t, metric, code) {
 		if !strings.Contains(documented, name) {
-			t.Errorf("%q is on no page of docs/operations", name)
+			t.Errorf("metric %q is not documented on any page of docs/operations", name)
 		}
 	}
 	for _, name := range found(t, kind, code) {
 		if !kindForm.MatchString(name) {
-			t.Errorf("the kind %q has not the form of the others", name)
+			t.Errorf("event kind %q does not consist of lower-case words joined by hyphens", name)
 		}
 		if !strings.Contains(documented, "`"+name+"`") {
-			t.Errorf("`%s` is on no page of docs/operations", name)
+			t.Errorf("event kind `%s` is not documented on any page of docs/operations", name)
 		}
 	}
 }
 
-// found returns what the pattern's group matches in the code.
+// found returns the text of the pattern's first group for each match in the code.
 func found(t *testing.T, pattern *regexp.Regexp, code string) (out []string) {
 	t.Helper()
 	for _, match := range pattern.FindAllStringSubmatch(code, -1) {
@@ -77,7 +78,7 @@
 	return out
 }
 
-// example is a whole configuration file within a page.
+// example matches a complete configuration file on a page.
 var example = regexp.MustCompile("(?s)```yaml\n(version: .*?)```")
 
 func TestExamplesOfConfigurationsAreValid(t *testing.T) {
@@ -88,7 +89,7 @@
 		}
 		match := example.FindSubmatch(text)
 		if match == nil {
-			t.Errorf("%s has no example", page)
+			t.Errorf("%s contains no example of a configuration file", page)
 			continue
 		}
 		if _, findings := config.Parse(match[1], 0); len(findings) > 0 {
