--- a/test/cmd/slope/series.go
+++ b/test/cmd/slope/series.go
@@ -16,7 +16,7 @@
 // series contains the values of one unit of one benchmark at several sizes.
 type series struct {
 	name, unit, param string
-	// values are all values by size.
+	// values contains the results by size.
 	values map[float64][]float64
 }
 
--- a/test/fabric/fabric.go
+++ b/test/fabric/fabric.go
@@ -171,8 +171,8 @@
 	return nil, netip.AddrPort{}
 }
 
-// applyFaults applies the faults to a datagram and calls send unless it is dropped. For a delayed
-// datagram, send is called later with a copy.
+// applyFaults applies the faults to a datagram and calls send unless it is dropped. For a
+// delayed datagram, send is called later with a copy.
 func (f *Fabric) applyFaults(faults Faults, cut bool, datagram []byte, send func([]byte)) {
 	if cut || (faults.Drop > 0 && rand.Float64() < faults.Drop) {
 		f.dropped.Add(1)
--- a/test/fleetsource/fleetsource.go
+++ b/test/fleetsource/fleetsource.go
@@ -9,7 +9,7 @@
 	"github.com/saltbend/saltbend/internal/member"
 )
 
-// Source is a control.Source. It is safe for concurrent use.
+// Source implements control.Source. It is safe for concurrent use.
 type Source struct {
 	mu       sync.Mutex
 	snapshot *control.Snapshot
--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -190,7 +190,8 @@
 	return p, nil
 }
 
-// AddToFabric waits until the balancer is ready and serves all faces, and adds it to the fabric.
+// AddToFabric waits until the balancer is ready and serves all faces, and adds it to the
+// fabric.
 func (f *Fleet) AddToFabric(ctx context.Context, p *Process) error {
 	var faces map[netip.AddrPort]netip.AddrPort
 	err := f.await(ctx, p, func() bool {
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -24,7 +24,7 @@
 }
 
 // freezeAgent freezes the agent beyond the deadline of all requests that it has. Answers
-// that upstreams sent meanwhile can still be delivered when it resumes, so it stays frozen
+// that reached it while frozen can still be delivered when it resumes, so it stays frozen
 // until a caller that repeated its request elsewhere has received the outcome "unknown".
 func freezeAgent(_ context.Context, _ *harness.Fleet, pair *harness.Pair, tally *caller.Tally) {
 	before := unknown(tally)
--- a/test/packetplatform/upstream.go
+++ b/test/packetplatform/upstream.go
@@ -47,7 +47,8 @@
 	ran     bool
 }
 
-// heartbeatInterval is the heartbeat interval, shorter than the platform's to make tests fast.
+// heartbeatInterval is the time between heartbeats, shorter than the platform's to make
+// tests fast.
 const heartbeatInterval = 200 * time.Millisecond
 
 // StartUpstream starts an upstream with a random id on an agent's host.
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// injectProcess injects a fault of a node's injectProcess.
+// injectProcess injects a fault of a node's process.
 func (r *run) injectProcess(ctx context.Context, f Fault, n *packetfleet.Node) {
 	if n.Upstream != nil {
 		r.checker.disturb(n.Upstream.ID, time.Hour)
@@ -126,7 +126,7 @@
 	}
 }
 
-// injectUpstream injects a fault of a node's injectUpstream.
+// injectUpstream injects a fault of a node's upstream.
 func (r *run) injectUpstream(ctx context.Context, f Fault, n *packetfleet.Node) {
 	u := n.Upstream
 	switch f.Kind {
@@ -151,7 +151,7 @@
 	r.checker.begin(n.Upstream, n.Host.Service)
 }
 
-// injectStore injects a fault of the injectStore or of the link to it.
+// injectStore injects a fault of the store or of the link to it.
 func (r *run) injectStore(ctx context.Context, f Fault) {
 	s := r.fleet.Store
 	switch f.Kind {
@@ -179,7 +179,7 @@
 	s.Fail(0)
 }
 
-// injectLink injects a fault of the injectLink to the store: it calls begin, waits, and calls
+// injectLink injects a fault of the link to the store: it calls begin, waits, and calls
 // end.
 func (r *run) injectLink(ctx context.Context, f Fault, begin, end func() error) {
 	err := begin()
--- a/test/soak/returns.go
+++ b/test/soak/returns.go
@@ -24,8 +24,8 @@
 	evacuateBound = 5 * time.Second
 	// evacuateFor is the duration of an evacuation.
 	evacuateFor = 9 * time.Second
-	// unavailableFor is how long the store is unavailable before it is restored, rewriteWithin
-	// the time within which operators repeat the lost writes.
+	// unavailableFor is how long the store is unavailable before it is restored,
+	// rewriteWithin the time within which operators repeat the lost writes.
 	unavailableFor = 200 * time.Millisecond
 	rewriteWithin  = 3 * time.Second
 	// annexEvery places one of this many agents in the annex.
