--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -25,8 +25,8 @@
 	weightFlow = 0.04
 	// weightUnproven and weightProbation are added for an agent that has received no
 	// report of its upstream since the agent started, and for one whose upstream is tried
-	// again after failures: it gets flows once other agents have half of their slots
-	// taken.
+	// again after failures: such an agent gets flows once other agents have half of their
+	// slots taken.
 	weightUnproven  = 0.5
 	weightProbation = 0.5
 	// weightFailing is added for an agent whose upstream fails, where such agents may be
@@ -57,8 +57,8 @@
 	service uint64
 	// long is set if the flow stays open for many requests.
 	long bool
-	// allowedRegions are the regions to which the flow may go, none for all; regions maps
-	// data centres to their regions.
+	// allowedRegions are the regions to which the flow may go; if there are none, it may
+	// go to all. regions maps data centres to their regions.
 	allowedRegions []string
 	regions        map[string]string
 }
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -124,8 +124,8 @@
 	a.status, a.statusAt, a.pending = s, now, 0
 }
 
-// setRunning records the load that an agent reports with a packet returned as busy, which
-// is at least the number of its slots.
+// setRunning records the load that an agent reports with a packet returned as busy. It
+// counts as at least the number of slots in the agent's status.
 func (a *agent) setRunning(now time.Duration, running uint16) {
 	a.status.Running, a.statusAt, a.pending = max(running, a.status.Slots), now, 0
 }
@@ -200,8 +200,8 @@
 	return &c.out
 }
 
-// AddPeerAgents adds the agents that other balancers know. Those that the store does not
-// list are asked in searches like others while they answer.
+// AddPeerAgents adds the agents that other balancers know. An agent that the store does
+// not list is asked in searches like any other, as long as it answers.
 func (c *Core) AddPeerAgents(now time.Duration, known []Agent) *Result {
 	c.begin(now)
 	c.peerAgentsAdded = true
@@ -278,9 +278,9 @@
 }
 
 // pollSiblings polls all agents of the services that have new agents, until each has
-// reported that it knows of the newer list. They know of it before the first flow is
-// placed on a new agent, and their answers show balancers that lack the new agent that
-// their list is outdated.
+// reported that it knows of the newer list. The agents then know of that list before the
+// first flow is placed on a new agent, and their answers show a balancer without the new
+// agent that its own list is outdated.
 func (c *Core) pollSiblings(now time.Duration, hasNewAgents map[uint64]bool) {
 	for _, a := range c.roster.list {
 		if hasNewAgents[a.Service] {
--- a/internal/packetface/steer/evacuation.go
+++ b/internal/packetface/steer/evacuation.go
@@ -23,18 +23,18 @@
 	// evacuatedPollInterval is the minimum time between two polls of an agent that has
 	// reported the evacuation.
 	evacuatedPollInterval = 500 * time.Millisecond
-	// pollersUninformed is how many balancers of the fleet, on average, poll an agent
-	// that has not reported the evacuation between two ticks (50 ms). The agent is
-	// informed within one tick, and its status informs all other balancers.
+	// pollersUninformed is how many balancers of the fleet, on average, poll between two
+	// ticks (50 ms) an agent that has not reported the evacuation. The agent is informed
+	// within one tick, and its status informs all other balancers.
 	pollersUninformed = 4
-	// pollersInformed is the same for an agent that has reported it: about one poll in
-	// 50 ms from the whole fleet, so that a restarted agent is informed long before
-	// operators rely on the evacuation (5 s).
+	// pollersInformed is the same for an agent that has reported the evacuation: about one
+	// poll in 50 ms from the whole fleet, so that a restarted agent is informed long
+	// before operators rely on the evacuation (5 s).
 	pollersInformed = 1
 )
 
 // SetEvacuations applies the operators' requests from the store. It has to be called
-// before SetAgents with the list of agents that was read with them.
+// before SetAgents with the list of agents that was read with these requests.
 func (c *Core) SetEvacuations(now time.Duration, r evacuation.Record) *Result {
 	c.begin(now)
 	c.evacuations = r
@@ -74,17 +74,18 @@
 	return c.settings.Random.Float64()*float64(balancers) < pollers
 }
 
-// mergeEvacuation merges a reported state of an agent's data centre with the known one
-// and the balancer's own, and keeps the newest. It reports whether the agent's evacuation
-// has started or ended by that.
+// mergeEvacuation merges a reported state of an agent's data centre with the state known
+// for the agent and with the operators' requests that the balancer has, and keeps the
+// newest. It reports whether this has started or ended the agent's evacuation.
 func (c *Core) mergeEvacuation(a *agent, received evacuation.State) (changed bool) {
 	before := a.evacuation
 	a.evacuation = c.evacuations.Resolve(a.DataCentre, before.Newer(received))
 	return a.evacuation.Evacuated != before.Evacuated
 }
 
-// applyReportedEvacuation merges the state of its data centre that an agent has reported.
-// If this starts or ends an evacuation, it is applied to all agents there.
+// applyReportedEvacuation merges the state that an agent has reported for its data centre.
+// If this starts or ends an evacuation, the state is applied to all agents of that data
+// centre.
 func (c *Core) applyReportedEvacuation(now time.Duration, a *agent, s inner.Status) {
 	if !c.mergeEvacuation(a, s.Evacuation) {
 		return
--- a/internal/packetface/steer/flows.go
+++ b/internal/packetface/steer/flows.go
@@ -76,7 +76,7 @@
 // reasonHeldByNone is the reason for the reset of a flow that no upstream holds.
 const reasonHeldByNone = "held-by-none"
 
-// resetWithNote is reset with more details of the decision in the note.
+// resetWithNote does the same as reset, with more details of the decision in the note.
 func (c *Core) resetWithNote(id platform.Flow, sequence uint32, n Note) {
 	n.Kind, n.Flow = KindReset, id
 	c.note(n)
@@ -93,7 +93,7 @@
 // another one.
 func (c *Core) addFlow(id platform.Flow, now time.Duration) *flow {
 	if len(c.flows) >= maxFlows {
-		for old := range c.flows { // any one: a search finds its owner again
+		for old := range c.flows { // any flow: on its next packet a search finds its owner
 			delete(c.flows, old)
 			break
 		}
--- a/internal/packetface/steer/former_services.go
+++ b/internal/packetface/steer/former_services.go
@@ -11,16 +11,16 @@
 
 // A flow is held by an agent of a service that its face routes to now, or routed to when
 // the flow was opened. A balancer that has followed the configuration for longer than any
-// flow lasts knows all these services and asks no other agents, so the cost of a search
-// does not grow with the fleet.
+// flow lasts knows all these services. To find a flow's holder it asks no other agents, so
+// the cost of that search does not grow with the fleet.
 
 // formerRetentionFactor is a multiple of the maximum lifetime of a flow. A balancer has
 // to follow the configuration for that long before it relies on its record of former
 // services, and keeps a former service for that long: other balancers may have placed
-// flows by an older version for a while.
+// flows by an older version of the configuration for a while.
 const formerRetentionFactor = 3
 
-// formerServices records the services that faces routed to before.
+// formerServices records the services that each face has stopped routing to, and when.
 type formerServices struct {
 	// since is when the first configuration was applied, 0 for not yet; retention is how
 	// long a former service is kept, 0 if the record must not be relied on.
--- a/internal/packetface/steer/newer_state.go
+++ b/internal/packetface/steer/newer_state.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// noteNewer adds a note that an agent has reported what the balancer lacks, with the host
-// of the balancer that has it.
+// noteNewer adds a note that an agent has reported something newer than this balancer has,
+// with the host of the balancer from which the agent received it. It adds none within
+// newerNoteInterval of the last one.
 func (c *Core) noteNewer(now time.Duration, agent netip.AddrPort, version uint64, source [4]byte) {
 	if c.newerNotedAt != 0 && now-c.newerNotedAt < newerNoteInterval {
 		return
--- a/internal/packetface/steer/owner_search.go
+++ b/internal/packetface/steer/owner_search.go
@@ -173,9 +173,9 @@
 }
 
 // askNowProven repeats the questions of all searches that an agent could not answer
-// before. It can answer them now, as it has received a report of its upstream, which
-// started after it. After a simultaneous power loss most agents get there within some
-// 10 ms, long before the next round.
+// before. The agent can answer them now, as it has received a report of its upstream, and
+// the upstream started after the agent. After a simultaneous power loss most agents
+// receive that report within some 10 ms, long before the next round.
 func (c *Core) askNowProven(a *agent) {
 	for id, q := range c.searches {
 		if q.search.AskAgain(a.id) {
@@ -224,9 +224,9 @@
 	}
 }
 
-// advance probes agents that cannot tell, continues with the next stage once all agents
-// of this one have answered, and resets the flow after the last stage if no agent holds
-// it.
+// advance probes agents that cannot tell whether their upstreams hold the flow, continues
+// with the next stage once all agents of the current one have answered, and resets the
+// flow after the last stage if no agent holds it.
 func (c *Core) advance(now time.Duration, id platform.Flow, q *ownerSearch) {
 	for {
 		c.probe(now, q)
@@ -270,7 +270,7 @@
 	return false
 }
 
-// conclude resets a flow that certainly no upstream holds.
+// conclude resets the flow if it is proved that no upstream holds it.
 func (c *Core) conclude(now time.Duration, id platform.Flow, q *ownerSearch) {
 	if !c.provenUnheld(now, id, q) {
 		return
@@ -338,8 +338,8 @@
 	}
 }
 
-// tickSearches asks the agents of the next stage where some are slow to answer, and ends
-// searches whose caller has given up.
+// tickSearches continues all searches: it asks the agents of the next stage where those of
+// the current one are slow to answer, and ends searches whose caller has given up.
 func (c *Core) tickSearches(now time.Duration) {
 	c.measureTickInterval(now)
 	c.probeBudget, c.searchBudget, c.questionBudget = probesPerTick, searchesPerTick, questionsPerTick
--- a/internal/packetface/steer/placement.go
+++ b/internal/packetface/steer/placement.go
@@ -58,8 +58,8 @@
 	return err == nil && c.settings.Policies.On(policy.Repetition) && admission.MayBeRetry(now-p.CopyAge())
 }
 
-// silentSincePlaced reports whether the agent has sent nothing since it was sent the
-// opening packet, and copyTimeout has passed since.
+// silentSincePlaced reports whether the flow's agent was removed, or has sent nothing
+// since the opening packet was sent to it more than copyTimeout ago.
 func silentSincePlaced(f *flow, now time.Duration) bool {
 	if f.agent.removed {
 		return true
--- a/internal/packetface/steer/returned_packets.go
+++ b/internal/packetface/steer/returned_packets.go
@@ -47,9 +47,9 @@
 }
 
 // handleLateReturn processes a packet returned by an agent that is not the flow's owner.
-// It is either a probe that was in flight when the owner was found, and the owner has
-// been sent that packet already, or a packet that was sent to an earlier owner, and is
-// forwarded to the present one.
+// A packet that returns within probeReturnTime after the owner was found counts as a probe
+// that was in flight then, and the owner has been sent that packet already. Any other was
+// sent to an earlier owner, and is forwarded to the present one.
 func (c *Core) handleLateReturn(now time.Duration, f *flow, packet []byte) {
 	if now-f.placed >= probeReturnTime {
 		c.forward(now, f.agent, packet, inner.Forward{Terms: f.terms})
--- a/internal/packetface/steer/roster.go
+++ b/internal/packetface/steer/roster.go
@@ -112,9 +112,10 @@
 	return true
 }
 
-// slots returns how many slots the agent's upstream has, as far as is known: by its
-// status, or by its entry in the store, which has what the previous instance reported, or
-// else by those of another agent of the service, as its upstreams are alike.
+// slots returns how many slots the agent's upstream has, as far as is known: the larger of
+// the numbers in the agent's status and in its entry in the store, which has what the
+// previous instance reported. If both are 0, those of another agent of the service are
+// used, as the upstreams of a service are alike.
 func (r *roster) slots(a *agent) uint16 {
 	known := max(int(a.status.Slots), a.Slots)
 	for _, sibling := range r.byService[a.Service] {
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -3,9 +3,10 @@
 // time are its input; datagrams to send and notes on decisions are its output. A Core
 // must not be used by two goroutines at once.
 //
-// An agent is the process in front of an upstream and sees all packets of it. A face is
-// an address and port to which callers open flows; its route names the services that the
-// flows are distributed to. A slot is room for one request that an upstream works on.
+// An agent is the process in front of an upstream and sees all packets of the upstream. A
+// face is an address and port to which callers open flows; its route names the services
+// that the flows are distributed to. A slot is room for one request that an upstream works
+// on.
 //
 // A packet that opens a flow is sent to the agent with the lowest score. All other
 // packets follow the balancer's table of flows. If a flow is not in the table, because
@@ -314,7 +315,7 @@
 		if inner.KindOf(b) == inner.KindCheck {
 			c.pollUnknown(from)
 		}
-		return &c.out, nil // it is not listed yet
+		return &c.out, nil // the sender is not a known agent
 	}
 	if a.noteReceived(now) {
 		c.note(Note{Kind: KindRecovered, Agent: from})
--- a/internal/packetface/steer/warmup.go
+++ b/internal/packetface/steer/warmup.go
@@ -25,7 +25,8 @@
 // estimate is the warm-up of a service estimated from the reports of its agents.
 type estimate struct {
 	warmup time.Duration
-	// outdated is set if an agent has reported another value since.
+	// outdated is set if an agent has reported another warm-up since the estimate was
+	// made.
 	outdated bool
 }
 
