--- a/internal/packetface/registry/document.go
+++ b/internal/packetface/registry/document.go
@@ -10,8 +10,8 @@
 )
 
 // document is a value that is encoded to compressed JSON once, for all requests. After a
-// simultaneous start hundreds of balancers request the full listing from the same few,
-// over links of 20 Mbit/s. The zero value has not been encoded yet.
+// simultaneous start hundreds of balancers request the full listing from the same few
+// balancers, over links of 20 Mbit/s. The zero value has not been encoded yet.
 type document struct {
 	once sync.Once
 	text []byte
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -33,9 +33,9 @@
 	// In each such interval one of them begins a watch, whatever the size of the fleet,
 	// and agents pass a newer version from it to the others.
 	watchWaitPerBalancer = 500 * time.Millisecond
-	// hintMinWatchAge is the age from which on a watch is cancelled by a hint. A watch
-	// that began later is about to return the same change. It is also how long a follower
-	// with a source waits after a hint before it reads the store.
+	// hintMinWatchAge is the age from which a watch is cancelled by a hint. A younger
+	// watch is about to return the change that the hint concerns. It is also how long a
+	// follower with a source waits after a hint before it reads the store.
 	hintMinWatchAge = 300 * time.Millisecond
 	// pausePerBalancer is the time that each balancer of the fleet adds to the pause
 	// after a watch that returned changes, between pauseMin and pauseMax. So a burst of
@@ -44,7 +44,7 @@
 	pauseMin         = 150 * time.Millisecond
 	pauseMax         = 1200 * time.Millisecond
 	// retryPerBalancer is the time that each balancer of the fleet adds to the pause
-	// after a failed call, if no others share its watch.
+	// after a failed call, if no other balancer shares the watch of this one.
 	retryPerBalancer = 50 * time.Millisecond
 	// sharedRetryPause is the pause after the first failed call if others share the watch
 	// of this balancer.
@@ -186,8 +186,8 @@
 }
 
 // retryAfter returns the pause after a failed call. Other balancers abandon a source that
-// has had no answer of the store for 2 s, and a watch that is cut may have waited for
-// most of that; so a balancer whose watch others share retries at once. While nobody
+// has had no answer of the store for 2 s, and a watch that fails may have waited for most
+// of that time; so a balancer whose watch others share retries at once. While nobody
 // shares its watch, the pauses of all balancers together allow some 20 calls a second,
 // whatever the size of the fleet: the first balancer that the store answers informs the
 // others.
--- a/internal/packetface/registry/listing.go
+++ b/internal/packetface/registry/listing.go
@@ -157,11 +157,12 @@
 
 // Settled reports whether the era of the listing is settled: the time in which agents and
 // operators write again what a restore of the store has lost is over. A balancer records
-// that in the store itself, so that a process that starts later need not wait for it, and
-// one that starts earlier does wait.
+// that in the store itself, so that a process that starts after the record need not wait
+// for that time to pass, and one that starts earlier does wait.
 func (l *Listing) Settled() bool { return l.settledEra == l.AsOf.Era() }
 
-// settle drops what was retained for operators to write again, once the era is settled.
+// settle drops the evacuations that are known only from earlier eras, if the listing's era
+// is settled: the time for operators to write them again is then over.
 func (l *Listing) settle() {
 	if l.Settled() {
 		l.evacuations.Settle()
@@ -234,8 +235,8 @@
 }
 
 // Merge applies what is newer in the listing of another balancer. It removes no agent,
-// because an agent that the other one lacks may have registered after its listing. It
-// reports whether anything was newer.
+// because an agent that the other listing lacks may have registered after that listing was
+// made. It reports whether anything was newer.
 func (l *Listing) Merge(other Shared) (changed bool, unreadable []error) {
 	changed = other.AsOf > l.AsOf
 	changed = l.evacuations.Replace(other.evacuations(), other.AsOf) || changed
@@ -251,7 +252,8 @@
 	return changed || len(newer) > 0, l.Apply(newer, other.AsOf)
 }
 
-// lacks reports whether an entry of another balancer's listing is newer than the own one.
+// lacks reports whether an entry of another balancer's listing is newer than what this
+// listing knows of its key.
 func (l *Listing) lacks(entry platform.Item) bool {
 	known := l.entries[entry.Key]
 	if entry.Key == platform.ConfigKey {
--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -17,8 +17,8 @@
 )
 
 // A balancer whose calls the store refuses fetches the listing of another balancer;
-// agents tell it which one has a newer version. A balancer that has just started asks the
-// seeds that its settings name.
+// agents tell it which balancer has a newer version. A balancer that has just started asks
+// the seeds that its settings name.
 
 const (
 	listingPath = "/packet/listing"
@@ -73,10 +73,10 @@
 	}
 }
 
-// serveUnlisted answers with the agents that this balancer knows and the store does not
-// list. It refuses a client whose listing is of a later position than its own. It also
-// refuses a client that loaded its listing from this balancer, until this balancer itself
-// has received the agents of others.
+// serveUnlisted answers another balancer with the agents that this balancer knows and the
+// store does not list. It refuses while the client's listing is newer than this balancer's
+// and, if the client loaded its listing from this balancer, until this balancer has itself
+// asked other balancers for such agents and has their answers or given up.
 func (f *Follower) serveUnlisted(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	asOf, err := strconv.ParseUint(query.Get("asOf"), 10, 64)
@@ -137,8 +137,8 @@
 // load loads the first listing from the source or a snapshot if there is one, else from
 // the store. While the store does not answer, it asks the seeds, so that a balancer that
 // starts during an outage can serve from a seed's listing. That listing may lack changes
-// that the seed has missed since the store refused it; agents report such changes to
-// both.
+// that the seed has missed since the store refused it; agents report such changes to both
+// balancers.
 func (f *Follower) load(ctx context.Context) error {
 	if source, ok := f.awaitSource(ctx); ok {
 		f.AwaitSource = false
@@ -199,11 +199,11 @@
 	return true
 }
 
-// askAgents requests the agents that other balancers know and passes them to Asked.
-// Agents may be running although the store does not list them; without this request, a
-// balancer that starts after their leases have ended would treat their flows as dead. It
-// asks the source if the listing came from one; otherwise, or if the source fails, it
-// asks the seeds.
+// askAgents requests the agents that other balancers know and passes them to
+// AgentsReceived. Agents may be running although the store does not list them; without
+// this request, a balancer that starts after their leases have ended would treat their
+// flows as dead. askAgents asks the source if the listing came from one; otherwise, or if
+// the source fails, it asks the seeds.
 func (f *Follower) askAgents(ctx context.Context, source netip.AddrPort, asOf store.Position) {
 	path := unlistedPath + "?asOf=" + strconv.FormatUint(uint64(asOf), 10)
 	var known []steer.Agent
--- a/internal/packetface/registry/publisher.go
+++ b/internal/packetface/registry/publisher.go
@@ -78,26 +78,27 @@
 // NewPublisher returns a Publisher that knows nothing of the entry yet.
 func NewPublisher(key string) *Publisher { return &Publisher{key: key} }
 
-// Inherit makes the Publisher read the entry that the previous process left at the
-// address first, and reuse its lease. A restart then costs one reading and one renewal; a
-// new entry would cost four calls (grant, write, read, write) and a change that every
-// balancer receives.
+// Inherit makes the Publisher first read the entry that the previous process left at the
+// address, and reuse the lease of that entry. A restart then costs one reading and one
+// renewal; a new entry would cost four calls (grant, write, read, write) and a change that
+// every balancer receives.
 func (p *Publisher) Inherit() { p.inherit = true }
 
 // Want sets the text that should be in the store, nil for none. Before the first call of
 // Want an existing entry is left as it is, because the upstream may be running.
 func (p *Publisher) Want(text []byte) { p.wanted, p.withdrawn = text, text == nil }
 
-// EntryMissing reports that the entry may be missing in the store.
+// EntryMissing tells the Publisher that the entry may be missing in the store, so that it
+// is read again, at most once per recheckInterval.
 func (p *Publisher) EntryMissing(now time.Duration) {
 	if p.checked == 0 || now-p.checked >= recheckInterval {
 		p.uncertain, p.checked = true, now
 	}
 }
 
-// NotContacted reports that no balancer has contacted the agent for a while, so the entry
-// may be missing. A renewal is the cheapest call that shows whether the lease still exists;
-// the entry itself is read less often.
+// NotContacted tells the Publisher that no balancer has contacted the agent for a while,
+// so the entry may be missing. A renewal is the cheapest call that shows whether the lease
+// still exists; the entry itself is read less often.
 func (p *Publisher) NotContacted(now time.Duration) {
 	if now-p.checked >= idleReadInterval {
 		p.EntryMissing(now)
@@ -162,7 +163,8 @@
 	return StepNone
 }
 
-// nextUndecided renews the lease of an inherited entry until Want is called.
+// nextUndecided returns StepRenew if the lease of an inherited entry is due for renewal;
+// it is used until Want is called.
 func (p *Publisher) nextUndecided(now time.Duration) Step {
 	if p.lease.ID == 0 {
 		return StepNone
@@ -170,7 +172,8 @@
 	return p.nextRenewal(now)
 }
 
-// nextWithdrawn ends the lease, and with it the entry.
+// nextWithdrawn returns StepEnd if there is a lease; the store removes the entry with the
+// lease.
 func (p *Publisher) nextWithdrawn() Step {
 	if p.lease.ID != 0 {
 		return StepEnd
@@ -219,7 +222,8 @@
 	}
 }
 
-// leaseLost records that the lease has ended, which also removes the entry.
+// leaseLost records that the lease has ended. The store removes an entry with its lease,
+// so the entry is read before the next write.
 func (p *Publisher) leaseLost() {
 	p.lease, p.uncertain = platform.Lease{}, true
 }
@@ -267,8 +271,8 @@
 
 // verify continues with the lease that the entry has in the restored store: that lease
 // was granted before the copy was made, so its ID has not been granted again. Without an
-// entry, or with an entry of another writer under another lease, the ID of the own lease
-// may belong to another agent; that lease is abandoned and expires by itself.
+// entry, or with an entry of another writer under another lease, the ID of this agent's
+// lease may now belong to another agent; the lease is abandoned and expires by itself.
 func (p *Publisher) verify(item platform.Item) {
 	own := item.Lease == p.lease.ID
 	if _, err := decodeEntry(item); err != nil && !own {
--- a/internal/packetface/registry/restore.go
+++ b/internal/packetface/registry/restore.go
@@ -20,8 +20,8 @@
 	// answers and take some seconds. An evacuation that is retained for them although it
 	// was withdrawn restricts the choice of agents for new flows, but ends no flow.
 	rewriteTime = 8 * time.Second
-	// settleSpread is the maximum random delay that is added, so that one balancer
-	// records the era as settled and the others receive that as a change.
+	// settleSpread is the maximum random delay that is added to rewriteTime, so that one
+	// balancer records the era as settled and the others receive that as a change.
 	// settleRetryInterval is the time between two tries of one balancer.
 	settleSpread        = 2 * time.Second
 	settleRetryInterval = 1 * time.Second
--- a/internal/packetface/registry/snapshot.go
+++ b/internal/packetface/registry/snapshot.go
@@ -31,13 +31,13 @@
 const (
 	// snapshotKey is the key of the snapshot.
 	snapshotKey = "saltbend/listing"
-	// snapshotMinEntries is the number of entries from which on a snapshot is written:
-	// the store returns some 500 in one call.
+	// snapshotMinEntries is the number of entries from which a snapshot is written: the
+	// store returns some 500 in one call.
 	snapshotMinEntries = 500
 	// snapshotInterval is the minimum time between two snapshots. A random delay up to
 	// snapshotSpread is added, so that one balancer writes the snapshot and the others
 	// receive that as a change. A store that retains 20 s of history can then return the
-	// changes since.
+	// changes since the snapshot.
 	snapshotInterval = 8 * time.Second
 	snapshotSpread   = 4 * time.Second
 	// maxSnapshotBytes bounds the compressed snapshot and maxListingText its uncompressed
@@ -46,7 +46,7 @@
 	maxListingText   = 16 << 20
 )
 
-// errSnapshot is returned if the value of the key is not a valid snapshot.
+// errSnapshot is returned if the value of snapshotKey is not a valid snapshot.
 var errSnapshot = errors.New("registry: unreadable snapshot")
 
 var (
