--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -1,9 +1,9 @@
 // Package search keeps the state of a search for the agent whose upstream holds a flow:
 // which agents were asked, what each answer proves, which agents to ask or probe next,
 // and whether any agent's answer is still open. It does no I/O: ids of agents, verdicts
-// and the time are its input; ids of agents to ask and to probe are its output. Its
-// caller determines which agents may hold the flow and how recent the list of agents has
-// to be.
+// and the time are its input; ids of agents to ask and to probe are its output. The code
+// that uses the package determines which agents may hold the flow and how recent the list
+// of agents has to be.
 //
 // After a simultaneous power loss every open flow of the fleet is dead, and its next
 // packet starts a search among all agents. A balancer then processes some hundred answers
@@ -149,9 +149,9 @@
 	return true
 }
 
-// RecordVerdict records an agent's answer, other than that its upstream holds the flow.
-// VerdictUnsure, the answer of an agent that may not know of the newest list of agents,
-// proves nothing.
+// RecordVerdict records an agent's verdict. It ignores VerdictHeld, after which the search
+// is no longer needed. VerdictUnsure, the answer of an agent that may not know of the
+// newest list of agents, proves nothing.
 func (s *Search) RecordVerdict(id ID, verdict inner.Verdict) {
 	m := s.find(id)
 	if m == nil {
