--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -37,9 +37,9 @@
 
 // Intervals, time limits and bounds.
 const (
-	// StaleAfter is the age of the store's last answer from which on a listener watches
-	// the store itself. With the reading that follows it receives a change within the 3 s
-	// in which a configuration must be in force, however its source fails.
+	// StaleAfter is the age of the store's last answer from which a listener watches the
+	// store itself. With the reading that follows it receives a change within the 3 s in
+	// which a configuration must be in force, however its source fails.
 	StaleAfter = 2 * time.Second
 	// WatchWait is how long a watch waits if others rely on it. Even with the 240 ms of a
 	// slow store its answer comes within StaleAfter.
@@ -79,7 +79,7 @@
 	// asked once maxUnansweredSeeds requests in a row to seeds were not answered.
 	maxCandidates      = 8
 	maxUnansweredSeeds = 3
-	// minFleetToShare is the number of balancers from which on watches are shared. In a
+	// minFleetToShare is the number of balancers from which watches are shared. In a
 	// smaller fleet the answers to the requests of listeners cost as much as the shared
 	// watches save.
 	minFleetToShare = 12
@@ -313,8 +313,8 @@
 	return netip.Addr{}
 }
 
-// HandleStoreUpdate handles a store update of another balancer. It ignores that of a
-// balancer that is neither the source nor was asked.
+// HandleStoreUpdate handles a store update of another balancer. It ignores one of a
+// balancer that is neither the source nor the one asked last, unless awaitsSeed allows it.
 func (s *State) HandleStoreUpdate(now time.Duration, from netip.Addr, u inner.StoreUpdate) []Send {
 	if from != s.source && from != s.asked && !s.awaitsSeed(from) {
 		return nil
@@ -364,9 +364,9 @@
 
 // joinsWatcher reports whether a watching balancer with listeners becomes a listener of
 // another one, together with its own listeners. The other one watches the store, so it
-// cannot be a listener of this one. Of two watching balancers only one joins the other: a
-// seed continues to watch rather than one that is no seed, and otherwise the one with the
-// lower address.
+// cannot be a listener of this one. Of two watching balancers at most one joins the other:
+// seeds always continue to watch, and of two balancers that are no seeds the one with the
+// lower address does.
 func (s *State) joinsWatcher(from netip.Addr, u inner.StoreUpdate) bool {
 	return u.Depth == 0 && !s.precedes(from)
 }
@@ -397,8 +397,8 @@
 	return nil
 }
 
-// ask returns a request to a balancer. redirected is set if the balancer's source has
-// referred this one to it.
+// ask returns a request to a balancer. redirected is set if the source of that balancer
+// has referred this one to it.
 func (s *State) ask(now time.Duration, host netip.Addr, redirected bool) []Send {
 	s.asked = host
 	s.nextAsk = max(s.nextAsk, now+startRequestInterval)
@@ -472,8 +472,8 @@
 	return s.askAny(now)
 }
 
-// grace returns the additional time for which a source that still sends store updates may
-// reach the store again.
+// grace returns the additional time that a source has to reach the store again if it still
+// sends store updates, and 0 if it is silent.
 func (s *State) grace(now time.Duration) time.Duration {
 	if now-s.lastStoreUpdate > silenceTimeout {
 		return 0
