--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -351,7 +351,7 @@
 func (c *Core) pollIdle(now time.Duration, service uint64) {
 	idle := c.roster.list
 	if len(idle) > maxPolledAgents {
-		idle = c.roster.byService[service] // a flow that agents of other services may hold is not reset
+		idle = c.roster.byService[service] // safe, as no flow is reset while agents of other services may hold it
 	}
 	for _, a := range idle {
 		if a.waitingSince == 0 && now-a.lastReceived > maxStatusAgeForward {
--- a/internal/packetface/steer/evacuation_test.go
+++ b/internal/packetface/steer/evacuation_test.go
@@ -208,7 +208,7 @@
 	case 2:
 		w.startAgent(s)
 		s.sequence = max(s.sequence, 1)
-	case 3: // it loses what agents reported, and callers send before agents answer again
+	case 3: // the balancer loses what agents reported, and callers send before agents answer it again
 		w.startBalancer(w.anyBalancer())
 		w.openFlows(30)
 	case 4:
--- a/internal/packetface/steer/property_test.go
+++ b/internal/packetface/steer/property_test.go
@@ -140,8 +140,9 @@
 	})
 }
 
-// The same property in a fleet of the size of today's largest: searches that are bounded,
-// batched and deferred there must not reset a flow without proof.
+// No flow that its upstream holds is reset in a fleet of the size of today's largest
+// either: searches that are bounded, batched and deferred there must not reset a flow
+// without proof.
 func TestNoHeldFlowIsResetInLargeFleet(t *testing.T) {
 	const agents, balancers, maxLoss, steps = 150, 60, 0.1, 8
 	if testing.Short() {
--- a/internal/packetface/steer/search_test.go
+++ b/internal/packetface/steer/search_test.go
@@ -30,8 +30,9 @@
 	return b
 }
 
-// An agent whose upstream never came back cannot tell for any flow. Once the agent has
-// left and the store no longer lists it, a search that waits for it ends.
+// An agent whose upstream never came back cannot tell whether the upstream holds a flow.
+// Once the agent has left and the store no longer lists it, a search that waits for it
+// ends.
 func TestSearchDoesNotWaitForRemovedAgent(t *testing.T) {
 	b := benchOf(t, 3)
 	b.callerSends(caller(1), platform.FlagACK, 30)
@@ -50,8 +51,8 @@
 	b.Expect(resets).To(Equal(1))
 }
 
-// An agent that can tell since its upstream has reported is asked again at once, for all
-// flows in one datagram.
+// Once the upstream of an agent that could not tell has reported, the agent is asked again
+// at once, for all flows in one datagram.
 func TestAgentIsAskedAgainOnceItCanTell(t *testing.T) {
 	b := benchOf(t, 1)
 	b.status(101, inner.Status{State: inner.StateUnproven})
--- a/internal/packetface/steer/sim_network_test.go
+++ b/internal/packetface/steer/sim_network_test.go
@@ -38,13 +38,14 @@
 	}
 }
 
-// cutLink drops everything that one of the two sends to the other for a while. It does
-// nothing where the balancer could not know better. If absent agents may be skipped, an
-// agent that is cut off counts as absent. An agent that is unlisted and silent for 2 s is
-// removed, so the agent is listed before the cut, and its entry does not expire during
-// it. A balancer that the store refuses to serve learns of newer lists from agents only,
-// possibly just from the one that is cut off, so there is no cut while a balancer is
-// refused, and no balancer is refused during a cut.
+// cutLink drops everything that the balancer sends to the agent, or the agent to the
+// balancer, for a while. It does nothing where a cut could make even a correct balancer
+// reset a flow that is held. If absent agents may be skipped, an agent that is cut off
+// counts as absent. An agent that is unlisted and silent for 2 s is removed, so the agent
+// is listed before the cut, and its entry does not expire during it. A balancer that the
+// store refuses to serve learns of newer lists from agents only, possibly just from the
+// one that is cut off, so there is no cut while a balancer is refused, and no balancer is
+// refused during a cut.
 func (w *simFleet) cutLink(b *balancer, s *simAgent) {
 	refused := slices.ContainsFunc(w.balancers, func(b *balancer) bool { return b.refused })
 	if w.absentAfter != 0 || refused || w.now < w.cutEnd {
@@ -59,7 +60,7 @@
 	w.cuts[cut] = w.cutEnd
 }
 
-// cut reports whether datagrams from one of the two do not reach the other.
+// cut reports whether the link from the balancer to the agent or the one back is cut.
 func (w *simFleet) cut(b *balancer, s *simAgent) bool {
 	return w.cuts[link{b.addr, s.addr}] > w.now || w.cuts[link{s.addr, b.addr}] > w.now
 }
--- a/internal/packetface/steer/store_restore_test.go
+++ b/internal/packetface/steer/store_restore_test.go
@@ -80,8 +80,8 @@
 	w.fromAgent(s, s.gate.SetOwnPosition(w.now, w.revision))
 }
 
-// The same property while the store is restored from copies, also twice in a row and
-// right after a power loss.
+// No flow that its upstream holds is reset while the store is restored from copies, also
+// twice in a row and right after a power loss.
 func TestNoHeldFlowIsResetWhenStoreIsRestored(t *testing.T) {
 	const maxLoss, never = 0.2, 0
 	rapid.Check(t, func(t *rapid.T) {
