--- a/internal/packetface/registry/batch_test.go
+++ b/internal/packetface/registry/batch_test.go
@@ -44,8 +44,8 @@
 }
 
 // At the first start, 226 agents of 678 write through one of three seeds within the 3 s
-// between the heartbeats of their upstreams. Twice as many must not cost more than their
-// share.
+// between the heartbeats of their upstreams. Twice as many agents may add only one call for
+// each platform.MaxWrites writes.
 func TestWritesOfFirstStartAreBatched(t *testing.T) {
 	for _, agents := range []int{226, 452} {
 		t.Run(fmt.Sprint(agents), func(t *testing.T) {
--- a/internal/packetface/registry/follow_test.go
+++ b/internal/packetface/registry/follow_test.go
@@ -134,7 +134,7 @@
 	return agent, entry
 }
 
-// startInheritingAgent is startAgent for a process that replaces an earlier one.
+// startInheritingAgent is like startAgent, for a process that replaces an earlier one.
 func startInheritingAgent(t *testing.T, fake *packetplatform.Store, addr string) (agent *registry.EntryKeeper, entry *registry.Entry) {
 	return startConfiguredAgent(t, fake, addr, (*registry.EntryKeeper).Inherit)
 }
--- a/internal/packetface/registry/retry_test.go
+++ b/internal/packetface/registry/retry_test.go
@@ -30,9 +30,9 @@
 	return pauses
 }
 
-// A watch that is cut may have waited for most of the 2 s for which the store's last
-// answer counts as recent. If the retry came 200 ms later or more, all balancers that
-// share the watch would read the store themselves.
+// A watch that fails may have waited for most of the 2 s for which the store's last answer
+// counts as recent. If the retry came 200 ms later or more, all balancers that share the
+// watch would read the store themselves.
 func TestSharedWatchIsRetriedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	pauses := retryPauses(304, true)
--- a/internal/packetface/registry/snapshot_test.go
+++ b/internal/packetface/registry/snapshot_test.go
@@ -61,8 +61,8 @@
 	return newStoreWithSnapshotUntil(t.Context(), t)
 }
 
-// newStoreWithSnapshotUntil is newStoreWithSnapshot with a context that ends the balancer
-// that writes the snapshot.
+// newStoreWithSnapshotUntil is like newStoreWithSnapshot, with a context that ends the
+// balancer that writes the snapshot.
 func newStoreWithSnapshotUntil(ctx context.Context, t *testing.T) *packetplatform.Store {
 	fake := newStore(t)
 	fake.Put(platform.ConfigKey, config(1))
