--- a/internal/packetface/watchshare/watchshare_test.go
+++ b/internal/packetface/watchshare/watchshare_test.go
@@ -317,8 +317,9 @@
 	checkEveryChangeArrives(t, changes)
 }
 
-// The same while the store is restored from older copies, which lowers its revision. A
-// source that has not detected a restore must not keep listeners from newer changes.
+// The faults of TestChangesArriveUnderRandomFaults while the store is also restored from
+// older copies, which lowers its revision. A source that has not detected a restore must
+// not keep listeners from newer changes.
 func TestChangesArriveUnderRandomFaultsAndRestores(t *testing.T) {
 	const changesAndReturns = 7
 	checkEveryChangeArrives(t, changesAndReturns)
