--- a/internal/packetface/gate/answer.go
+++ b/internal/packetface/gate/answer.go
@@ -19,7 +19,7 @@
 	g.updateVersions(from, poll.Versions)
 	g.updateEvacuation(now, from, poll.Evacuation)
 	g.updateCold(now, poll.Service, poll.Versions.Version, poll.Cold)
-	otherService := poll.Service != 0 && poll.Service != g.service // its entry for this agent is outdated or another writer's
+	otherService := poll.Service != 0 && poll.Service != g.service // the balancer's entry for this agent is outdated or was written by another process
 	if (poll.Flags&inner.FlagUnlisted != 0 || otherService) && !g.unlisted {
 		g.unlisted = true
 		g.note(now, Note{Kind: KindUnlisted, Peer: from})
--- a/internal/packetface/gate/flows.go
+++ b/internal/packetface/gate/flows.go
@@ -25,9 +25,9 @@
 	// openedAt is when the upstream last accepted the opening packet, or when the agent
 	// first saw the flow if it has not; lastPacket is when the flow's last packet arrived.
 	openedAt, lastPacket time.Duration
-	// openingAge is the age of the opening packet at its admission: a retransmission is
-	// older than the flow's first packet. retryOffset is how long before that the caller
-	// may have opened another flow for the same request.
+	// openingAge is the time from the caller's first transmission of the opening packet to
+	// that of the admitted copy, 0 if that is the first one. retryOffset is how long before
+	// its first transmission the caller may have opened another flow for the same request.
 	openingAge, retryOffset time.Duration
 	// opening is the opening packet, kept until the upstream answers it.
 	opening []byte
@@ -157,7 +157,8 @@
 }
 
 // sweep removes flows that were closed or never opened once their retention time is over,
-// flows that exceed the maximum age, and balancers that have been silent for balancerTTL.
+// open flows without a packet for FlowMaxAge, and balancers that have been silent for
+// balancerTTL.
 // Requests without an answer for maxRunningTime no longer count as running.
 func (g *Gate) sweep(now time.Duration) {
 	g.swept = now
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -234,8 +234,8 @@
 	cold     cold
 	// evacuation is the newest evacuation state of the data centre.
 	evacuation evacuation.State
-	// source is the host of the balancer that reported the newest configuration version,
-	// store position or evacuation state.
+	// source is the host of the balancer that last reported the newest configuration
+	// version and store position, or a change of the evacuation state.
 	source [4]byte
 	// judge derives the verdict on the upstream from the outcomes of its flows and
 	// requests. trial is when a flow was last admitted to test an upstream on probation, 0
--- a/internal/packetface/gate/queue.go
+++ b/internal/packetface/gate/queue.go
@@ -35,7 +35,8 @@
 }
 
 // request returns the properties of the request that determine its order. The first request
-// of a flow is at least as old as the admitted copy of the opening packet.
+// of a flow counts as made openingAge before its arrival, because the caller has wanted it
+// at least since it first transmitted the opening packet.
 func (w *waiting) request() admission.Request {
 	f := w.flow
 	r := admission.Request{
@@ -118,7 +119,8 @@
 	}
 }
 
-// next returns the request to forward now, and the reason.
+// next returns the request to forward now and why it was chosen, admission.None if no
+// request is to be forwarded.
 func (g *Gate) next(now time.Duration) (w *waiting, why admission.Choice) {
 	if w, why = g.queue.Overdue(now); why != admission.None || g.full() {
 		return w, why
@@ -146,7 +148,7 @@
 
 // sendHeld forwards a held packet to the upstream.
 func (g *Gate) sendHeld(f *flow, packet []byte) {
-	if p, err := platform.ParsePacket(packet); err == nil && f.isNew(&p) { // parsed successfully before, so err is nil
+	if p, err := platform.ParsePacket(packet); err == nil && f.isNew(&p) { // a held packet was parsed on its arrival, so err is nil
 		f.sent, f.sentKnown = p.Sequence+uint32(p.Length), true
 	}
 	g.send(ToUpstream, netip.AddrPort{}, packet)
--- a/internal/packetface/gate/reply.go
+++ b/internal/packetface/gate/reply.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// sendHeldVerdict reports to the balancer that forwarded the flow's last packet that the
+// sendHeldVerdict informs the balancer from which the flow's last packet came that the
 // upstream holds the flow.
 func (g *Gate) sendHeldVerdict(f *flow, id platform.Flow) {
 	if !f.balancer.IsValid() {
--- a/internal/packetface/gate/verdict.go
+++ b/internal/packetface/gate/verdict.go
@@ -16,7 +16,7 @@
 
 const (
 	// trialTimeout is the time after which a flow admitted to test the upstream no longer
-	// blocks the next such flow, as its caller may have given up.
+	// prevents the admission of the next such flow, as its caller may have given up.
 	trialTimeout = time.Second
 	// pauseThreshold is the time between two calls from which on the process counts as
 	// paused. Packets that arrived during a pause may be unread, so missing answers prove
@@ -107,9 +107,9 @@
 	}
 }
 
-// returnUnansweredOpenings returns the opening packets that the upstream has not answered
-// to their balancers, so that other upstreams can answer them long before the callers
-// retransmit.
+// returnUnansweredOpenings sends the opening packets that have had no answer from the
+// upstream back to the balancers that forwarded them, so that other upstreams can answer
+// them long before the callers retransmit.
 func (g *Gate) returnUnansweredOpenings(now time.Duration) {
 	g.unansweredOpenings = unansweredOpenings{}
 	change, changed := g.judge.UnansweredOpenings(now)
@@ -126,8 +126,8 @@
 	}
 }
 
-// resetByUpstream reports a reset by the upstream of a flow with a running request to the
-// judge.
+// resetByUpstream informs the judge that the upstream has reset a flow, if a request of
+// the flow is running.
 func (g *Gate) resetByUpstream(now time.Duration, id platform.Flow, f *flow) {
 	if !f.running {
 		return // without a running request a reset is no failure
