--- a/internal/packetface/admission/queue.go
+++ b/internal/packetface/admission/queue.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Queue holds the requests that wait for an upstream, each with an item of the user. The
-// zero value is an empty queue. A Queue is not safe for concurrent use.
+// Queue holds the requests that wait for an upstream, each with an item that identifies it
+// to the user of the Queue. The zero value is an empty queue. A Queue is not safe for
+// concurrent use.
 type Queue[T comparable] struct {
 	// LateLast disables the handling of deadlines: requests past their target latency run
 	// last.
@@ -49,8 +50,8 @@
 	return true
 }
 
-// Overdue returns a request that must be forwarded although no slot is free, and the choice
-// None if there is none.
+// Overdue returns a request that must be forwarded although no slot is free, or None if
+// there is no such request. The request stays in the queue.
 func (q *Queue[T]) Overdue(now time.Duration) (item T, why Choice) {
 	for i := range q.waiting {
 		if q.waiting[i].overdue(now) {
@@ -75,11 +76,13 @@
 	// Late: the request is past its target latency, and no waiting request of its priority
 	// can still meet its own.
 	Late Choice = "late"
-	// Overdue: the request has waited for its full timeout, although no slot is free.
+	// Overdue: the request has waited for its full timeout, or for MaxHold if it has none,
+	// and is forwarded although no slot is free.
 	Overdue Choice = "overdue"
 )
 
-// Next returns the request to run in a free slot, and the reason.
+// Next returns the request to run in a free slot and why it was chosen, or None if the
+// queue is empty. The request stays in the queue.
 func (q *Queue[T]) Next(now time.Duration, p Pace) (item T, why Choice) {
 	if len(q.waiting) == 0 {
 		return item, None
--- a/internal/packetface/admission/retry.go
+++ b/internal/packetface/admission/retry.go
@@ -26,15 +26,15 @@
 	// count as a possible retry: hosts may be unavailable for that much longer than an
 	// attempt lasts. Flows that began earlier count as first tries. The simulated loads
 	// "busy", "long" and "wider" lose 22, 185 and 127 requests with 0.2 s, 31, 155 and 57
-	// with 0.3 s, 52, 129 and 19 with 0.4 s, and 87, 85 and 2 with 0.6 s, where fewer are
-	// in time.
+	// with 0.3 s, 52, 129 and 19 with 0.4 s, and 87, 85 and 2 with 0.6 s; with 0.6 s fewer
+	// requests are answered in time.
 	outageMargin = 400 * time.Millisecond
 )
 
 // MayBeRetry reports whether a flow may be a retry of a request that its caller has made
 // before. began is the time from the start of the flow's balancer to the beginning of the
-// flow, negative if the flow began before. Retries end when those callers have been served
-// whose last retransmission reached the balancer after its start.
+// flow, negative if the flow began before that start. Retries end when those callers have
+// been served whose last retransmission reached the balancer after its start.
 func MayBeRetry(began time.Duration) bool {
 	return began >= -outageMargin && began <= attemptTime+longestPause-platform.LastCopyAge
 }
