--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -122,9 +122,9 @@
 }
 
 // Replace applies a complete list of the requests at a position, as read from the store or
-// received from another process. A request that is missing in it has been withdrawn, unless
-// it is newer or of an earlier era. Replace reports whether the state of any data centre
-// has changed.
+// received from another process. A request that the list lacks has been withdrawn, unless
+// the request is newer than asOf or of an earlier era. Replace reports whether the state of
+// any data centre has changed.
 func (r *Record) Replace(all []Request, asOf store.Position) (changed bool) {
 	r.enterEra(asOf)
 	if asOf > r.asOf {
