--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -160,8 +160,8 @@
 	go b.tick(ctx)
 }
 
-// isReady reports to the routers whether to send packets to this balancer. A balancer
-// that no agent answers can't serve them; other balancers may be able to.
+// isReady reports whether routers should send packets to this balancer. A balancer that
+// no agent answers can't serve callers; other balancers may be able to.
 func (b *balancer) isReady() bool {
 	if !b.ready.Load() || b.stopping.Load() {
 		return false
--- a/internal/packetface/role/decisionlog.go
+++ b/internal/packetface/role/decisionlog.go
@@ -98,7 +98,7 @@
 		note := &all[i]
 		reason := note.Reason
 		if note.Kind == gate.KindUpstream {
-			reason = "" // it is an upstream's ID, which must not become a metric label
+			reason = "" // the reason contains an upstream's ID, which must not become a metric label
 		}
 		if !n.allow(string(note.Kind), reason) {
 			continue
--- a/internal/packetface/role/metrics.go
+++ b/internal/packetface/role/metrics.go
@@ -20,7 +20,7 @@
 	deadFlowSeconds    = metrics.NewHistogram("saltbend_packet_dead_flow_search_seconds")
 )
 
-// decisionSample is the number of packets for each timed decision.
+// decisionSample is the number of decisions of which one is timed.
 const decisionSample = 64
 
 // decisionTimer times one decision in decisionSample. It is not safe for concurrent use.
