--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -140,8 +140,8 @@
 	// StateFor is the time since the last change of State, in steps of 1 ms up to 49
 	// days.
 	StateFor time.Duration
-	// Source is the host of a balancer that reported the versions in Known, zero for
-	// none.
+	// Source is the host of the balancer that last reported the highest versions, or a
+	// change of the evacuation, to the agent; zero for none.
 	Source [4]byte
 	// Balancers is the number of balancers from which the agent recently received
 	// datagrams.
--- a/internal/packetface/inner/peer.go
+++ b/internal/packetface/inner/peer.go
@@ -32,7 +32,7 @@
 	// steps of 1 ms up to 65 s.
 	Age time.Duration
 	// Source is the host of the sender's own source, or of one of its listeners if
-	// Below is set; invalid for none.
+	// Redirects is set; invalid for none.
 	Source netip.Addr
 	// OtherListener is the host of another listener of the sender, invalid for none. The
 	// receiver can ask it for a new source if the sender fails.
--- a/internal/packetface/inner/question.go
+++ b/internal/packetface/inner/question.go
@@ -9,9 +9,9 @@
 
 // Datagrams that search for the owner of a flow, the agent whose upstream holds it.
 
-// Question asks whether an agent's upstream holds a flow. Acknowledged is the count that
-// the caller has acknowledged. If two upstreams have answered copies of one opening
-// packet, it identifies the one whose answer the caller accepted.
+// Question asks whether an agent's upstream holds a flow. Acknowledged is the
+// acknowledgement number of the caller's packet. If two upstreams have answered copies of
+// one opening packet, Acknowledged identifies the one whose answer the caller accepted.
 type Question struct {
 	Flow         platform.Flow
 	Acknowledged uint32
--- a/internal/packetface/inner/state.go
+++ b/internal/packetface/inner/state.go
@@ -41,9 +41,9 @@
 	// upstream.
 	VerdictUnknown
 	// VerdictUnsure means that the upstream does not hold the flow, but that the search
-	// must not rely on it: the agent has just started and does not know yet how recent
-	// the agent lists of the balancers are, so it could not warn a balancer whose list
-	// lacks the flow's owner.
+	// must not rely on this answer: the agent has just started and does not know yet how
+	// recent the agent lists of the balancers are, so it could not warn a balancer whose
+	// list lacks the flow's owner.
 	VerdictUnsure
 )
 
