--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -65,7 +65,7 @@
 	return time.Duration(float64(ahead+1) * perStart / (1 - e.urgentShare(priority)))
 }
 
-// retryAfter returns the expected time until a queue of that length has drained,
+// retryAfter returns the expected time until a queue of the given length has drained,
 // between minRetryAfter and maxRetryAfter.
 func (e *estimate) retryAfter(length, slots, priority int) time.Duration {
 	return min(max(e.wait(length, slots, priority), minRetryAfter), maxRetryAfter)
--- a/internal/dispatch/flows.go
+++ b/internal/dispatch/flows.go
@@ -8,8 +8,8 @@
 	// sibling.
 	flowStep = 16
 	// flowMargin is the least difference as a fraction of the sibling's connections;
-	// the larger of flowStep and this share applies. It makes up for the known numbers
-	// of siblings, which are always somewhat outdated.
+	// the larger of flowStep and this share applies. It allows for the connection
+	// counts known of siblings, which are always somewhat outdated.
 	flowMargin = 0.1
 )
 
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -275,9 +275,9 @@
 	s.emit(Start{ID: r.ID})
 }
 
-// takeSlot reports whether a slot is available for a request that is already here. Such
-// a request may take a slot that is reserved for a sibling's request, because a
-// reserved slot is idle until that request arrives.
+// takeSlot reports whether a slot is available for a request that is already here. If
+// all idle slots are reserved for siblings' requests, it takes one away from the newest
+// reservation, because a reserved slot is idle until the sibling's request arrives.
 func (s *Scheduler) takeSlot() bool {
 	if len(s.running) >= s.slots {
 		return false
--- a/internal/dispatch/sibling.go
+++ b/internal/dispatch/sibling.go
@@ -32,8 +32,8 @@
 type pushed struct {
 	request Request
 	to      Sibling
-	// admit is the flag of the Push. If the sibling returns a request that was
-	// pushed with it, an agent that is draining refuses the request.
+	// admit is Push.Admit. If the sibling returns a request that was pushed with
+	// admit set, an agent that is draining refuses the request.
 	admit bool
 }
 
@@ -92,8 +92,9 @@
 	return s.finish(now)
 }
 
-// Returned takes back a pushed request that the sibling has definitely not run. It is
-// queued again by its time of arrival.
+// Returned takes back a pushed request that the sibling has definitely not run. The
+// request is queued again by priority and time of arrival, or refused if the agent is
+// draining and the sibling was asked to queue it.
 func (s *Scheduler) Returned(now time.Time, id ID) []Action {
 	s.begin()
 	p, ok := s.pushed[id]
