--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -92,10 +92,10 @@
 	ID      TicketID
 	Answer  *Answer        // VerdictReplay
 	Wait    <-chan *Answer // VerdictWait
-	// Abandoned is closed when the request is voided because all its callers have
-	// disconnected; VerdictRun.
+	// VerdictRun: Abandoned is closed when the request is voided because all its
+	// callers have disconnected.
 	Abandoned <-chan struct{}
-	Home      netip.AddrPort // VerdictPass: control address of the home
+	Home      netip.AddrPort // VerdictForward: control address of the home
 	Status    int            // VerdictRefuse
 	Reason    string         // VerdictRefuse
 }
--- a/internal/request/events.go
+++ b/internal/request/events.go
@@ -21,8 +21,8 @@
 	// resumable is true if the last complete event has an id and no data after it
 	// has been sent, apart from comments.
 	resumable bool
-	// oversized is true while the rest of an event follows that was sent before it
-	// was complete.
+	// oversized is true until the end of an event whose beginning was sent because
+	// the event was too long to buffer.
 	oversized bool
 }
 
--- a/internal/request/handler.go
+++ b/internal/request/handler.go
@@ -46,7 +46,8 @@
 	Caller   peer.Caller
 	Registry peer.Registry
 	// Tickets lets each non-idempotent request run at most once. If it is nil, no
-	// such request is run: the outcome is not run, or unknown with a ticket.
+	// such request is run: the outcome is OutcomeNotRun for a request without a
+	// ticket and OutcomeUnknown for one with a ticket.
 	Tickets Tickets
 	// OnVerdict, if set, is called with each change of the upstream's health verdict.
 	OnVerdict func(health.Verdict)
@@ -113,7 +114,7 @@
 // Load returns the present load of the agent.
 func (h *Handler) Load() dispatch.Load { return *h.engine.load.Load() }
 
-// SetConnections reports the number of connections from callers to the scheduler.
+// SetConnections informs the scheduler of the number of connections from callers.
 func (h *Handler) SetConnections(n int) { h.engine.post(connectionsChanged{connections: n}) }
 
 // FlowTarget returns the sibling that may be a better place for new flows. It never
--- a/internal/request/health.go
+++ b/internal/request/health.go
@@ -21,8 +21,8 @@
 
 // healthyWeight is the announced weight from which a peer counts as healthy. An
 // upstream in slow start is healthy but announces a low weight too, and the two cases
-// can't be told apart. The panic rule then counts too few healthy peers, and spreads
-// work more widely than necessary.
+// can't be told apart. The comparison with PanicThreshold then counts too few healthy
+// peers, and work is spread more widely than necessary.
 const healthyWeight = health.FullWeight / 2
 
 func (h *Handler) healthSettings() config.Health {
--- a/internal/request/job.go
+++ b/internal/request/job.go
@@ -94,8 +94,8 @@
 // been streamed.
 type jobResult struct {
 	answer *Answer
-	// streamed means that the answer has been sent; cut means that it was
-	// truncated.
+	// streamed means that the answer has been sent; truncated means that it was
+	// cut off.
 	streamed  bool
 	truncated bool
 }
--- a/internal/request/ticketed.go
+++ b/internal/request/ticketed.go
@@ -19,7 +19,7 @@
 	case text == "":
 		return jobResult{answer: NotRun(http.StatusPreconditionRequired, "no-ticket", 0)}
 	case h.o.Tickets == nil:
-		return jobResult{answer: Unknown("no-tickets")} // it may have run at another agent
+		return jobResult{answer: Unknown("no-tickets")} // the request may have run at another agent
 	}
 	j.call.Digest = ticket.DigestOf(j.call.Method, j.call.URI, j.call.Body)
 	d := h.o.Tickets.Begin(text, j.call.Digest, j.deadline)
