--- a/internal/home/forward.go
+++ b/internal/home/forward.go
@@ -108,7 +108,8 @@
 }
 
 // homeTimeout returns the time that the home gets for its answer: the time until the
-// deadline of ctx less answerMargin.
+// deadline of ctx less answerMargin, but at least half of that time, or otherwise if ctx
+// has no deadline.
 func homeTimeout(ctx context.Context, otherwise time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
