--- a/internal/packetface/gate/evacuated.go
+++ b/internal/packetface/gate/evacuated.go
@@ -9,9 +9,10 @@
 )
 
 // Operators can evacuate a data centre: no new flow may then be sent to it. Balancers stop
-// placing flows there. A balancer that does not know of the evacuation yet, because it has
-// not received it, was refused by the store or was suspended, is stopped by the agent,
-// which keeps the newest evacuation state received from any balancer. Open flows continue.
+// placing flows there. The agent keeps the newest evacuation state received from any
+// balancer and refuses the new flows of a balancer that does not know of the evacuation
+// yet, because it has not received it, was refused by the store or was suspended. Open
+// flows continue.
 
 // updateEvacuation applies the evacuation state of the data centre as sent by a balancer,
 // and notifies all balancers if it changes what the agent does.
--- a/internal/packetface/gate/evacuated_test.go
+++ b/internal/packetface/gate/evacuated_test.go
@@ -31,8 +31,8 @@
 	return status
 }
 
-// A balancer that does not know of the evacuation is stopped, even if it has no other
-// upstream left.
+// New flows of a balancer that does not know of the evacuation are refused, even if it has
+// no other upstream left.
 func TestEvacuatedDataCentreRefusesNewFlows(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
--- a/internal/packetface/gate/instance_test.go
+++ b/internal/packetface/gate/instance_test.go
@@ -37,7 +37,8 @@
 	b.Expect(b.gate.Status(b.now).State).To(Equal(inner.StateReady))
 }
 
-// The same if the agent started after the first instance had ended.
+// If the agent started after an instance had ended, delayed heartbeats of that instance must
+// not replace the running one, either.
 func TestDelayedHeartbeatsOfAnUnknownInstanceAreIgnored(t *testing.T) {
 	b := newBench(t)
 	b.heartbeatOf("b", 1, "")
--- a/internal/packetface/gate/queue.go
+++ b/internal/packetface/gate/queue.go
@@ -35,8 +35,8 @@
 }
 
 // request returns the properties of the request that determine its order. The first request
-// of a flow counts as made openingAge before its arrival, because the caller has wanted it
-// at least since it first transmitted the opening packet.
+// of a flow is at least openingAge old when it arrives, because the caller opened the flow
+// to send it.
 func (w *waiting) request() admission.Request {
 	f := w.flow
 	r := admission.Request{
--- a/internal/packetface/gate/start_test.go
+++ b/internal/packetface/gate/start_test.go
@@ -101,7 +101,7 @@
 }
 
 // A balancer that polls the agent for another service has an outdated entry, or one that
-// another writer put in place of the agent's. The agent must check its entry.
+// another process put in place of the agent's. The agent must check its entry.
 func TestPollForAnotherServiceReportsTheAgentAsUnlisted(t *testing.T) {
 	b := newBench(t)
 	b.begin("i-1")
