--- a/internal/packetface/outcome/outcome_test.go
+++ b/internal/packetface/outcome/outcome_test.go
@@ -172,8 +172,8 @@
 }
 
 // A service may use several faces, with requests that take 1 ms on one and 30 ms on
-// another. With a common average an upstream was shut out for that in the middle of a
-// burst, as observed under load.
+// another. With a common average an upstream was shut out for its answers on the faster
+// face in the middle of a burst, as observed under load.
 func TestResponseTimesAreTrackedPerFace(t *testing.T) {
 	u := newUpstream(t)
 	u.answerAsUsual()
