--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -335,7 +335,7 @@
 }
 
 // finished reports whether a stopping agent can end, given the time elapsed since the
-// request to stop: its upstream needs it no more, and its entry is updated in the store
+// request to stop: its upstream no longer needs it, and its entry is updated in the store
 // or the wait for that is over.
 func (a *agent) finished(elapsed time.Duration) bool {
 	a.mu.Lock()
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -378,8 +378,8 @@
 	b.mu.Unlock()
 }
 
-// stop makes the routers turn to other balancers, continues to serve while packets
-// arrive, and returns within the grace period.
+// stop fails the readiness checks, so that routers send to other balancers, continues to
+// serve while packets arrive, and returns within the grace period.
 func (b *balancer) stop() {
 	b.stopping.Store(true)
 	began := b.clock()
