--- a/internal/home/node_test.go
+++ b/internal/home/node_test.go
@@ -211,8 +211,8 @@
 	Ticket  string
 }
 
-// send sends a request and returns the response. It is the zero value if the connection
-// failed.
+// send sends a request and returns a channel that delivers the response, the zero value
+// if the connection failed.
 func (n *node) send(ticket, body string) <-chan reply {
 	return n.sendWith(context.Background(), ticket, body)
 }
