--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -160,8 +160,8 @@
 	go b.tick(ctx)
 }
 
-// isReady reports to the routers whether to send packets to this balancer. A balancer
-// that no agent answers can't serve them; other balancers may be able to.
+// isReady reports whether routers should send packets to this balancer. A balancer that
+// no agent answers can't serve callers; other balancers may be able to.
 func (b *balancer) isReady() bool {
 	if !b.ready.Load() || b.stopping.Load() {
 		return false
@@ -378,8 +378,8 @@
 	b.mu.Unlock()
 }
 
-// stop makes the routers turn to other balancers, continues to serve while packets
-// arrive, and returns within the grace period.
+// stop fails the readiness checks, so that routers send to other balancers, continues to
+// serve while packets arrive, and returns within the grace period.
 func (b *balancer) stop() {
 	b.stopping.Store(true)
 	began := b.clock()
