--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -9,8 +9,9 @@
 )
 
 // Leave announces that the process is gone, and waits until the calls that
-// announce it have ended or ctx ends. The process must have drained before; by
-// then it has also released its lease in the store.
+// announce it have ended or ctx ends. The process must have finished draining when
+// Leave is called; by the end of a drain, it has also released its lease in the
+// store.
 func (n *Node) Leave(ctx context.Context) {
 	var announcements []gossip.Action
 	var claim gossip.Claim
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -184,7 +184,7 @@
 func (n *Node) Changed() <-chan struct{} { return n.current.Load().changed }
 
 // SetState advances the process's life-cycle state and announces the change at
-// once. It does not return to an earlier state.
+// once. A state that is earlier than the current one does not replace it.
 func (n *Node) SetState(state member.State) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.State = max(m.State, state) })
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -32,8 +32,8 @@
 
 // Options are the parameters of Start.
 type Options struct {
-	// Self is the process's own record. A zero incarnation is replaced by the
-	// current time, a zero state by starting.
+	// Self is the process's own record. If its incarnation is 0, the current time
+	// is used; if its state is 0, member.StateStarting.
 	Self member.Member
 	// Peer carries calls to and from other processes.
 	Peer Peer
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -73,7 +73,8 @@
 	})
 }
 
-// Digest reports whether the caller's table has the same live members.
+// Digest compares the caller's digest with the table's, and returns the bucket
+// hashes if they differ.
 func (s *Service) Digest(d gossip.Digest, reply *gossip.DigestReply) error {
 	if !validAddr(d.From) {
 		return errInvalid
