--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -17,8 +17,8 @@
 	// balancerSampleSize is the number of live balancers in the reply to a
 	// renewal.
 	balancerSampleSize = 16
-	// jitterDivisor sets the jitter of a period: up to one fifth of it, either
-	// way.
+	// jitterDivisor sets the jitter of a period: up to one fifth of the period is
+	// added or subtracted.
 	jitterDivisor = 5
 )
 
@@ -227,9 +227,9 @@
 	}
 }
 
-// refute handles a record of this process that supersedes its own, such as a
-// false declaration that it is gone. Unless the process is leaving, it publishes
-// a record that supersedes the received one.
+// refute handles a received record of this process that supersedes the one that the
+// process published, such as a false declaration that it is gone. Unless the process
+// is leaving, it publishes a record that supersedes the received one.
 func (e *Engine) refute(now time.Time, m member.Member) {
 	if m.Supersedes(e.self) && e.self.State != member.StateGone {
 		e.supersede(now, m)
@@ -267,8 +267,8 @@
 	}
 }
 
-// jitter returns a random duration, evenly distributed within a fifth of d either
-// way.
+// jitter returns a random duration, uniformly distributed between d-d/5 and
+// d+d/5.
 func (e *Engine) jitter(d time.Duration) time.Duration {
 	span := int64(d) / jitterDivisor
 	return d - time.Duration(span) + time.Duration(e.rand.Int64N(2*span+1))
