--- a/internal/adopt/adopt.go
+++ b/internal/adopt/adopt.go
@@ -9,11 +9,11 @@
 //     its peers or the store.
 //  3. A process starts without a stored configuration. It begins to serve when its
 //     revision has been confirmed, either by a reading of the store or by answers of
-//     enough distinct peers that serve themselves. The reading must have been made
+//     enough distinct peers that are themselves serving. The reading must have been made
 //     after the process started, be at most Rules.MaxReadingAge old, and show no
-//     higher revision; an earlier one may be older than a revision that was in force
-//     everywhere at the start. The process never begins to serve while a peer that
-//     is not gone has a higher revision.
+//     higher revision; a reading made before the start may be older than a revision
+//     that was in force everywhere at the start. The process never begins to serve
+//     while a peer that is not gone has a higher revision.
 //  4. Only balancers that serve can confirm a revision. Otherwise, processes that
 //     joined through the same lagging peer could confirm its revision to each other.
 //     Agents cannot confirm it, because they receive a revision after the balancers.
@@ -55,8 +55,8 @@
 	// Revision is the revision read; 0 means that the key did not exist.
 	Revision uint64
 	// Age is the time since the read was sent. A process that forwards the
-	// reading adds the time for which it had it; the receiver adds the whole
-	// round trip of the call that brought it.
+	// reading adds the time since it recorded the reading; the receiver adds the
+	// whole round trip of the call that brought the reading.
 	Age time.Duration
 }
 
@@ -81,7 +81,7 @@
 	// State.Adopt.
 	Fetch uint64
 	From  netip.AddrPort
-	// Serve reports whether the process may serve the revision that it has
+	// Serve is set if the process may serve the revision that it has
 	// adopted.
 	Serve bool
 	// Reason is why the process may serve, or what is missing.
@@ -120,8 +120,8 @@
 	at time.Time
 }
 
-// storedReading is the newest known reading of the store, by the time when the
-// read was sent.
+// storedReading is the newest known reading of the store: the one whose read was
+// sent last.
 type storedReading struct {
 	known    bool
 	revision uint64
@@ -177,8 +177,8 @@
 // Rules.Quorum.
 func (s *State) SetBalancers(balancers int) { s.balancers = balancers }
 
-// Adopt adopts a revision whose text has been validated and parsed. It returns
-// false if the revision is not higher than the adopted one.
+// Adopt adopts a revision whose text has been validated and parsed. It reports
+// whether it did: a revision that is not higher than the adopted one is ignored.
 func (s *State) Adopt(revision uint64) bool {
 	if revision <= s.adopted {
 		return false
