--- a/internal/seed/backoff.go
+++ b/internal/seed/backoff.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Backoff computes the delays between retries. Each delay is twice the one
-// before, from Min up to Max, and is randomised over its upper half, so that
+// Backoff computes the delays between retries. Each delay is twice the previous
+// one, from Min up to Max, and is randomised over its upper half, so that
 // processes that failed together do not retry together.
 type Backoff struct {
 	Min, Max time.Duration
@@ -28,8 +28,8 @@
 // Reset makes the next delay start from Min again.
 func (b *Backoff) Reset() { b.failures = 0 }
 
-// jitter returns a random duration, evenly distributed within a fifth of d either
-// way.
+// jitter returns a random duration, uniformly distributed between d-d/5 and
+// d+d/5.
 func jitter(random *rand.Rand, d time.Duration) time.Duration {
 	return d - d/5 + time.Duration(random.Int64N(int64(2*d/5)+1))
 }
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -22,10 +22,10 @@
 	// become seeds when no reading of the store younger than Stale has reached
 	// them. The first-ranked balancers may then be cut off from the store.
 	Spares = 2
-	// Stale is the age of the newest known reading of the store from which spares
-	// try. A reading takes some seconds to propagate through a large fleet, so
-	// there spares may try although the seeds work. This adds only a fixed number
-	// of calls, because the number of spares is fixed.
+	// Stale is the age of the newest known reading of the store at which spares
+	// begin to try to become seeds. A reading takes some seconds to propagate
+	// through a large fleet, so there spares may try although the seeds work. This
+	// adds only a fixed number of calls, because the number of spares is fixed.
 	Stale = DefaultLease
 	// DefaultLease is how long a seed holds its slot without renewing the lease.
 	// Together with Stale, it limits how long a configuration change is delayed
@@ -110,8 +110,9 @@
 	next        time.Time
 	demotedAt   time.Time
 	// takenCount counts the slots found taken. It selects the slot to claim: the
-	// holder of the slot that belongs to this process's rank may have taken it at
-	// another rank, and then the other slot is the one to claim.
+	// slot that belongs to this process's rank may be held by a process that took
+	// it when that process had another rank; the other slot is then the one to
+	// claim.
 	takenCount int
 	backoff    Backoff
 }
