--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -59,8 +59,8 @@
 
 // arrivalsByDataCentre returns the fraction of the balancers that is in each data
 // centre. Draining and gone balancers do not count. If no balancer of
-// ownDataCentre is left, it counts as having one: the calling balancer, which may be
-// missing from its own list.
+// ownDataCentre is left, that data centre counts as having one: the calling
+// balancer, which may be missing from its own list.
 func arrivalsByDataCentre(ownDataCentre string, balancers []member.Member) map[string]float64 {
 	counts := make(map[string]float64)
 	total := 0.0
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -64,7 +64,7 @@
 // fullWeight is the weight of an agent whose upstream is warmed up.
 const fullWeight = 1000
 
-// candidates returns the agents that may get new flows. panics reports that they
+// candidates returns the agents that may get new flows. panics is set if they
 // include unhealthy or starting agents because too few are healthy or none is
 // ready.
 func candidates(agents []member.Member, threshold float64) (w weights, panics bool) {
@@ -114,7 +114,9 @@
 	return sums
 }
 
-// groups returns the agents with a share above 0, grouped by share.
+// groups returns the agents with a share of the new flows above 0, those with equal
+// shares in one group. The parameter share holds the share of each data centre; its
+// agents divide that in proportion to their weights.
 func groups(agents []member.Member, w weights, share map[string]float64) []group {
 	sums := make(map[string]float64)
 	for _, x := range w {
