--- a/internal/agent/handoff.go
+++ b/internal/agent/handoff.go
@@ -29,9 +29,10 @@
 	return dataAddrOf(snapshot, target.To)
 }
 
-// admit rejects a new flow that a balancer with an older configuration routed
-// here through a face that the service no longer has. The caller means to reach
-// the service that owns the face now.
+// admit reports whether a new flow with header h is accepted. A flow that a balancer
+// with an older configuration routed here through a face that the service no longer
+// has is rejected, because the caller means to reach the service that owns the face
+// now.
 func (a *agent) admit(h encap.Header) bool {
 	c := a.node.Snapshot().Config
 	return c == nil || admits(c.Revision, a.serviceIn(c), h)
