--- a/internal/flow/paths.go
+++ b/internal/flow/paths.go
@@ -37,7 +37,8 @@
 }
 
 // Flow is the state of the traffic between a caller and a face. The QUIC
-// library uses it as the caller's net.Addr, so that a reply carries its flow.
+// library uses it as the caller's net.Addr, so that the address passed to WriteTo
+// identifies the flow of the reply.
 type Flow struct {
 	Key
 	text         string
--- a/internal/flow/probes.go
+++ b/internal/flow/probes.go
@@ -43,7 +43,7 @@
 	Nonce    uint64
 }
 
-// balancer is the agent's state of one balancer.
+// balancer is what the agent knows about one balancer.
 type balancer struct {
 	addr         netip.AddrPort
 	member       bool      // listed in the fleet's membership
