--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -28,8 +28,8 @@
 	c.written = false
 }
 
-// abort blocks all writes to the connection if no byte of the current request
-// was written yet. It reports whether a byte was written.
+// abort makes all later writes to the connection fail with errAborted if no byte
+// of the current request was written yet. It reports whether a byte was written.
 func (c *conn) abort() (written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
