--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -70,12 +70,12 @@
 	Weight int
 	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Draws reports whether the agent may take over requests from its siblings.
+	// Draws is set if the agent may take over requests from its siblings.
 	Draws bool
-	// Panic reports that fewer upstreams of the service than PanicThreshold look
+	// Panic is set if fewer upstreams of the service than PanicThreshold look
 	// healthy, so that health is ignored for Slots and Draws.
 	Panic bool
-	// Draining reports that the upstream has announced a drain.
+	// Draining is set if the upstream has announced a drain.
 	Draining bool
 }
 
@@ -158,9 +158,9 @@
 	return t.report.Healthy || t.contradicted(now)
 }
 
-// weight is proportional to the square of the success rate. It is lower during
-// the slow start, and while the latency exceeds slowFactor times its long-term
-// average.
+// weight returns the upstream's weight: 0 if it is considered unhealthy, otherwise
+// in proportion to the square of the success rate. The weight is lower during the
+// slow start, and while the latency exceeds slowFactor times its long-term average.
 func (t *Tracker) weight(now time.Time) int {
 	if !t.consideredHealthy(now) {
 		return 0
--- a/internal/health/poll.go
+++ b/internal/health/poll.go
@@ -23,7 +23,7 @@
 // pollClass is the request class of health checks.
 var pollClass = config.Class{Name: "health", Kind: config.KindRequest, Idempotent: true}
 
-// Poll requests the upstream's health endpoint in intervals until ctx ends, and
+// Poll requests the upstream's health endpoint at intervals until ctx ends, and
 // calls report with each result. It calls settings before each request, so that
 // changed settings take effect.
 func Poll(ctx context.Context, r upstream.Runner, settings func() config.Health, report func(Report)) {
