--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// mapping is a YAML mapping whose fields are requested by name. Fields that were never
-// requested are unknown.
+// mapping is a YAML mapping from which the decoder takes fields by name. Fields whose name
+// was never passed to take are unknown.
 type mapping struct {
 	d         *decoder
 	position  position
@@ -96,7 +96,8 @@
 	return f.value, positionOf(f.value, m.path(name))
 }
 
-// reportUnknown reports the fields that were never requested.
+// reportUnknown adds a finding for each field of the mapping whose name was never
+// passed to take.
 func (m *mapping) reportUnknown() {
 	known := map[string]bool{}
 	for _, name := range m.requested {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// service decodes one service with its positions.
+// service decodes one service and appends it to the configuration, and the positions
+// of its name, faces and classes in the file to f.positions.
 func (f *file) service(m *mapping) {
 	var s Service
 	var p servicePositions
@@ -38,8 +39,8 @@
 	return faces, positions
 }
 
-// mappingOrEmpty decodes an optional field as a mapping. If the file omits it, it returns an
-// empty mapping, so that all fields take their defaults.
+// mappingOrEmpty decodes an optional field as a mapping. It returns an empty mapping if the
+// file omits the field, so that all fields of the mapping take their defaults.
 func (m *mapping) mappingOrEmpty(name string) *mapping {
 	if sub := m.optionalMapping(name); sub != nil {
 		return sub
