--- a/internal/apply/attempt.go
+++ b/internal/apply/attempt.go
@@ -54,9 +54,9 @@
 
 // Attempt tracks one change from its first write to its verdict. A write without a response
 // may still be on its way to the store, so reading the base revision doesn't prove that the
-// write has failed. Writing the same value again does: either the second write succeeds, and
-// the first one will then conflict with it, or it conflicts with a newer revision, and the
-// record of that revision lists the changes before it.
+// write has failed. Writing the same value again determines the outcome: either the second
+// write succeeds, and the first one will then conflict with it, or the second one conflicts
+// with a newer revision, and the record of that revision lists the changes before it.
 type Attempt struct {
 	id   record.ChangeID
 	base uint64
