--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -116,17 +116,17 @@
 }
 
 // storeRestoredPrefix is the start of the message that a process logs when the store was
-// restored from an older copy. It starts a new era of the store: what the process reads
-// from then on may lack what it had read before.
+// restored from an older copy. A restore starts a new era of the store: what
+// the process reads from then on may lack what it had read before.
 const storeRestoredPrefix = "Store came back older"
 
 // FlowHistory returns the log lines on a flow, given by its id or a part of it:
 //   - the lines that carry the flow's id;
 //   - lines without a flow that name an agent of the flow's lines, come from the host of
 //     such an agent or name no agent, if they were logged between the flow's first and
-//     last line or at most around before or after;
-//   - for each host that logged the flow, the last restore of the store before that time,
-//     however long ago, since the host has acted on the restored state from then on.
+//     last line, or earlier or later than these by at most the duration around;
+//   - for each host that logged the flow, the last restore of the store before all these
+//     lines, however long ago, since the host has acted on the restored state from then on.
 func FlowHistory(all []Line, flow string, around time.Duration) History {
 	var flowLines []Line
 	agents := map[string]bool{}
