--- a/internal/timeline/collect.go
+++ b/internal/timeline/collect.go
@@ -20,7 +20,7 @@
 	// age is the maximum age of the events to ask for, 0 for all.
 	age time.Duration
 	now func() time.Time
-	// start is when the process started by its own clock, as its last reply has it. A
+	// start is when the process started by its own clock, according to its last reply. A
 	// change means that another process has replaced it.
 	start time.Time
 	// next is the sequence number of the next event to ask for.
--- a/internal/timeline/service.go
+++ b/internal/timeline/service.go
@@ -44,7 +44,8 @@
 	Now time.Time
 	// First is the sequence number that the first event has if none was dropped: the one
 	// that was requested, or a higher one if events were left out because of their age.
-	// If the first event has a higher one, the ring has dropped those between.
+	// If the first event has a higher sequence number, the ring has dropped the events
+	// between.
 	First  uint64
 	Events []event.Event
 	// Next is the sequence number to request next.
