--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and returns nil. If ctx ends before, it returns the error of ctx at
+// For waits for d and returns nil. If ctx ends first, it returns the error of ctx at
 // once.
 func For(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
