--- a/cmd/saltbend/apply.go
+++ b/cmd/saltbend/apply.go
@@ -37,7 +37,7 @@
 
 const (
 	// initialPause and maxPause are the first and the longest pause between attempts to
-	// find out whether a write took effect whose answer was lost.
+	// find out whether a write whose answer was lost took effect.
 	initialPause = 50 * time.Millisecond
 	maxPause     = 2 * time.Second
 	// changeIDBytes is the length of a random change id before its encoding as hex.
--- a/cmd/saltbend/packetstatus.go
+++ b/cmd/saltbend/packetstatus.go
@@ -98,7 +98,7 @@
 	return balancerView{Control: control, Balancer: &b}
 }
 
-// markLate marks the balancers that have an older configuration than another one.
+// markLate marks the balancers that have an older configuration than another balancer.
 func markLate(views []balancerView) {
 	newest := uint64(0)
 	for _, v := range views {
