--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -189,7 +189,7 @@
 	s.emit(Refuse{ID: id, Reason: reason, RetryAfter: after})
 }
 
-// placeNow starts, pushes or refuses a request that doesn't have to wait. It reports
+// placeNow starts, pushes or refuses a request that doesn't have to wait. It returns
 // false if the request has to be queued.
 func (s *Scheduler) placeNow(now time.Time, r Request) bool {
 	preferSibling := r.Movable && (r.PreferSibling || s.draining || s.avoidsUpstream())
@@ -239,7 +239,7 @@
 	return now.Add(need).After(r.Deadline)
 }
 
-// displace makes room for r by refusing the last request in the queue. It reports false
+// displace makes room for r by refusing the last request in the queue. It returns false
 // if that request isn't less urgent than r.
 func (s *Scheduler) displace(r *Request) bool {
 	last := s.queue.len() - 1
--- a/internal/request/engine.go
+++ b/internal/request/engine.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// post sends a message to the engine. It reports false if the engine has stopped.
+// post sends a message to the engine. It returns false if the engine has stopped.
 func (e *engine) post(m message) bool {
 	select {
 	case e.inbox <- m:
--- a/internal/request/failover.go
+++ b/internal/request/failover.go
@@ -133,7 +133,7 @@
 }
 
 // switchTo interrupts the present source in favour of next. If the feed has been
-// closed, or events have been sent since next was opened, it stops next and reports
+// closed, or events have been sent since next was opened, it stops next and returns
 // false.
 func (f *failoverFeed) switchTo(next feedSource, id string) bool {
 	f.mu.Lock()
--- a/internal/request/run.go
+++ b/internal/request/run.go
@@ -63,7 +63,7 @@
 }
 
 // refusedResult returns the result of a job that the scheduler refused. The outcome is
-// not run, unless an earlier attempt may have run.
+// OutcomeNotRun, unless an earlier attempt may have run.
 func (j *job) refusedResult(r dispatch.Refuse) jobResult {
 	if j.fallback != nil {
 		return jobResult{answer: j.fallback}
