--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -161,8 +161,8 @@
 }
 
 // shouldRelease reports whether the process must release its slot: at once if it
-// must not be a seed, or after it has been out of the first ranks for
-// demotionLeases lease lengths.
+// must not be a seed, or after it has not been eligible for demotionLeases lease
+// lengths.
 func (m *Machine) shouldRelease(now time.Time, in Input) bool {
 	if eligible(in) {
 		m.demotedAt = time.Time{}
