--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -38,10 +38,10 @@
 // Locality. Draining and gone agents get no new flows, nor do agents without an
 // IPv4 data address.
 //
-// An agent reports weight 0 while its upstream seems unhealthy. If the fraction of
-// ready agents with a weight above 0 is below threshold (0 to 1), health is
-// ignored and all ready agents get flows: faulty health reports are then more
-// likely than the failure of so many upstreams at once. If no agent is ready, the
+// An agent reports weight 0 while its upstream seems unhealthy. If no ready agent has
+// a weight above 0, or the fraction of those that have is below threshold (0 to 1),
+// health is ignored and all ready agents get flows: faulty health reports are then
+// more likely than the failure of so many upstreams at once. If no agent is ready, the
 // starting agents get the flows: their reported state may be out of date, and an
 // agent that can't serve a request can still answer that the request was not run.
 // Panics reports either case.
