--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -40,7 +40,7 @@
 }
 
 // unansweredJoins returns the join addresses that have not answered yet, except
-// those already chosen. The process keeps announcing to them even when other
+// those already chosen and those backed off. The process keeps announcing to them even when other
 // balancers have announced themselves to it first: if it stopped, it and those
 // balancers could remain a separate group from the rest of the fleet.
 func (e *Engine) unansweredJoins(now time.Time, chosen []netip.AddrPort) []netip.AddrPort {
