--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -72,8 +72,8 @@
 	Slots int
 	// Draws is set if the agent may take over requests from its siblings.
 	Draws bool
-	// Panic is set if fewer upstreams of the service than PanicThreshold look
-	// healthy, so that health is ignored for Slots and Draws.
+	// Panic is set if the fraction of the service's upstreams that look healthy is
+	// below PanicThreshold, so that health is ignored for Slots and Draws.
 	Panic bool
 	// Draining is set if the upstream has announced a drain.
 	Draining bool
