--- a/internal/agent/handoff.go
+++ b/internal/agent/handoff.go
@@ -69,7 +69,8 @@
 	return a.server.connections.Load() >= int64(service.Limits.Connections)
 }
 
-// chooseSibling selects a ready sibling by the hash of the connection ID.
+// chooseSibling selects a ready sibling, or a starting one if none is ready, by the
+// hash of the connection ID.
 func chooseSibling(snapshot *control.Snapshot, dcid []byte) (netip.AddrPort, bool) {
 	others := make([]member.Member, 0, len(snapshot.Agents))
 	for _, m := range snapshot.Agents {
