--- a/internal/datapath/gone.go
+++ b/internal/datapath/gone.go
@@ -55,8 +55,8 @@
 func (g *GoneAddress) recordProbe() { g.unanswered.Add(1) }
 
 // needsReset reports whether to answer a datagram of an open flow with a
-// stateless reset: its agent is gone and unresponsive, and the datagram is long
-// enough to be answered by a reset.
+// stateless reset: its agent is gone and unresponsive, and the datagram has a short
+// header and is long enough to be answered by a reset.
 func (g *GoneAddress) needsReset(datagram []byte, incarnation uint16) bool {
 	return g != nil &&
 		!quicid.IsLong(datagram) &&
