--- a/internal/flow/read.go
+++ b/internal/flow/read.go
@@ -112,7 +112,8 @@
 	return payload, f
 }
 
-// sendToSibling forwards a datagram unchanged to a sibling.
+// sendToSibling forwards a caller's datagram to a sibling. Only the kind in its header
+// changes, to KindHandOff.
 func (c *Conn) sendToSibling(h encap.Header, payload []byte, to netip.AddrPort) {
 	d := c.writer.getDatagram()
 	d.to = to
