--- a/internal/agent/running.go
+++ b/internal/agent/running.go
@@ -13,7 +13,7 @@
 type running struct {
 	mu   sync.Mutex
 	n    int
-	idle chan struct{} // closed when n falls to 0; nil without a call of wait
+	idle chan struct{} // closed when n falls to 0; nil unless wait has created it
 }
 
 // track wraps a handler to count its requests. If the handler takes over the
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -93,8 +93,8 @@
 }
 
 // awaitIdle waits until no request runs or ctx ends, and returns the number of
-// requests that still run. It adds goAwayGrace, so that the last packets of a
-// response can arrive before its connection is closed.
+// requests that still run. When no request runs, it waits for goAwayGrace longer, so
+// that the last packets of a response can arrive before its connection is closed.
 func (s *server) awaitIdle(ctx context.Context) int {
 	for {
 		s.running.wait(ctx)
