--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -72,8 +72,8 @@
 	n.adopt.RecordAnswer(answerFrom(from, c), now)
 }
 
-// answerFrom converts a claim into an answer for the adoption rules, without its
-// store reading.
+// answerFrom converts a claim into an answer for the adoption rules. It leaves out
+// c.Reading, the claim's reading of the store.
 func answerFrom(from netip.AddrPort, c gossip.Claim) adopt.Answer {
 	return adopt.Answer{Peer: from, Revision: c.Revision, Serving: c.Serving, Balancers: c.Balancers}
 }
--- a/internal/datapath/gone.go
+++ b/internal/datapath/gone.go
@@ -69,8 +69,8 @@
 	return rate.NewLimiter(resetRate, resetBurst)
 }
 
-// resetFlow answers the datagram that follows the buffer's headroom with
-// stateless resets on behalf of its agent, and returns the buffer to use next.
+// resetFlow answers the datagram buffer[encap.HeaderSize:end] with stateless resets,
+// on behalf of the agent f.resetAgent. It returns the buffer to use next.
 func (p *Path) resetFlow(s *Socket, f *forwarder, buffer []byte, end int, caller netip.AddrPort) []byte {
 	datagram := buffer[encap.HeaderSize:end]
 	id, _ := quicid.Destination(datagram, token.Size) // decide has checked the length
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -98,35 +98,35 @@
 // Action is a step that the engine asks its caller to carry out.
 type Action interface{ action() }
 
-// SendAnnounce asks the caller to send a renewal; the outcome goes to
+// SendAnnounce asks the engine's caller to send a renewal; the outcome goes to
 // Engine.AnnounceDone or Engine.AnnounceFailed.
 type SendAnnounce struct {
 	To      netip.AddrPort
 	Message Announce
 }
 
-// SendPush asks the caller to send a push. The engine does not need the outcome:
+// SendPush asks the engine's caller to send a push. The engine does not need the outcome:
 // digests repair what a lost push would have carried.
 type SendPush struct {
 	To      netip.AddrPort
 	Message Push
 }
 
-// SendDigest asks the caller to send a digest; the reply goes to
+// SendDigest asks the engine's caller to send a digest; the reply goes to
 // Engine.DigestDone.
 type SendDigest struct {
 	To      netip.AddrPort
 	Message Digest
 }
 
-// SendExchange asks the caller to send an exchange; the reply goes to
+// SendExchange asks the engine's caller to send an exchange; the reply goes to
 // Engine.ExchangeDone.
 type SendExchange struct {
 	To      netip.AddrPort
 	Message Exchange
 }
 
-// Probe asks the caller to check whether a member answers; the outcome goes to
+// Probe asks the engine's caller to check whether a member answers; the outcome goes to
 // Engine.ProbeDone.
 type Probe struct {
 	To netip.AddrPort
@@ -170,7 +170,7 @@
 	Count int
 }
 
-// FindPeers asks the caller for addresses to join at, because no known balancer
+// FindPeers asks the engine's caller for addresses to join at, because no known balancer
 // answers.
 type FindPeers struct{}
 
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -29,7 +29,7 @@
 	Evidence    Evidence
 }
 
-// suspect collects the suspicions of one version of a member.
+// suspect holds the suspicions against a member, for one version of its record.
 type suspect struct {
 	incarnation uint64
 	version     uint64
--- a/internal/packetface/inner/state.go
+++ b/internal/packetface/inner/state.go
@@ -60,11 +60,12 @@
 	// still run.
 	StateSilent
 	// StateUnproven means that the agent has received nothing from its upstream since the
-	// agent's own start. StateProbation means that the upstream has failed requests and
-	// is being tried again with one flow at a time, StateFailing that it fails its
-	// requests.
+	// agent's own start.
 	StateUnproven
+	// StateProbation means that the upstream has failed requests and is being tried again
+	// with one flow at a time.
 	StateProbation
+	// StateFailing means that the upstream fails its requests.
 	StateFailing
 )
 
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -51,7 +51,8 @@
 	// listener asks other balancers, while its own listing is still recent enough: the
 	// source has not answered two requests.
 	silenceTimeout = 2*renewInterval + 50*time.Millisecond
-	// askInterval is the time between these requests to other balancers.
+	// askInterval is the time between the requests that a listener sends to other
+	// balancers after silenceTimeout.
 	askInterval = 200 * time.Millisecond
 	// searchDelayMin and searchDelayMax bound the time after which a watching balancer
 	// without listeners searches for a source. It is randomized, so that not all
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -62,7 +62,8 @@
 }
 
 // certificate returns a self-signed certificate for the key, as TLS requires one. Its
-// fields are never checked: any process that proves the key belongs to the fleet.
+// fields are never checked: any process that proves that it holds the key belongs to the
+// fleet.
 func certificate(private ed25519.PrivateKey) (*tls.Certificate, error) {
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
