--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -58,15 +58,16 @@
 // Record is a process's copy of all requests in force. The zero value is empty, with no
 // known position.
 type Record struct {
-	// asOf is the position up to which all changes are included; requests may contain later
-	// ones, too.
+	// asOf is the store's position up to which the Record includes all changes. The requests
+	// map may include some later changes.
 	asOf store.Position
 	// requests maps each evacuated data centre to the position of its request.
 	requests map[string]store.Position
 	// unsettled is true while operators may still write again the requests that the store
-	// lost at the beginning of this era; withdrawn holds the data centres whose requests
-	// have been withdrawn since then.
+	// lost at the beginning of this era.
 	unsettled bool
+	// withdrawn holds the data centres whose requests have been withdrawn while unsettled
+	// is true.
 	withdrawn map[string]bool
 }
 
@@ -81,8 +82,9 @@
 	return changed
 }
 
-// enterEra begins a later era, in which the absence of a request proves nothing until
-// Settle is called. A store without eras loses no changes.
+// enterEra marks the Record as unsettled if asOf is of a later era than the Record: until
+// Settle is called, the absence of a request is no proof of its withdrawal. A store that
+// reports no eras loses no changes.
 func (r *Record) enterEra(asOf store.Position) {
 	if asOf.Era() > r.asOf.Era() {
 		r.unsettled, r.withdrawn = true, nil
@@ -148,8 +150,9 @@
 	return changed
 }
 
-// CarryOver copies from the previous Record what a new read of the store does not disprove:
-// requests of earlier eras, as long as operators may still write them again.
+// CarryOver adds to a Record that was just read from the store what the previous Record
+// contains and the read does not disprove: requests of earlier eras, as long as operators
+// may still write them again.
 func (r *Record) CarryOver(before *Record) {
 	if before.asOf.SameEra(r.asOf) {
 		r.unsettled, r.withdrawn = before.unsettled, maps.Clone(before.withdrawn)
@@ -168,8 +171,8 @@
 	maps.DeleteFunc(r.requests, func(_ string, at store.Position) bool { return !at.SameEra(r.asOf) })
 }
 
-// State returns the state of a data centre. It is the zero State if no request is known
-// but, in an unsettled era, that does not prove that there is none.
+// State returns the state of a data centre. It returns the zero State if, in an unsettled
+// era, neither a request nor a withdrawal is known: the store may have lost a request.
 func (r *Record) State(dataCentre string) State {
 	at, requested := r.requests[dataCentre]
 	switch {
@@ -182,8 +185,8 @@
 }
 
 // Resolve returns the effective state of a data centre, given the state received from
-// another process. Within an era, a request that is missing at a later position has been
-// withdrawn.
+// another process. If the received state is of the Record's era and the Record lacks the
+// request at a later position, the request has been withdrawn.
 func (r *Record) Resolve(dataCentre string, received State) State {
 	own := r.State(dataCentre)
 	if own.AsOf == 0 && received.AsOf != 0 && received.AsOf.SameEra(r.asOf) {
