--- a/internal/packetface/admission/admission.go
+++ b/internal/packetface/admission/admission.go
@@ -15,8 +15,8 @@
 
 const (
 	// MaxHold is the time after which a waiting request is forwarded in any case if its
-	// route does not state its callers' timeout. It is below the shortest time that callers
-	// are known to allow for a request (2 s).
+	// route does not state its callers' timeout. MaxHold is below the shortest timeout
+	// that callers are known to use (2 s).
 	MaxHold = 1500 * time.Millisecond
 	// lateAfter is the age from which on a request counts as late if the route states no
 	// target latency.
@@ -29,17 +29,18 @@
 	minLateAge = 20 * time.Millisecond
 	// spareAnswers is the time reserved before a deadline, in mean response times: response
 	// times vary, and a pressing request has to wait for a slot to become free. In the
-	// simulated burst at half the upstreams' rate, 3, 6, 10 and 15 lose 35, 6, 3 and 2 of
-	// some 500 requests; 6 is the smallest value that loses hardly any.
+	// simulated burst at half the upstreams' rate, values of 3, 6, 10 and 15 lose 35, 6, 3
+	// and 2 of some 500 requests; 6 is the smallest value that loses hardly any.
 	spareAnswers = 6
 	// slotShare is the share of the slots that requests past their target latency are
 	// assumed to get while they wait. Requests that arrive meanwhile take the rest, and
-	// answers take longer while an upstream is cold. With 0.5 or 0.35 as many requests are
-	// lost in the simulated burst, and fewer of the others are answered in time.
+	// answers take longer while an upstream is cold. In the simulated burst, 0.5 and 0.35
+	// lose as many requests as 0.75, and fewer of the remaining requests are answered in
+	// time.
 	slotShare = 0.75
-	// minRetryTimeLeft is the share of its timeout that a possible retry must have left at
-	// its admission for the deadline of the first attempt to apply to it. The value lies
-	// between two cases. Requests with a timeout of 2 s have a quarter left, which is less
+	// minRetryTimeLeft is a share of the timeout. The deadline of a caller's first attempt
+	// applies to a possible retry only if at least this share of the timeout is left when
+	// the caller makes the possible retry. The value lies between two cases. Requests with a timeout of 2 s have a quarter left, which is less
 	// time than a burst lasts: in a deployment whose requests time out after 2 s, applying
 	// that deadline to them saved 0.3% of the requests and made 1% late. Requests with a
 	// timeout of 2.25 s have a third left: in a deployment with that timeout, 0.9 and 1.2%
@@ -57,8 +58,8 @@
 	// the caller may have made its first attempt if the request may be a retry, and equals
 	// Asked otherwise.
 	Asked, EarliestAttempt time.Duration
-	// TargetLatency is the time within which the caller wants the answer, Timeout that
-	// after which it gives up; 0 if the route does not state it.
+	// TargetLatency is the time within which the caller wants the answer. Timeout is the
+	// time after which the caller gives up. Each is 0 if the route does not state it.
 	TargetLatency, Timeout time.Duration
 	// FirstTry is true if the request is certainly not a retry.
 	FirstTry bool
@@ -82,11 +83,12 @@
 	return age > max(r.TargetLatency-p.Answer-transitTime, minLateAge)
 }
 
-// deadline returns when the caller gives up. For a possible retry this is computed from the
-// first attempt that the caller may have made. Once that time has passed, the request
-// cannot be such a retry, as the caller would have ended its flow. A possible retry that
-// would have little time left is treated as a first try, too: most such requests would be
-// lost anyway, and running them first would make all requests late that arrive meanwhile.
+// deadline returns when the caller gives up. For a possible retry the deadline is computed
+// from the first attempt that the caller may have made. Once that deadline has passed, the
+// request is not a retry of such an attempt: the caller would have ended the flow. A
+// possible retry that would have little time left is treated as a first try, too: most such
+// requests would be lost anyway, and running them first would make all requests late that
+// arrive meanwhile.
 func (r *Request) deadline(now time.Duration) time.Duration {
 	early := r.EarliestAttempt + r.Timeout
 	savable := early-r.Asked >= time.Duration(minRetryTimeLeft*float64(r.Timeout))
@@ -96,8 +98,8 @@
 	return r.Asked + r.Timeout
 }
 
-// missesTimeout reports whether the caller will give up before an answer of mean response
-// time arrives.
+// missesTimeout reports whether the caller will give up before the answer arrives, if the
+// request is forwarded now and the upstream takes its mean response time.
 func (r *Request) missesTimeout(now time.Duration, p Pace) bool {
 	return r.Timeout > 0 && r.deadline(now) < now+p.Answer+transitTime
 }
--- a/internal/packetface/admission/queue.go
+++ b/internal/packetface/admission/queue.go
@@ -74,7 +74,7 @@
 	// waited longer.
 	Pressing Choice = "pressing"
 	// Late: the request is past its target latency, and no waiting request of its priority
-	// can still meet its own.
+	// can still meet its target latency.
 	Late Choice = "late"
 	// Overdue: the request has waited for its full timeout, or for MaxHold if it has none,
 	// and is forwarded although no slot is free.
@@ -103,10 +103,11 @@
 }
 
 // pressing returns the index of the request that has to run now so that no request past its
-// target latency misses its deadline, -1 for none. It takes precedence over more urgent
-// requests: a request that is answered late harms its caller less than one that is lost. If
-// not all can be answered in time, the more urgent ones are: whether they are pressing is
-// decided regardless of the requests that wait on less urgent routes.
+// target latency misses its deadline, -1 for none. This request takes precedence over more
+// urgent requests: a request that is answered late harms its caller less than one that is
+// lost. If not all requests can be answered before their deadlines, the more urgent ones
+// are: whether a request is pressing is decided regardless of the requests that wait on
+// less urgent routes.
 func (q *Queue[T]) pressing(now time.Duration, p Pace) int {
 	if q.LateLast || p.Slots == 0 {
 		return -1
@@ -122,8 +123,9 @@
 
 // pressingAmong does the same as pressing for the requests of a priority and of more urgent
 // ones. Requests past their target latency run in the order of their deadlines, which loses
-// the fewest. The k-th begins after the k before it have passed through the slots; if that
-// is too late for its deadline, there is no slack and the first one is pressing.
+// the fewest requests. The k-th request, counted from 0, begins after the k requests before
+// it have passed through the slots. If that is too late for its deadline, the first request
+// in this order is pressing.
 func (q *Queue[T]) pressingAmong(now time.Duration, p Pace, priority uint8) int {
 	each := time.Duration(float64(p.Answer) / (slotShare * float64(p.Slots)))
 	first, begins := -1, now+spareAnswers*p.Answer+transitTime
--- a/internal/packetface/admission/retry.go
+++ b/internal/packetface/admission/retry.go
@@ -14,11 +14,11 @@
 // flows that may be retries are ordered as retries.
 
 const (
-	// RetryInterval is the time from the beginning of a caller's attempt to that of the next:
-	// 1.4 s of waiting, and a pause of 0.02 to 0.25 s as observed. The middle of that range
-	// loses fewer requests in the simulation than its end (22 and 24 in the load "busy").
+	// RetryInterval is the time from the beginning of a caller's attempt to that of the
+	// next: the caller waits 1.4 s and pauses for 0.02 to 0.25 s. In the simulated load
+	// "busy", the middle of this range loses 22 requests and its upper end 24.
 	RetryInterval = 1500 * time.Millisecond
-	// longestPause is the longest pause of a caller between two attempts, as observed.
+	// longestPause is the longest pause of callers between two attempts.
 	longestPause = 250 * time.Millisecond
 	// attemptTime is the time after which a caller ends an attempt that is not answered.
 	attemptTime = 1400 * time.Millisecond
@@ -33,8 +33,9 @@
 
 // MayBeRetry reports whether a flow may be a retry of a request that its caller has made
 // before. began is the time from the start of the flow's balancer to the beginning of the
-// flow, negative if the flow began before that start. Retries end when those callers have
-// been served whose last retransmission reached the balancer after its start.
+// flow, negative if the flow began before that start. Callers whose last
+// retransmission reached the balancer after its start are served without a retry, which
+// sets the upper limit.
 func MayBeRetry(began time.Duration) bool {
 	return began >= -outageMargin && began <= attemptTime+longestPause-platform.LastCopyAge
 }
