--- a/internal/packetface/report/report.go
+++ b/internal/packetface/report/report.go
@@ -32,7 +32,7 @@
 	// ListAsOf is the store position up to which the balancer has every change to the
 	// list of agents. ListHeard is the highest store position of an agent entry that
 	// agents have reported. Both have the form era/revision, such as "2/48". ListOutdated
-	// reports that ListHeard is higher.
+	// reports that ListHeard is higher than ListAsOf.
 	ListAsOf     string `json:"list_as_of"`
 	ListHeard    string `json:"list_heard"`
 	ListOutdated bool   `json:"list_outdated,omitempty"`
@@ -92,7 +92,8 @@
 	Never = -1
 )
 
-// AgeMS returns the age in milliseconds of an event at the time at, Never if at is 0.
+// AgeMS returns the milliseconds from an event to now, or Never if the event's time, at,
+// is 0.
 func AgeMS(now, at time.Duration) int64 {
 	if at == 0 {
 		return Never
