--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -28,8 +28,8 @@
 	unlistedPath = "/packet/agents/unlisted"
 	// peerTimeout bounds a request to another balancer.
 	peerTimeout = time.Second
-	// maxListingBytes bounds the answer to such a request: a configuration of 1 MB and
-	// the entries of 7,000 agents, in JSON.
+	// maxListingBytes bounds another balancer's answer, which may contain a configuration
+	// of 1 MB and the entries of 7,000 agents, in JSON.
 	maxListingBytes = 8 << 20
 	// agentsCacheTime is how long the answer with all known agents is reused.
 	agentsCacheTime = 100 * time.Millisecond
@@ -41,9 +41,10 @@
 	// packet to those is not retransmitted before a second has passed.
 	seedTimeout = 250 * time.Millisecond
 	// unlistedTimeout bounds the request for agents that are not listed. Other balancers
-	// refuse it until they know the store up to the client's position; the client retries
-	// every unlistedRetryInterval.
-	unlistedTimeout       = 250 * time.Millisecond
+	// refuse the request until they know the store's changes up to the client's position.
+	unlistedTimeout = 250 * time.Millisecond
+	// unlistedRetryInterval is the time after which the client repeats a refused request for
+	// agents that are not listed.
 	unlistedRetryInterval = 25 * time.Millisecond
 	// sourceLoadTimeout bounds the request for the full listing of a source, after which
 	// the store is read. After a simultaneous loss of power many balancers send this
@@ -200,8 +201,8 @@
 }
 
 // askAgents requests the agents that other balancers know and passes them to
-// AgentsReceived. Agents may be running although the store does not list them; without
-// this request, a balancer that starts after their leases have ended would treat their
+// AgentsReceived. Agents may be running although the store does not list them; if it did
+// not request them, a balancer that starts after their leases have ended would treat their
 // flows as dead. askAgents asks the source if the listing came from one; otherwise, or if
 // the source fails, it asks the seeds.
 func (f *Follower) askAgents(ctx context.Context, source netip.AddrPort, asOf store.Position) {
