--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -30,16 +30,16 @@
 	watchWaitMin = 1 * time.Second
 	watchWaitMax = 10 * time.Second
 	// watchWaitPerBalancer is the time that each balancer of the fleet adds to the wait.
-	// In each such interval one of them begins a watch, whatever the size of the fleet,
-	// and agents pass a newer version from it to the others.
+	// In each such interval one balancer begins a watch, whatever the size of the fleet,
+	// and agents pass a newer version from this balancer to the others.
 	watchWaitPerBalancer = 500 * time.Millisecond
 	// hintMinWatchAge is the age from which a watch is cancelled by a hint. A younger
-	// watch is about to return the change that the hint concerns. It is also how long a
-	// follower with a source waits after a hint before it reads the store.
+	// watch is about to return the change that the hint concerns. hintMinWatchAge is also
+	// how long a follower with a source waits after a hint before it reads the store.
 	hintMinWatchAge = 300 * time.Millisecond
 	// pausePerBalancer is the time that each balancer of the fleet adds to the pause
-	// after a watch that returned changes, between pauseMin and pauseMax. So a burst of
-	// changes costs few calls, whatever the size of the fleet.
+	// after a watch that returned changes, between pauseMin and pauseMax. The pause
+	// lets a burst of changes cost few calls, whatever the size of the fleet.
 	pausePerBalancer = 50 * time.Millisecond
 	pauseMin         = 150 * time.Millisecond
 	pauseMax         = 1200 * time.Millisecond
@@ -49,8 +49,8 @@
 	// sharedRetryPause is the pause after the first failed call if others share the watch
 	// of this balancer.
 	sharedRetryPause = 20 * time.Millisecond
-	// confirmWait is how long the first watch waits after the source was abandoned. Its
-	// answer shows others at once that this balancer reaches the store.
+	// confirmWait is how long the first watch waits after the source was abandoned. The
+	// answer to this watch shows other balancers at once that this balancer reaches the store.
 	confirmWait = time.Millisecond
 )
 
@@ -102,8 +102,8 @@
 	// settledLogged is whether the era was settled when that was logged last.
 	settledLogged bool
 	// reachedReported is set once the first failure or answer of the store has been
-	// reported. noListingLogged is set once it was logged that no seed returned a
-	// listing.
+	// reported. noListingLogged is set once the failure of all seeds to return a listing
+	// has been logged.
 	reachedReported, noListingLogged bool
 	hints                            chan struct{}
 	// hintedVersion is the highest configuration version that a hint has named.
@@ -112,26 +112,28 @@
 	sourceSignal chan struct{}
 	// source is the balancer to fetch changes from, invalid while the store is watched.
 	source atomic.Pointer[netip.AddrPort]
-	// readStore is signalled if there is no source at the start. unconfirmed is set if
-	// the store has not answered since a source was abandoned.
+	// readStore is signalled if there is no source at the start.
 	readStore chan struct{}
 	// snapshot describes the snapshot in the store.
-	snapshot    snapshot
+	snapshot snapshot
+	// unconfirmed is set if the store has not answered since a source was abandoned.
 	unconfirmed atomic.Bool
-	// initialSource is the balancer that the first listing came from, invalid for the
-	// store. agentsReceived is set before AgentsReceived is called.
-	initialSource  netip.AddrPort
+	// initialSource is the balancer that the first listing came from, invalid if it came
+	// from the store.
+	initialSource netip.AddrPort
+	// agentsReceived is set before AgentsReceived is called.
 	agentsReceived atomic.Bool
-	// recent holds the most recent changes. published has them with the newest listing,
-	// for other balancers. peer is a balancer with a newer version than this one.
-	recent    changes
+	// recent holds the most recent changes.
+	recent changes
+	// published holds the newest listing and the most recent changes for other balancers.
 	published atomic.Pointer[changeLog]
 	// deliveredAsOf is the position of the last listing for which Changed has returned, 0
 	// if there is none.
 	deliveredAsOf atomic.Uint64
-	peer          atomic.Pointer[netip.AddrPort]
-	seeds         atomic.Pointer[[]netip.AddrPort]
-	peers         http.Client
+	// peer is a balancer with a newer version than this one.
+	peer  atomic.Pointer[netip.AddrPort]
+	seeds atomic.Pointer[[]netip.AddrPort]
+	peers http.Client
 	// agents is the last answer with all known agents, created at agentsAt; agentsMu
 	// guards both.
 	agentsMu sync.Mutex
@@ -149,8 +151,9 @@
 	}
 }
 
-// Hint signals that a newer version of the configuration (0 if not known) or of the
-// agents exists, and which balancer has it, if that is known.
+// Hint signals that a newer version of the configuration or of the agent list exists.
+// version is the configuration's, 0 if not known; peer is a balancer that has the newer
+// version, invalid if not known.
 func (f *Follower) Hint(peer netip.AddrPort, version uint64) {
 	if peer.IsValid() {
 		f.peer.Store(&peer)
@@ -187,8 +190,8 @@
 
 // retryAfter returns the pause after a failed call. Other balancers abandon a source that
 // has had no answer of the store for 2 s, and a watch that fails may have waited for most
-// of that time; so a balancer whose watch others share retries at once. While nobody
-// shares its watch, the pauses of all balancers together allow some 20 calls a second,
+// of that time; so a balancer whose watch others share retries at once. The pauses of
+// the balancers whose watches nobody shares together allow some 20 calls a second,
 // whatever the size of the fleet: the first balancer that the store answers informs the
 // others.
 func (f *Follower) retryAfter(backoff *seed.Backoff, random *rand.Rand) time.Duration {
@@ -248,7 +251,7 @@
 		return err
 	}
 	if !asOf.SameEra(f.knownPosition()) {
-		return f.read(ctx) // some changes since are missing, or these are of an earlier era
+		return f.read(ctx) // a restore of the store lost some changes, or the answer is of an earlier era
 	}
 	f.watchFrom = asOf
 	changes = f.filterSnapshot(changes)
@@ -271,7 +274,7 @@
 func (f *Follower) isShared() bool { return f.Shared != nil && f.Shared() }
 
 // watch waits for changes of the store. The wait is cancelled when there is a source, and
-// by a hint once it has lasted for hintMinWatchAge.
+// by a hint once the wait has lasted for hintMinWatchAge.
 func (f *Follower) watch(ctx context.Context) (changes []platform.Item, asOf store.Position, hinted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan interruption, 1)
@@ -295,7 +298,7 @@
 )
 
 // awaitInterruption cancels a watch when there is a source, or on a hint once the watch is
-// older than hintMinWatchAge. It returns the reason.
+// older than hintMinWatchAge. It returns the reason for the cancellation.
 func (f *Follower) awaitInterruption(ctx context.Context, cancel context.CancelFunc) interruption {
 	defer cancel()
 	timer := time.NewTimer(hintMinWatchAge)
@@ -340,7 +343,7 @@
 }
 
 // readAfterHint reads all keys. If the store does not answer, or returns a configuration
-// older than the hinted one, it fetches the listing of the peer that the hint named. A
+// older than the hinted one, readAfterHint fetches the listing of the peer that the hint named. A
 // store restored from an older copy has an older configuration until operators write the
 // current one again.
 func (f *Follower) readAfterHint(ctx context.Context) error {
--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -201,8 +201,8 @@
 }
 
 // askAgents requests the agents that other balancers know and passes them to
-// AgentsReceived. Agents may be running although the store does not list them; if it did
-// not request them, a balancer that starts after their leases have ended would treat their
+// AgentsReceived. Agents may be running although the store does not list them; without the
+// answers, a balancer that starts after their leases have ended would treat their
 // flows as dead. askAgents asks the source if the listing came from one; otherwise, or if
 // the source fails, it asks the seeds.
 func (f *Follower) askAgents(ctx context.Context, source netip.AddrPort, asOf store.Position) {
