--- a/internal/packetface/watchshare/start.go
+++ b/internal/packetface/watchshare/start.go
@@ -8,8 +8,8 @@
 
 // A balancer has no listing when it starts. In a large fleet most balancers start
 // together, at the first start or after a simultaneous loss of power. If each of them
-// read the store, the readings would fill the store's link, and their size grows with
-// balancers times agents. So a balancer that is no seed requests the listing from the
+// read all keys, the answers would fill the store's link: their total size grows with the
+// number of balancers times the number of agents. So a balancer that is no seed requests the listing from the
 // seeds first. The seeds, which start at the same time, record these requests and send
 // their store updates once they have read the store.
 
@@ -19,34 +19,36 @@
 	// listing.
 	startRequestInterval = 15 * time.Millisecond
 	// startSearchInterval is the time between two requests of a balancer that has just
-	// read the store itself: others that started at the same time may have become sources
-	// since.
+	// read the store itself: other balancers that started at the same time may have become
+	// sources meanwhile.
 	startSearchInterval = 60 * time.Millisecond
 	// seedReplyTimeout is how long a starting balancer waits for the first answer of a
-	// seed before it reads the store. seedReadTimeout applies instead if the fleet is
-	// known to be large, so that the seed can read the store itself: a reading of 1,000
-	// agents takes some 100 ms on a link of 20 Mbit/s.
+	// seed before it reads the store.
 	seedReplyTimeout = 25 * time.Millisecond
-	seedReadTimeout  = 400 * time.Millisecond
-	// firstStartTimeout applies instead if the whole system starts for the first time:
-	// the seeds may start later, and callers later than those.
+	// seedReadTimeout replaces seedReplyTimeout if the fleet is known to be large, so that
+	// the seed has time to read the store itself: reading 1,000 agents takes some 100 ms
+	// on a link of 20 Mbit/s.
+	seedReadTimeout = 400 * time.Millisecond
+	// firstStartTimeout replaces both of these timeouts if the whole system starts for the
+	// first time: the seeds may start later than this balancer, and callers later than the
+	// seeds.
 	firstStartTimeout = 2 * time.Second
-	// sizeKnownAfter is the time since the start after which the number of balancers that
-	// have sent requests shows whether the fleet is small.
+	// sizeKnownAfter is the time after the process's start from which the number of
+	// balancers that have sent requests shows whether the fleet is small.
 	sizeKnownAfter = 500 * time.Millisecond
 )
 
 // start is the state of a balancer that concerns its start.
 type start struct {
-	// seed is set if others use this host as a seed, first if the whole system starts for
-	// the first time.
+	// seed is set if other balancers use this host as a seed. first is set if the whole
+	// system starts for the first time.
 	seed, first bool
 	// smallFleet is set if, according to another balancer, the fleet is too small to
 	// share watches.
 	smallFleet bool
 }
 
-// SetStart sets whether the process is a seed of others, and whether the whole system
+// SetStart sets whether other balancers use the process as a seed, and whether the whole system
 // starts for the first time.
 func (s *State) SetStart(seed, first bool) { s.start.seed, s.start.first = seed, first }
 
@@ -55,13 +57,13 @@
 func (s *State) lacksListing() bool { return s.asOf == 0 }
 
 // awaitsSeed reports whether the process accepts a store update from a host that it did not
-// ask last: it does from any seed while it has neither a listing nor a source.
+// ask last. It accepts one from any seed while it has neither a listing nor a source.
 func (s *State) awaitsSeed(host netip.Addr) bool {
 	return s.lacksListing() && !s.source.IsValid() && slices.Contains(s.seeds, host)
 }
 
 // ShouldReadStore reports whether a process without a listing should read the store itself.
-// A seed does so at once; another balancer does when no source has answered in time.
+// A seed reads the store at once, another balancer when no source has answered in time.
 func (s *State) ShouldReadStore(now time.Duration) bool {
 	if s.start.seed || len(s.seeds) == 0 {
 		return true
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -3,7 +3,10 @@
 // no calls and reads no clock: messages of other balancers, answers of the store and the
 // time are its input, and messages are its output. A message is either a watch request
 // (inner.WatchRequest), which asks for changes, or a store update (inner.StoreUpdate), the
-// state of the sender.
+// state of the sender: whether it accepts listeners, and how recent its copy of the store
+// is. The seeds are the balancers that
+// the settings name as the first ones to ask. A listing is a balancer's copy of the
+// configuration and the agent list in the store.
 //
 // Each call of the store is paid for, and each change ends the watch of every balancer.
 // If each of 60 balancers watched the store, a release of 45 upstreams would cost
@@ -11,7 +14,7 @@
 // number of calls grows with the number of changes only.
 //
 // There is no agreement and no election: any number of watching balancers is correct, even
-// all. A balancer asks the seeds of its settings whether they watch the store. A balancer
+// all. A balancer asks the seeds whether they watch the store. A balancer
 // that watches accepts it as a listener; one that listens itself refers it to its own
 // source; one that has no room refers it to one of its listeners, which accepts it. So the
 // listeners of a watching balancer form a tree with that balancer as the root, and no host
@@ -38,11 +41,12 @@
 // Intervals, time limits and bounds.
 const (
 	// StaleAfter is the age of the store's last answer from which a listener watches the
-	// store itself. With the reading that follows it receives a change within the 3 s in
-	// which a configuration must be in force, however its source fails.
+	// store itself. With the call of the store that follows, the listener receives a
+	// change within the 3 s in which a configuration must be in force, however its source
+	// fails.
 	StaleAfter = 2 * time.Second
-	// WatchWait is how long a watch waits if others rely on it. Even with the 240 ms of a
-	// slow store its answer comes within StaleAfter.
+	// WatchWait is how long a watch waits if other balancers rely on it. Even if the store
+	// is slow and takes 240 ms, the answer arrives within StaleAfter.
 	WatchWait = 1400 * time.Millisecond
 	// renewInterval is the time between two requests to the source, each of which the
 	// source answers with a store update.
@@ -55,38 +59,41 @@
 	// balancers after silenceTimeout.
 	askInterval = 200 * time.Millisecond
 	// searchDelayMin and searchDelayMax bound the time after which a watching balancer
-	// without listeners searches for a source. It is randomized, so that not all
-	// balancers search at the same time.
+	// without listeners searches for a source. The time is randomized, so that not all
+	// balancers search at once.
 	searchDelayMin = 300 * time.Millisecond
 	searchDelayMax = 1000 * time.Millisecond
-	// listenerTimeout is the time after its last request for which a listener counts:
-	// three requests.
+	// listenerTimeout is the time after a listener's last request from which it no longer
+	// counts as a listener. Three renewals fit into this time.
 	listenerTimeout = 1500 * time.Millisecond
 	// maxListeners bounds the listeners of one balancer, whatever the size of the fleet.
-	// Their requests take some 0.1% of a core, and two levels hold 1,056 listeners.
+	// The requests of 32 listeners take some 0.1% of a core, and two levels of a tree hold
+	// 1,056 listeners.
 	maxListeners = 32
 	// maxDepth bounds the levels below a watching balancer.
 	maxDepth = 6
 	// gracePerLevel is the additional time that a listener waits for its source to reach
 	// the store again before it watches the store itself, for each level between the
-	// source and the root. During an outage only the upper levels call the store at
-	// first. graceMax bounds the total.
+	// source and the root. So at the beginning of an outage only the upper levels of the
+	// tree call the store.
 	gracePerLevel = 200 * time.Millisecond
-	graceMax      = 400 * time.Millisecond
+	// graceMax bounds the additional time that gracePerLevel adds up to.
+	graceMax = 400 * time.Millisecond
 	// notifyInterval is the minimum time between two notifications of the listeners that
 	// the store has answered.
 	notifyInterval = 100 * time.Millisecond
-	// maxCandidates bounds the balancers that are remembered beside the seeds. They are
-	// asked once maxUnansweredSeeds requests in a row to seeds were not answered.
-	maxCandidates      = 8
+	// maxCandidates bounds the number of balancers that are remembered beside the seeds.
+	maxCandidates = 8
+	// maxUnansweredSeeds is the number of consecutive unanswered requests to seeds after
+	// which the remembered balancers are asked, too.
 	maxUnansweredSeeds = 3
-	// minFleetToShare is the number of balancers from which watches are shared. In a
+	// minFleetToShare is the smallest number of balancers that share watches. In a
 	// smaller fleet the answers to the requests of listeners cost as much as the shared
 	// watches save.
 	minFleetToShare = 12
 )
 
-// Send is a message to the balancer of a host: a store update, or a watch request if
+// Send is a message to the balancer on the host To: a store update, or a watch request if
 // StoreUpdate is nil.
 type Send struct {
 	To           netip.Addr
@@ -108,13 +115,13 @@
 	// when the store last answered a call of this process.
 	asOf       store.Position
 	lastAnswer time.Duration
-	// source is the balancer that this one listens to, invalid while it watches the
-	// store. depth is the number of levels up to the root.
+	// source is the balancer that this one listens to, invalid while this one watches the
+	// store. depth is the number of levels from this balancer up to the root.
 	source netip.Addr
 	depth  uint8
-	// sourceAsOf is the position that the source has announced, confirmed the time at which
-	// the store last answered the root, lastStoreUpdate the time of the last store update
-	// of the source.
+	// sourceAsOf is the position that the source has announced. confirmed is the time at
+	// which the store last answered the root. lastStoreUpdate is the time at which the
+	// source's last store update arrived.
 	sourceAsOf                 store.Position
 	confirmed, lastStoreUpdate time.Duration
 	// asked is the balancer that was asked last and has not answered yet. nextAsk is when
@@ -144,11 +151,12 @@
 	s.seeds = slices.DeleteFunc(slices.Clone(hosts), func(h netip.Addr) bool { return h == s.self })
 }
 
-// Source returns the balancer to listen to. ok is false while this one watches the store.
+// Source returns the balancer to listen to. ok is false while this balancer watches the
+// store.
 func (s *State) Source() (source netip.Addr, ok bool) { return s.source, s.source.IsValid() }
 
-// Confirmed returns when the store last answered the root according to the source, 0 if
-// it has not.
+// Confirmed returns when, according to the source, the store last answered the root, 0 if
+// no source has reported an answer.
 func (s *State) Confirmed() time.Duration { return s.confirmed }
 
 // Behind reports whether the source has announced changes that this process lacks.
@@ -202,8 +210,8 @@
 	return out
 }
 
-// storeUpdateFor returns a message with a store update for a balancer. It names another
-// listener as a balancer to ask when this one fails.
+// storeUpdateFor returns a message with a store update for a balancer. The store update
+// names another listener that the receiver can ask for a source when this balancer fails.
 func (s *State) storeUpdateFor(now time.Duration, to netip.Addr) Send {
 	u := s.storeUpdate(now)
 	if other := s.anyListener(); other != to {
@@ -314,8 +322,9 @@
 	return netip.Addr{}
 }
 
-// HandleStoreUpdate handles a store update of another balancer. It ignores one of a
-// balancer that is neither the source nor the one asked last, unless awaitsSeed allows it.
+// HandleStoreUpdate handles a store update of another balancer. It ignores a store update
+// whose sender is neither the source nor the balancer asked last, unless awaitsSeed allows
+// the sender.
 func (s *State) HandleStoreUpdate(now time.Duration, from netip.Addr, u inner.StoreUpdate) []Send {
 	if from != s.source && from != s.asked && !s.awaitsSeed(from) {
 		return nil
@@ -360,20 +369,20 @@
 	case !s.source.IsValid():
 		return s.joinsWatcher(from, u)
 	}
-	return u.Depth <= s.depth // a deeper one may be a listener of this process
+	return u.Depth <= s.depth // a sender at a deeper level may be a listener of this process
 }
 
-// joinsWatcher reports whether a watching balancer with listeners becomes a listener of
-// another one, together with its own listeners. The other one watches the store, so it
-// cannot be a listener of this one. Of two watching balancers at most one joins the other:
-// seeds always continue to watch, and of two balancers that are no seeds the one with the
-// lower address does.
+// joinsWatcher reports whether this balancer, which watches the store and has listeners,
+// becomes a listener of the sender of a store update and keeps its own listeners. The
+// sender must watch the store, so it cannot be a listener of this balancer. Of two watching
+// balancers at most one joins the other: seeds always continue to watch, and of two
+// balancers that are no seeds the one with the lower address continues.
 func (s *State) joinsWatcher(from netip.Addr, u inner.StoreUpdate) bool {
 	return u.Depth == 0 && !s.precedes(from)
 }
 
-// precedes reports whether, of this balancer and another one, this one continues to
-// watch.
+// precedes reports whether this balancer, rather than the other one, continues to watch the
+// store.
 func (s *State) precedes(other netip.Addr) bool {
 	if s.start.seed || slices.Contains(s.seeds, other) {
 		return s.start.seed
@@ -381,14 +390,15 @@
 	return s.self.Less(other)
 }
 
-// handleRefusal asks the balancer to which another one has referred this one. If the
-// refusal comes from the source, it also makes the next tick ask other balancers.
+// handleRefusal handles a store update whose sender cannot become or remain the source of
+// this balancer. It asks the balancer that the sender names instead, if any. If the sender is
+// the source, handleRefusal also makes the next tick ask other balancers.
 func (s *State) handleRefusal(now time.Duration, from netip.Addr, u inner.StoreUpdate) []Send {
 	if from == s.asked {
 		s.asked = netip.Addr{}
 	}
 	if from == s.source {
-		s.lastStoreUpdate = min(s.lastStoreUpdate, now-silenceTimeout-1) // ask others while the last store update is still recent enough
+		s.lastStoreUpdate = min(s.lastStoreUpdate, now-silenceTimeout-1) // ask other balancers while the last store update is still recent enough
 		s.nextAsk = now
 	}
 	if other := u.Source; other.IsValid() && other != s.self && other != from {
@@ -398,8 +408,8 @@
 	return nil
 }
 
-// ask returns a request to a balancer. redirected is set if the source of that balancer
-// has referred this one to it.
+// ask returns a watch request to a balancer. redirected is set if the source of the
+// requested balancer has referred this balancer to it.
 func (s *State) ask(now time.Duration, host netip.Addr, redirected bool) []Send {
 	s.asked = host
 	s.nextAsk = max(s.nextAsk, now+startRequestInterval)
@@ -407,8 +417,8 @@
 	return []Send{{To: host, WatchRequest: inner.WatchRequest{Redirected: redirected, Root: root}}}
 }
 
-// askAny asks a random seed. If seeds have not answered repeatedly, or there are none, it
-// may ask one of the candidates instead: all seeds may be down.
+// askAny asks a random seed. After maxUnansweredSeeds requests without an answer, or if
+// there are no seeds, it may ask one of the candidates instead: all seeds may be down.
 func (s *State) askAny(now time.Duration) []Send {
 	if len(s.candidates) > 0 && (len(s.seeds) == 0 || s.unanswered >= maxUnansweredSeeds && s.random.IntN(2) == 0) {
 		return s.ask(now, s.candidates[s.random.IntN(len(s.candidates))], false)
@@ -420,7 +430,8 @@
 	return s.ask(now, s.seeds[s.random.IntN(len(s.seeds))], false)
 }
 
-// remember adds a balancer to the candidates. If they are full, it replaces a random one.
+// remember adds a balancer to the candidates. If there are maxCandidates already, the
+// balancer replaces a random one.
 func (s *State) remember(host netip.Addr) {
 	if !host.IsValid() || host == s.self || slices.Contains(s.seeds, host) || slices.Contains(s.candidates, host) {
 		return
@@ -432,8 +443,8 @@
 	s.candidates[s.random.IntN(maxCandidates)] = host
 }
 
-// Tick does what is due by time alone. balancers is the size of the fleet as far as it is
-// known.
+// Tick sends the watch requests that are due, and abandons a source whose data is too old.
+// balancers is the size of the fleet as far as it is known.
 func (s *State) Tick(now time.Duration, balancers int) []Send {
 	s.fleetSize = max(s.fleetSize, balancers)
 	switch {
@@ -473,8 +484,8 @@
 	return s.askAny(now)
 }
 
-// grace returns the additional time that a source has to reach the store again if it still
-// sends store updates, and 0 if it is silent.
+// grace returns the additional time that the source has to reach the store again if the
+// source still sends store updates, and 0 if the source is silent.
 func (s *State) grace(now time.Duration) time.Duration {
 	if now-s.lastStoreUpdate > silenceTimeout {
 		return 0
