--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -40,8 +40,10 @@
 	// KindAnswer is the response to KindAsk (9 bytes and 13 bytes a flow).
 	KindAnswer
 	// KindWatchRequest asks a balancer for its current store update and registers the
-	// sender as its listener (2 bytes). KindStoreUpdate carries a store update (23 bytes).
+	// sender as its listener (2 bytes).
 	KindWatchRequest
+	// KindStoreUpdate carries a store update, the state of the store as the sending
+	// balancer knows it (23 bytes).
 	KindStoreUpdate
 	// KindCheck is sent by an agent to ask a balancer whether the store lists the agent;
 	// the balancer answers with a poll (1 byte).
@@ -99,8 +101,8 @@
 // Poll is a request for an agent's status.
 type Poll struct {
 	Flags Flags
-	// Service is the ServiceID under which the balancer lists the agent, 0 if it lists
-	// none.
+	// Service is the ServiceID under which the balancer lists the agent, 0 if the balancer
+	// does not list the agent.
 	Service uint64
 	// Versions, Evacuation and Cold have the same meaning as in Open.
 	Versions   Versions
@@ -110,7 +112,7 @@
 
 // Versions holds the versions of the configuration and of the agent list that a process
 // has. Agents forward the highest versions that they receive, so that a balancer detects
-// that its own are outdated.
+// that its own configuration or agent list is outdated.
 type Versions struct {
 	// Version is the version of the configuration.
 	Version uint64
@@ -140,8 +142,8 @@
 	// StateFor is the time since the last change of State, in steps of 1 ms up to 49
 	// days.
 	StateFor time.Duration
-	// Source is the host of the balancer that last reported the highest versions, or a
-	// change of the evacuation, to the agent; zero for none.
+	// Source is the host of the balancer that last reported to the agent the highest
+	// versions or a change of the evacuation, zero for none.
 	Source [4]byte
 	// Balancers is the number of balancers from which the agent recently received
 	// datagrams.
@@ -152,7 +154,7 @@
 	// is evacuated.
 	Evacuation evacuation.State
 	// ResponseTime is the recent time from a request to its response, in steps of 1 ms up
-	// to 65 s; 0 if there was none.
+	// to 65 s; 0 if there was no recent response.
 	ResponseTime time.Duration
 	// Warmup is how long upstreams of the service are cold after their start, as reported
 	// to or estimated by the agent, in steps of 1 ms up to 65 s; 0 if unknown.
@@ -324,7 +326,7 @@
 	return head, b[returnedSize:], nil
 }
 
-// appendPosition appends a store position, which has the size of a revision.
+// appendPosition appends a store position, which takes 8 bytes.
 func appendPosition(b []byte, p store.Position) []byte {
 	return binary.BigEndian.AppendUint64(b, uint64(p))
 }
--- a/internal/packetface/inner/peer.go
+++ b/internal/packetface/inner/peer.go
@@ -34,16 +34,17 @@
 	// Source is the host of the sender's own source, or of one of its listeners if
 	// Redirects is set; invalid for none.
 	Source netip.Addr
-	// OtherListener is the host of another listener of the sender, invalid for none. The
-	// receiver can ask it for a new source if the sender fails.
+	// OtherListener is the host of another listener of the sender, invalid for none. If the
+	// sender fails, the receiver can ask that listener for a new source.
 	OtherListener netip.Addr
 }
 
 // WatchRequest asks a balancer for its current store update and registers the sender as its
 // listener.
 type WatchRequest struct {
-	// Redirected reports that the receiver's source named the receiver. The receiver then
-	// accepts the listener or names one of its own listeners, never its source.
+	// Redirected reports that the receiver's source referred the sender to the receiver. The
+	// receiver then accepts the sender as a listener or names one of its own listeners,
+	// never its source.
 	Redirected bool
 	// Root reports that the sender watches the store and has listeners.
 	Root bool
--- a/internal/packetface/inner/state.go
+++ b/internal/packetface/inner/state.go
@@ -12,7 +12,7 @@
 	ReasonBusy                        // all slots are in use
 	ReasonBounced                     // the upstream returned the packet
 	ReasonUnknown                     // the upstream does not hold the flow
-	ReasonUnsure                      // as ReasonUnknown, but inconclusive as in VerdictUnsure
+	ReasonUnsure                      // like ReasonUnknown, but inconclusive for the reason given at VerdictUnsure
 	ReasonFailing                     // the upstream fails its requests
 	ReasonEvacuated                   // the data centre is being evacuated
 	ReasonCold                        // the upstream is cold and at its rate limit
@@ -37,8 +37,8 @@
 	VerdictHeld Verdict = iota + 1
 	// VerdictNone means that the upstream certainly does not hold the flow.
 	VerdictNone
-	// VerdictUnknown means that the agent does not know, because it started after its
-	// upstream.
+	// VerdictUnknown means that the agent does not know whether the upstream holds the
+	// flow, because the agent started after its upstream.
 	VerdictUnknown
 	// VerdictUnsure means that the upstream does not hold the flow, but that the search
 	// must not rely on this answer: the agent has just started and does not know yet how
