--- a/internal/packetface/role/common.go
+++ b/internal/packetface/role/common.go
@@ -52,21 +52,23 @@
 	// receiveBuffer is the size of a socket's receive buffer in bytes. It holds about 200
 	// ms of a busy host's packets.
 	receiveBuffer = 1 << 20
-	// endMargin is the part of the grace period that is kept free at its end.
+	// endMargin is the time before the end of the grace period at which a stopping process
+	// stops serving at the latest.
 	endMargin = 700 * time.Millisecond
 	// stopTick is the interval at which a stopping process checks whether it can end.
 	stopTick = 100 * time.Millisecond
-	// headerTimeout and idleTimeout close connections to the control address on which the
-	// peer sends nothing. Heartbeats arrive about once a second.
+	// headerTimeout bounds the wait for the header of a request at the control address.
 	headerTimeout = 2 * time.Second
-	idleTimeout   = 30 * time.Second
+	// idleTimeout is the time without a request after which a connection to the control
+	// address is closed. Heartbeats arrive about once a second.
+	idleTimeout = 30 * time.Second
 	// opsCloseTime bounds the wait for running readiness checks at the end of the
 	// process.
 	opsCloseTime = 100 * time.Millisecond
 )
 
-// newClock returns a function that returns the time since newClock was called by the
-// monotonic clock. It never returns 0, which stands for never.
+// newClock returns a function that returns the time by the monotonic clock since newClock
+// was called. The returned function never returns 0, which stands for never.
 func newClock() func() time.Duration {
 	started := time.Now()
 	return func() time.Duration { return time.Since(started) + 1 }
--- a/internal/packetface/role/decisionlog.go
+++ b/internal/packetface/role/decisionlog.go
@@ -15,11 +15,13 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Rate limit of the log lines for each kind and reason of decisions. Lines beyond it are
-// counted, and the count is logged at most once a second.
+// Rate limit of the log lines for each kind and reason of decisions. Lines beyond the limit
+// are counted, and their number is logged at most once a second.
 const (
+	// linesPerSecond is the sustained rate.
 	linesPerSecond = 50
-	linesBurst     = 100
+	// linesBurst is the number of lines that may be logged at once.
+	linesBurst = 100
 )
 
 // decisionLog logs and counts decisions. It is not safe for concurrent use.
@@ -31,7 +33,7 @@
 }
 
 // lineLimit is a token bucket for the log lines of one kind and reason. suppressed counts
-// the lines left out since the count was last logged, at reported.
+// the lines left out since reported, the time at which their number was last logged.
 type lineLimit struct {
 	counter    *metrics.Counter
 	tokens     float64
@@ -126,8 +128,8 @@
 }
 
 // logInvalidHeartbeat logs a heartbeat that is invalid and therefore not from an
-// upstream. Each error text is logged once, because the program that sends the heartbeat
-// may continue to do so.
+// upstream. Each error text is logged once, because the program that sent the heartbeat
+// may go on sending invalid ones.
 func (n *decisionLog) logInvalidHeartbeat(err error) {
 	if n.allow("unreadable", "heartbeat") && n.heartbeatErrors.First(err.Error()) {
 		n.log.Warn("Invalid heartbeat ignored.", "error", err.Error())
--- a/internal/packetface/role/metrics.go
+++ b/internal/packetface/role/metrics.go
@@ -12,7 +12,8 @@
 var (
 	answerSeconds = metrics.NewHistogram("saltbend_packet_answer_seconds")
 	waitSeconds   = metrics.NewHistogram("saltbend_packet_slot_wait_seconds")
-	// decisionSeconds is sampled, because reading the clock takes as long as a decision.
+	// decisionSeconds covers one in decisionSample decisions, because reading the clock
+	// takes as long as a decision.
 	decisionSeconds    = metrics.NewHistogram("saltbend_packet_decision_seconds")
 	handOffSeconds     = metrics.NewHistogram("saltbend_packet_hand_off_seconds")
 	stateReportSeconds = metrics.NewHistogram("saltbend_packet_agent_news_seconds")
@@ -20,7 +21,7 @@
 	deadFlowSeconds    = metrics.NewHistogram("saltbend_packet_dead_flow_search_seconds")
 )
 
-// decisionSample is the number of decisions of which one is timed.
+// decisionSample is the sampling interval: one in decisionSample decisions is timed.
 const decisionSample = 64
 
 // decisionTimer times one decision in decisionSample. It is not safe for concurrent use.
--- a/internal/packetface/role/services.go
+++ b/internal/packetface/role/services.go
@@ -11,7 +11,7 @@
 // An address may be reassigned to an upstream of another service, and another program may
 // report a service that does not exist. An agent does not follow the configuration. When
 // a heartbeat names a service that is new to the agent, the agent reads the configuration
-// from the store and checks that it names the service.
+// from the store and checks that the configuration names the service.
 
 const (
 	// servicesTimeout bounds the read of a configuration. An upstream waits 1 s for the
@@ -36,10 +36,10 @@
 type serviceCache struct {
 	mu         sync.Mutex
 	configured map[string]bool
-	// version is the version of that configuration.
+	// version is the version of the last configuration read.
 	version uint64
 	// readAt is when a configuration was last requested, 0 for never. readOK reports
-	// whether that succeeded.
+	// whether the last request succeeded.
 	readAt time.Duration
 	readOK bool
 }
@@ -72,8 +72,8 @@
 	return serviceNotConfigured
 }
 
-// read replaces the cached services by those of the configuration in the store, unless
-// that is older.
+// read replaces the cached services by those of the configuration in the store, unless the
+// store's configuration is older than the cached one.
 func (s *serviceCache) read(store *platform.Store) error {
 	ctx, cancel := context.WithTimeout(context.Background(), servicesTimeout)
 	defer cancel()
--- a/internal/packetface/role/watchshare.go
+++ b/internal/packetface/role/watchshare.go
@@ -69,8 +69,8 @@
 	return true
 }
 
-// countUpdate counts a store update by its position compared with this balancer's. It
-// logs when the source first reports a lower position than this balancer has; the
+// countUpdate counts a store update by its position compared with this balancer's. When the
+// source first reports a lower position than this balancer has, countUpdate logs that; the
 // follower ignores what such a source sends.
 func (b *balancer) countUpdate(from netip.Addr, update inner.StoreUpdate) {
 	switch order := cmp.Compare(update.AsOf, b.knownUpTo); {
