--- a/internal/packetface/admission/retry.go
+++ b/internal/packetface/admission/retry.go
@@ -16,7 +16,7 @@
 const (
 	// RetryInterval is the time from the beginning of a caller's attempt to that of the
 	// next: the caller waits 1.4 s and pauses for 0.02 to 0.25 s. In the simulated load
-	// "busy", the middle of this range loses 22 requests and its upper end 24.
+	// "busy", the middle of this range loses 22 requests and its end 24.
 	RetryInterval = 1500 * time.Millisecond
 	// longestPause is the longest pause of callers between two attempts.
 	longestPause = 250 * time.Millisecond
