--- a/internal/packetface/registry/batch.go
+++ b/internal/packetface/registry/batch.go
@@ -10,7 +10,7 @@
 // one call of the store.
 //
 // When a fleet starts for the first time, or when the store has lost the entries of a
-// part of it, hundreds of agents write within a few seconds. A single entry is written at
+// part of the fleet, hundreds of agents write within a few seconds. A single entry is written at
 // once; writes that arrive within batchInterval of the last call are sent together.
 
 // batchInterval is the minimum time between the starts of two calls. It allows ten calls
@@ -21,9 +21,9 @@
 // identifies the request that waits for the outcome of a write.
 type batch[T any] struct {
 	waiting []pending[T]
-	// busy is set while a call is running. lastCall is the time at which the last call
-	// began, 0 if there was none.
-	busy     bool
+	// busy is set while a call is running.
+	busy bool
+	// lastCall is the time at which the last call began, 0 if there was no call yet.
 	lastCall time.Duration
 }
 
@@ -49,8 +49,8 @@
 }
 
 // take removes the writes of the next call from the queue and marks the call as running.
-// It selects at most one write for each key, because the store refuses a call that has
-// two.
+// It selects at most one write for each key, because the store refuses a call with two
+// writes for a key.
 func (b *batch[T]) take(now time.Duration) (selected []pending[T]) {
 	b.busy, b.lastCall = true, now
 	keys := make(map[string]bool)
--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -19,11 +19,12 @@
 
 const (
 	changesPath = "/packet/changes"
-	// minRecentChanges and maxRecentBytes bound the changes that are retained for
-	// listeners: as many as the store has keys, or minRecentChanges if that is more. For
-	// a listener that lacks more changes, the full listing is the shorter answer.
+	// minRecentChanges is the number of changes that are retained for listeners if the store
+	// has fewer keys; otherwise as many changes are retained as the store has keys. For a
+	// listener that lacks more changes, the full listing is the shorter answer.
 	minRecentChanges = 256
-	maxRecentBytes   = 2 << 20
+	// maxRecentBytes bounds the total size of the values of the retained changes.
+	maxRecentBytes = 2 << 20
 )
 
 // changes are the most recent changes of the store in their order. The zero value has
@@ -79,8 +80,8 @@
 type changeLog struct {
 	shared  *Shared
 	changes changes
-	// listing and full are the encoded answers to a request for the listing and to a
-	// listener whose missing changes have been evicted.
+	// listing is the encoded answer to a request for the listing. full is the encoded answer
+	// to a listener whose missing changes have been evicted.
 	listing, full document
 }
 
@@ -90,7 +91,7 @@
 }
 
 // serveChanges answers a listener with the changes since its position, or with the full
-// listing if some of those have been evicted.
+// listing if some of these changes have been evicted.
 func (f *Follower) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -130,8 +131,8 @@
 }
 
 // followSource waits until the source announces changes, and fetches them. After a hint
-// that something newer exists, it reads the store unless the source announces changes
-// soon.
+// that something newer exists, followSource reads the store unless the source announces
+// changes within hintMinWatchAge.
 func (f *Follower) followSource(ctx context.Context, source netip.AddrPort) error {
 	select {
 	case <-ctx.Done():
@@ -187,8 +188,9 @@
 	}
 }
 
-// sourceWaitTimeout is well below watchshare.StaleAfter, the time for which the snapshot
-// that was read before counts as up to date.
+// sourceWaitTimeout is how long a balancer that has loaded the snapshot waits for a source.
+// It is well below watchshare.StaleAfter, the time for which the loaded state counts as up
+// to date.
 const sourceWaitTimeout = 500 * time.Millisecond
 
 // loadFromSource loads the first listing from the source.
@@ -222,8 +224,8 @@
 	}
 }
 
-// fetchChanges fetches the changes since the own listing from the source. If the source
-// does not answer, it reads the store, so that a failed source does not delay changes.
+// fetchChanges fetches from the source the changes since this balancer's listing. If the
+// source does not answer, fetchChanges reads the store, so that a failed source does not delay changes.
 func (f *Follower) fetchChanges(ctx context.Context, source netip.AddrPort) error {
 	var answer Changes
 	path := changesPath + "?after=" + strconv.FormatUint(uint64(f.listing.AsOf), 10)
--- a/internal/packetface/registry/entry.go
+++ b/internal/packetface/registry/entry.go
@@ -32,9 +32,9 @@
 // maxEntryBytes bounds the encoded size of an entry.
 const maxEntryBytes = 1024
 
-// Entry is what the store holds about an agent: where the agent is and what it serves. It
-// does not identify the process or the run of its upstream, so it stays the same when
-// those restart, and balancers need no update from the store.
+// Entry is what the store holds about an agent: where the agent is and what it serves. An
+// entry does not identify the run of the agent's process or of its upstream, so it stays the
+// same when either restarts, and balancers need no update from the store.
 type Entry struct {
 	Addr       netip.AddrPort `json:"addr"`
 	Service    string         `json:"service"`
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -398,8 +398,8 @@
 }
 
 // recordDifferences adds the differences between all keys and the previous listing to the
-// recent changes. Without them, all listeners would request the full listing whenever the
-// store drops its history.
+// recent changes. Without the differences, all listeners would request the full listing
+// whenever the store drops its history.
 func (f *Follower) recordDifferences(all []platform.Item, asOf store.Position) {
 	if !asOf.SameEra(f.recent.to) || asOf < f.recent.to {
 		f.recent = changes{from: asOf, to: asOf}
--- a/internal/packetface/registry/listing.go
+++ b/internal/packetface/registry/listing.go
@@ -31,7 +31,7 @@
 	evacuations evacuation.Record
 	// newestAgent is the highest position of any agent's entry that was applied.
 	newestAgent store.Position
-	// settledEra is the era that a balancer recorded last as settled.
+	// settledEra is the era that a balancer last recorded as settled in the store.
 	settledEra uint64
 }
 
@@ -64,7 +64,7 @@
 			continue
 		}
 		if change.At < l.entries[change.Key].At {
-			continue // a newer one came from a peer
+			continue // a newer change of the key came from a peer
 		}
 		switch {
 		case change.Key == settledKey && !change.Removed:
@@ -110,8 +110,8 @@
 var ErrOlderConfiguration = errors.New("registry: configuration older than the known one")
 
 // replaces reports whether a configuration replaces the known one. Within an era the
-// position decides. After the store was restored from an older copy it has a
-// configuration that had been replaced before; so between eras the version in the
+// position decides. A store that was restored from an older copy has a configuration
+// that had been replaced before; so between eras the version in the
 // configuration decides, and no process goes back to an older configuration, not even one
 // that has just started.
 func replaces(c, known platform.Item) bool {
@@ -149,7 +149,7 @@
 // have written it again.
 func (l *Listing) Inherit(before *Listing) {
 	if config, ok := before.entries[platform.ConfigKey]; ok {
-		l.applyConfig(config) // an older one is ignored without an error
+		l.applyConfig(config) // an older configuration is ignored without an error
 	}
 	l.evacuations.CarryOver(&before.evacuations)
 	l.settle()
@@ -157,8 +157,8 @@
 
 // Settled reports whether the era of the listing is settled: the time in which agents and
 // operators write again what a restore of the store has lost is over. A balancer records
-// that in the store itself, so that a process that starts after the record need not wait
-// for that time to pass, and one that starts earlier does wait.
+// the settled era in the store, so that a process that starts after the record was written
+// need not wait for this time to pass, and one that starts earlier does wait.
 func (l *Listing) Settled() bool { return l.settledEra == l.AsOf.Era() }
 
 // settle drops the evacuations that are known only from earlier eras, if the listing's era
@@ -260,7 +260,7 @@
 		return entry.At != known.At && replaces(entry, known)
 	}
 	if known.At == 0 {
-		return entry.At > l.AsOf // an older one is known to be removed
+		return entry.At > l.AsOf // an older entry is known to be removed
 	}
 	return entry.At > known.At
 }
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -41,7 +41,7 @@
 	// MinLease is the shortest lease that the store grants.
 	MinLease time.Duration
 	// PositionObserved is called with the store's position whenever this process has
-	// observed a newer one. All entries up to that position may then be in the store.
+	// observed a newer position. All entries up to that position may then be in the store.
 	PositionObserved func(at store.Position)
 
 	routes              storeRoutes
@@ -51,15 +51,16 @@
 	notContactedSignals chan struct{}
 	eras                chan uint64
 	failing             bool
-	// entry is the wanted entry, nil for none. inherited is the entry that the previous
-	// process left.
-	entry     *Entry
+	// entry is the wanted entry, nil for none.
+	entry *Entry
+	// inherited is the entry that the agent's previous process left in the store.
 	inherited Entry
-	// noCallDue is set while no call is due.
+	// noCallDue is set if no call was due when Run last checked and SetEntry was not called
+	// since.
 	noCallDue atomic.Bool
 }
 
-// NewEntryKeeper returns an EntryKeeper that maintains the entry at the address of self.
+// NewEntryKeeper returns an EntryKeeper that maintains the entry of the agent at self.Addr.
 // PositionObserved must be set before Run.
 func NewEntryKeeper(s *platform.Store, log *slog.Logger, clock func() time.Duration, self Entry) *EntryKeeper {
 	return &EntryKeeper{
@@ -69,8 +70,8 @@
 	}
 }
 
-// SetSeeds sets the control addresses of balancers that relay calls while the store
-// refuses those of this host. They may be down.
+// SetSeeds sets the control addresses of balancers that write the entry, and that relay
+// calls while the store refuses the calls of this host. These balancers may be down.
 func (k *EntryKeeper) SetSeeds(seeds []netip.AddrPort) { k.routes.setSeeds(seeds) }
 
 // SetEntry sets the entry that should be in the store, nil for none.
@@ -87,7 +88,8 @@
 // must be called before Run.
 func (k *EntryKeeper) Inherit() { k.publisher.Inherit() }
 
-// NoCallDue reports whether no call was due when Run last checked.
+// NoCallDue reports whether no call was due when Run last checked. It is false from a call of
+// SetEntry until Run checks again.
 func (k *EntryKeeper) NoCallDue() bool { return k.noCallDue.Load() }
 
 // EntryMissing signals that, according to a balancer, the entry is missing in the store.
@@ -150,8 +152,8 @@
 	}
 }
 
-// updateWanted passes the wanted entry to the publisher. It keeps the warm-up time that
-// the previous process observed if that was longer.
+// updateWanted passes the wanted entry to the publisher. It keeps the warm-up time in the
+// entry of the previous process if that time is longer.
 func (k *EntryKeeper) updateWanted() {
 	if k.entry == nil {
 		k.publisher.Want(nil)
@@ -190,8 +192,8 @@
 	}
 }
 
-// call makes one call and passes its outcome to the publisher, after the era that the
-// answer named.
+// call makes one call of the store. It passes to the publisher first the era that the answer
+// named and then the outcome.
 func (k *EntryKeeper) call(ctx context.Context, step Step) (err error) {
 	sent := k.Clock()
 	listed, seen := k.publisher.Listed(), k.publisher.asOf
--- a/internal/packetface/registry/publisher.go
+++ b/internal/packetface/registry/publisher.go
@@ -12,16 +12,17 @@
 
 // Lease and check intervals of an agent's entry.
 const (
-	// leaseTTL is the lease time of an entry. It is long, so that the entry survives an
-	// outage of the store: balancers detect by themselves that an agent is gone.
+	// leaseTTL is the TTL of an entry's lease. The TTL is long, so that the entry survives
+	// an outage of the store: balancers detect by themselves that an agent is gone.
 	leaseTTL = 30 * time.Second
-	// renewDivisor divides the lease time into the interval after which the lease is
-	// renewed.
+	// renewDivisor is the number by which the lease's TTL is divided to give the interval
+	// of renewals.
 	renewDivisor = 3
 	// recheckInterval is the minimum time between two readings of the entry because of
 	// hints that it is missing.
 	recheckInterval = 500 * time.Millisecond
-	// idleReadInterval is the same for an agent that no balancer contacts.
+	// idleReadInterval is the minimum time between two readings of the entry because no
+	// balancer contacts the agent.
 	idleReadInterval = 20 * time.Second
 )
 
@@ -54,24 +55,27 @@
 	written []byte
 	at      store.Position
 	lease   platform.Lease
+	// renewed is the time at which the last successful grant or renewal of the lease was
+	// sent.
 	renewed time.Duration
 	// renewSoon requests a renewal of the lease before it is due.
 	renewSoon bool
-	// uncertain is set if the entry in the store may differ from written, so that it has
-	// to be read before the next write. checked is the time of the last hint that caused
-	// a reading.
+	// uncertain is set if the entry in the store may differ from written, so that the entry
+	// has to be read before the next write.
 	uncertain bool
-	checked   time.Duration
+	// checked is the time of the last hint that caused a reading of the entry.
+	checked time.Duration
 	// inherit is set until the entry that the previous process may have left has been
 	// read. withdrawn is set if there should be no entry, whoever wrote it.
 	inherit, withdrawn bool
 	// asOf is the highest position of the store that this process itself has observed.
 	asOf store.Position
-	// era is the highest observed era. restored is set if the store was restored from an
-	// older copy since the entry was last read; verifyAt is the latest time for the next
-	// reading.
-	era      uint64
+	// era is the highest era of the store that the Publisher knows.
+	era uint64
+	// restored is set if the store was restored from an older copy since the entry was last
+	// read.
 	restored bool
+	// verifyAt is the latest time for the next reading of the entry while restored is set.
 	verifyAt time.Duration
 }
 
@@ -88,8 +92,8 @@
 // Want an existing entry is left as it is, because the upstream may be running.
 func (p *Publisher) Want(text []byte) { p.wanted, p.withdrawn = text, text == nil }
 
-// EntryMissing tells the Publisher that the entry may be missing in the store, so that it
-// is read again, at most once per recheckInterval.
+// EntryMissing tells the Publisher that the entry may be missing in the store. The entry is
+// then read again, at most once per recheckInterval.
 func (p *Publisher) EntryMissing(now time.Duration) {
 	if p.checked == 0 || now-p.checked >= recheckInterval {
 		p.uncertain, p.checked = true, now
@@ -134,7 +138,7 @@
 	return step
 }
 
-// next returns the call that is due if the store was not restored.
+// next returns the call that is due, regardless of a restore of the store.
 func (p *Publisher) next(now time.Duration) Step {
 	switch {
 	case p.inherit:
@@ -163,8 +167,8 @@
 	return StepNone
 }
 
-// nextUndecided returns StepRenew if the lease of an inherited entry is due for renewal;
-// it is used until Want is called.
+// nextUndecided returns the call that is due before Want is first called: StepRenew if the
+// lease of an inherited entry is due for renewal.
 func (p *Publisher) nextUndecided(now time.Duration) Step {
 	if p.lease.ID == 0 {
 		return StepNone
@@ -240,8 +244,8 @@
 	}
 }
 
-// Read records the outcome of StepRead. asOf is the store's position at that time, 0 if
-// it is not known.
+// Read records the outcome of StepRead. asOf is the store's position when it read the entry,
+// 0 if the position is not known.
 func (p *Publisher) Read(item platform.Item, asOf store.Position, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
@@ -261,8 +265,8 @@
 	p.inherit, p.restored = false, false
 }
 
-// adoptLease continues with the lease of the entry that was read. Its remaining time is
-// not known, so it is renewed at once.
+// adoptLease continues with the lease of the entry that was read. The remaining time of the
+// lease is not known, so the lease is renewed at once.
 func (p *Publisher) adoptLease(lease uint64) {
 	if lease != 0 {
 		p.lease, p.renewSoon = platform.Lease{ID: lease, TTL: leaseTTL}, true
--- a/internal/packetface/registry/restore.go
+++ b/internal/packetface/registry/restore.go
@@ -11,8 +11,9 @@
 	"github.com/saltbend/saltbend/internal/store"
 )
 
-// How a Follower handles a store that was restored from an older copy: it logs what was
-// lost, and records in the store when the time for writing that again has passed.
+// This file handles a store that was restored from an older copy: the Follower logs what was
+// lost and, once the time for writing the lost keys again has passed, records that in the
+// store.
 
 const (
 	// rewriteTime is how long operators have to write again what the store lost when it
@@ -22,8 +23,9 @@
 	rewriteTime = 8 * time.Second
 	// settleSpread is the maximum random delay that is added to rewriteTime, so that one
 	// balancer records the era as settled and the others receive that as a change.
-	// settleRetryInterval is the time between two tries of one balancer.
-	settleSpread        = 2 * time.Second
+	settleSpread = 2 * time.Second
+	// settleRetryInterval is the minimum time between two attempts of one balancer to record
+	// the era as settled.
 	settleRetryInterval = 1 * time.Second
 )
 
@@ -73,7 +75,7 @@
 	switch {
 	case err == nil:
 		f.Log.Info("Era recorded as settled.", "at", at, "as_of", f.listing.AsOf)
-	case !errors.Is(err, store.ErrConflict): // on a conflict another balancer has written it
+	case !errors.Is(err, store.ErrConflict): // on a conflict another balancer has written the record
 		f.Log.Warn("Recording the era as settled failed.", "as_of", f.listing.AsOf, "error", err.Error())
 	}
 }
--- a/internal/packetface/registry/routes.go
+++ b/internal/packetface/registry/routes.go
@@ -17,20 +17,22 @@
 )
 
 const (
-	// writerConnect bounds the connection to a balancer that is to write an entry,
-	// writerTimeout the whole request. A balancer may wait 200 ms for further entries and
-	// 240 ms for a slow store. A frozen balancer accepts the request and does not answer,
-	// and a lost entry must be listed again within 2 s.
+	// writerConnect bounds the establishment of a connection to a balancer that is to write
+	// an entry.
 	writerConnect = 250 * time.Millisecond
+	// writerTimeout bounds the whole request to write an entry. A balancer may wait 200 ms
+	// for further entries and 240 ms for a slow store. A frozen balancer accepts the request
+	// and does not answer, and a lost entry must be listed again within 2 s.
 	writerTimeout = 600 * time.Millisecond
 	// maxWrittenBytes bounds the size of the balancer's answer.
 	maxWrittenBytes = 1 << 10
 )
 
-// errNotSent means that no balancer has accepted the write, errNoWriter that none is
-// known.
 var (
-	errNotSent  = errors.New("registry: no balancer accepted the write")
+	// errNotSent means that no balancer has accepted the write.
+	errNotSent = errors.New("registry: no balancer accepted the write")
+	// errNoWriter means that the write was not sent because no balancer is known or
+	// balancers are to be bypassed.
 	errNoWriter = errors.Wrap(errNotSent, "no balancer is known")
 )
 
@@ -45,15 +47,15 @@
 	direct  *platform.Store
 	relays  atomic.Pointer[[]*platform.Store]
 	writers atomic.Pointer[[]netip.AddrPort]
-	// peers is the HTTP client for requests to balancers that write entries. skipWriters
-	// makes the next write bypass them, because the last one did not answer or the store
-	// refused its call.
-	peers       http.Client
+	// peers is the HTTP client for requests to balancers that write entries.
+	peers http.Client
+	// skipWriters makes the next write bypass the balancers, because the last balancer asked
+	// did not answer or the store refused that balancer's call.
 	skipWriters bool
-	// current is the route in use: 0 is the direct one, others are relays. until is the
-	// time at which a relay is left for the direct route.
+	// current is the route in use: 0 is the direct one, others are relays.
 	current int
-	until   time.Duration
+	// until is the time at which the direct route replaces a relay again.
+	until time.Duration
 }
 
 // newStoreRoutes returns storeRoutes without relays. It does not keep connections to
--- a/internal/packetface/registry/snapshot.go
+++ b/internal/packetface/registry/snapshot.go
@@ -17,13 +17,15 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// A snapshot of the listing in the store, for balancers that start.
+// This file reads and writes the snapshot: a key of the store that holds the whole listing
+// in compressed form, for balancers that start.
 //
 // After a simultaneous loss of power all balancers start within half a second, and none
 // of them finds another one that is up. If each of them read all entries, the traffic on
-// the store's link would grow with balancers times agents: 304 readings of 678 agents are
-// 87 MB, 0.7 s at 1 Gbit/s, during which no flow is placed. A snapshot has a twentieth of
-// that size and takes one call; a second call returns the changes since.
+// the store's link would grow with the number of balancers times the number of agents: 304
+// balancers that each read 678 agents transfer 87 MB, which takes 0.7 s at 1 Gbit/s, during
+// which no flow is placed. A snapshot has a twentieth of the size of the entries and takes
+// one call; a second call returns the changes since the snapshot.
 //
 // A balancer whose watch others share writes the snapshot at intervals if something has
 // changed. There is a snapshot only if reading all keys takes more than one call.
@@ -34,16 +36,18 @@
 	// snapshotMinEntries is the number of entries from which a snapshot is written: the
 	// store returns some 500 in one call.
 	snapshotMinEntries = 500
-	// snapshotInterval is the minimum time between two snapshots. A random delay up to
-	// snapshotSpread is added, so that one balancer writes the snapshot and the others
-	// receive that as a change. A store that retains 20 s of history can then return the
-	// changes since the snapshot.
+	// snapshotInterval is the minimum time between two snapshots. Even with snapshotSpread
+	// added, a store that retains 20 s of history can return the changes since the last
+	// snapshot.
 	snapshotInterval = 8 * time.Second
-	snapshotSpread   = 4 * time.Second
-	// maxSnapshotBytes bounds the compressed snapshot and maxListingText its uncompressed
-	// entries, which allows for 20,000 agents.
+	// snapshotSpread is the maximum random delay that is added to snapshotInterval, so that
+	// one balancer writes the snapshot and the others receive it as a change.
+	snapshotSpread = 4 * time.Second
+	// maxSnapshotBytes bounds the size of the compressed snapshot.
 	maxSnapshotBytes = 900 << 10
-	maxListingText   = 16 << 20
+	// maxListingText bounds the size of the snapshot's uncompressed entries. It allows for
+	// 20,000 agents.
+	maxListingText = 16 << 20
 )
 
 // errSnapshot is returned if the value of snapshotKey is not a valid snapshot.
@@ -57,7 +61,7 @@
 
 // snapshot describes the snapshot in the store.
 type snapshot struct {
-	// at is the position of the key's last change, 0 if there is none. covers is the
+	// at is the position of the last change of snapshotKey, 0 if no change is known. covers is the
 	// position up to which the snapshot contains every change.
 	at, covers store.Position
 	// newest is the position of the last change of any other key.
@@ -116,11 +120,11 @@
 	}
 	from := shared.AsOf
 	if item.At.Revision() == from.Revision()+1 {
-		from = item.At // no change in between, so the store need not have the history since
+		from = item.At // nothing changed between the listing and its snapshot, so the store need not have that history
 	}
 	listing, unreadable := NewListing(shared.Entries, from)
 	if now == from {
-		return listing, unreadable, nil // no change since
+		return listing, unreadable, nil // no change since the snapshot
 	}
 	changes, asOf, err := f.Store.Watch(ctx, allKeys, from, confirmWait)
 	if err != nil {
@@ -181,7 +185,7 @@
 }
 
 // writeSnapshot writes the snapshot if it is due. A listener, or a balancer whose watch
-// nobody shares, leaves that to others.
+// nobody shares, leaves the snapshot to other balancers.
 func (f *Follower) writeSnapshot(ctx context.Context) {
 	s := &f.snapshot
 	if _, listens := f.currentSource(); listens || f.listing == nil || !s.stale() || time.Now().Before(s.due) || !f.isShared() {
@@ -201,7 +205,7 @@
 	case err == nil:
 		snapshotsWritten.Inc()
 		f.Log.Info("Snapshot written.", "at", at, "as_of", f.listing.AsOf, "entries", len(f.listing.entries), "bytes", len(text))
-	case !errors.Is(err, store.ErrConflict): // on a conflict another balancer has written it
+	case !errors.Is(err, store.ErrConflict): // on a conflict another balancer has written the snapshot
 		f.Log.Warn("Snapshot not written.", "as_of", f.listing.AsOf, "error", err.Error())
 	}
 }
--- a/internal/packetface/registry/writes.go
+++ b/internal/packetface/registry/writes.go
@@ -18,15 +18,16 @@
 const (
 	// entryPath is the path at which a balancer accepts the writes of agents.
 	entryPath = "/packet/entry"
-	// maxWriteBytes bounds the body of such a request.
+	// maxWriteBytes bounds the body of a request to entryPath.
 	maxWriteBytes = 4 * maxEntryBytes
 )
 
-// batchedWrites counts entries that this balancer has written for agents, batchCalls the
-// calls of the store that it made for them.
 var (
+	// batchedWrites counts the entries that this balancer has written for agents.
 	batchedWrites = metrics.NewCounter(`saltbend_packet_entry_writes_for_others_total`)
-	batchCalls    = metrics.NewCounter(`saltbend_packet_entry_batches_total`)
+	// batchCalls counts the calls of the store with which this balancer has tried to write
+	// entries for agents.
+	batchCalls = metrics.NewCounter(`saltbend_packet_entry_batches_total`)
 )
 
 // outcome is the result of a write, as an agent receives it.
@@ -36,8 +37,9 @@
 const (
 	outcomeDone     outcome = "done"
 	outcomeConflict outcome = "conflict"
-	// With outcomeLeaseEnded and outcomeUnavailable nothing was written.
-	outcomeLeaseEnded  outcome = "lease-ended"
+	// outcomeLeaseEnded means that the entry's lease has ended and nothing was written.
+	outcomeLeaseEnded outcome = "lease-ended"
+	// outcomeUnavailable means that the store did not do the call and nothing was written.
 	outcomeUnavailable outcome = "unavailable"
 	outcomeUnknown     outcome = "unknown"
 )
@@ -49,7 +51,7 @@
 	At store.Position
 }
 
-// outcomes maps each outcome to its error.
+// outcomes maps each outcome except outcomeUnknown to its error.
 var outcomes = map[outcome]error{
 	outcomeDone:        nil,
 	outcomeConflict:    store.ErrConflict,
@@ -120,7 +122,7 @@
 	return err == nil && !w.Delete
 }
 
-// schedule sets a timer for the next call. The caller holds mu.
+// schedule sets a timer for the next call. mu must be held.
 func (w *writer) schedule() {
 	wait, ok := w.batch.due(time.Since(w.started))
 	if !ok {
@@ -139,7 +141,7 @@
 	}
 }
 
-// write makes the writes and sends each outcome to the request that waits for it.
+// write applies the given writes and sends each outcome to the request that waits for it.
 func (w *writer) write(all []pending[chan<- writeAnswer]) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
@@ -165,8 +167,8 @@
 }
 
 // apply makes the writes in one call. If the store refuses the call because of one of the
-// writes, apply splits them in halves and tries each, so that one stale write among 16
-// costs eight further calls.
+// writes, apply splits the writes into halves and makes each half in a call of its own, so
+// that one stale write among 16 costs eight further calls.
 func (w *writer) apply(ctx context.Context, all []pending[chan<- writeAnswer]) []applied {
 	writes := make([]platform.Write, len(all))
 	for i, p := range all {
