--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -31,7 +31,7 @@
 	agentMinStop = 200 * time.Millisecond
 	// storeRemovalWait is the maximum time that a stopping agent waits for its entry to
 	// be removed from the store. A slow store answers in some 240 ms; there is no need to
-	// wait for one that is unreachable.
+	// wait for a store that is unreachable.
 	storeRemovalWait = time.Second
 	// storeCallReserve is the part of the grace period that is kept free for store calls
 	// in progress.
@@ -180,8 +180,8 @@
 	a.apply(result)
 }
 
-// apply sends the datagrams of a result and records its metrics and log notes. The caller
-// holds mu.
+// apply sends the datagrams of a result and records its metrics and log notes. mu must be
+// held.
 func (a *agent) apply(r *gate.Result) {
 	refused := false
 	for _, action := range r.Actions {
@@ -212,14 +212,14 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// onRefused informs the core that the upstream's port is closed. The caller holds mu.
+// onRefused informs the core that the upstream's port is closed. mu must be held.
 func (a *agent) onRefused() {
 	a.apply(a.core.HandleRefusedPacket(a.clock()))
 	a.updateRegistration()
 }
 
 // readRefusals reads errors from the socket to the upstream. The upstream never sends
-// packets to it.
+// packets to that socket.
 func (a *agent) readRefusals() {
 	var b [1]byte
 	for {
@@ -250,7 +250,7 @@
 	}
 }
 
-// updateRegistration passes a changed registration to the registry. The caller holds mu.
+// updateRegistration passes a changed registration to the registry. mu must be held.
 func (a *agent) updateRegistration() {
 	current := a.core.Registration()
 	if current == a.registration {
@@ -335,8 +335,8 @@
 }
 
 // finished reports whether a stopping agent can end, given the time elapsed since the
-// request to stop: its upstream no longer needs it, and its entry is updated in the store
-// or the wait for that is over.
+// request to stop: its upstream no longer needs the agent, and the agent's entry is updated
+// in the store or the wait for this update is over.
 func (a *agent) finished(elapsed time.Duration) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -23,9 +23,10 @@
 
 // Intervals and limits of a balancer.
 const (
-	// tickIdle and tickBusy are the intervals of the balancer's periodic work. tickBusy
-	// applies before the first listing and during searches for the owner of a flow.
+	// tickIdle is the interval of the balancer's periodic work.
 	tickIdle = 50 * time.Millisecond
+	// tickBusy replaces tickIdle before the first listing and during searches for the owner
+	// of a flow, the agent whose upstream holds it.
 	tickBusy = 5 * time.Millisecond
 	// idleBeforeExit is the time without packets after which a stopping balancer ends.
 	// Routers stop sending to it after two failed readiness checks, about 1 s.
@@ -49,16 +50,18 @@
 	// mu guards the fields from here to noAgentAnswers, except tickSoon.
 	mu sync.Mutex
 	// watchShare decides whether this balancer watches the store or receives store changes
-	// from another balancer. source is that other balancer's host, invalid if this
-	// balancer watches the store.
+	// from another balancer.
 	watchShare *watchshare.State
-	source     netip.Addr
-	// knownUpTo is the store position up to which every change is known. settling reports
-	// that the store was recently restored from a copy and that operators may still be
-	// repeating the writes that it lost. laggingSource is a source that was logged as
-	// having fewer changes than this balancer, invalid for none.
-	knownUpTo     store.Position
-	settling      bool
+	// source is the host of the balancer from which this one receives store changes,
+	// invalid if this one watches the store.
+	source netip.Addr
+	// knownUpTo is the store position up to which every change is known.
+	knownUpTo store.Position
+	// settling reports that the store was recently restored from a copy and that operators
+	// may still be repeating the writes that the store lost.
+	settling bool
+	// laggingSource is a source that was logged as having fewer changes than this balancer,
+	// invalid for none.
 	laggingSource netip.Addr
 	// storeReachable reports that the store answers. startedUnsettled reports that the
 	// era of the first listing was not settled and still is not.
@@ -161,7 +164,8 @@
 }
 
 // isReady reports whether routers should send packets to this balancer. A balancer that
-// no agent answers can't serve callers; other balancers may be able to.
+// no agent answers can't serve callers; other balancers may be able to
+// serve them.
 func (b *balancer) isReady() bool {
 	if !b.ready.Load() || b.stopping.Load() {
 		return false
@@ -209,8 +213,8 @@
 	}
 }
 
-// apply sends the datagrams of a result and records its metrics and log notes. The caller
-// holds mu.
+// apply sends the datagrams of a result and records its metrics and log notes. mu must be
+// held.
 func (b *balancer) apply(r *steer.Result) {
 	for _, a := range r.Actions {
 		conn := b.agents
@@ -247,8 +251,8 @@
 	}
 }
 
-// controlAddress returns the control address of the balancer on a host, which has the
-// same port on all hosts. It is invalid for an invalid host and for this balancer's own.
+// controlAddress returns the control address of the balancer on a host; the port is the same
+// on all hosts. The address is invalid if the host is invalid or this balancer's own.
 func (b *balancer) controlAddress(host netip.Addr) netip.AddrPort {
 	if !host.IsValid() || host == b.env.Host.Packets.Addr() {
 		return netip.AddrPort{}
@@ -309,8 +313,8 @@
 }
 
 // onStoreAnswer records a successful step of following the store: a call, or changes
-// received from the source. Only the former proves that the store answers this process,
-// so only then are listeners informed.
+// received from the source. Only a call proves that the store answers this process, so
+// listeners are informed only after a call.
 func (b *balancer) onStoreAnswer() {
 	now := b.clock()
 	b.storeAnswered.Store(int64(now))
@@ -356,8 +360,7 @@
 	b.updateTableFresh()
 }
 
-// setSeeds passes the seeds in the settings to the follower and to the sharing of
-// watches.
+// setSeeds passes the seeds in the settings to the follower and to watchShare.
 func (b *balancer) setSeeds() {
 	found := seeds(b.env.Host)
 	b.follower.SetSeeds(found)
--- a/internal/packetface/role/evacuations.go
+++ b/internal/packetface/role/evacuations.go
@@ -16,7 +16,8 @@
 
 // evacuations tracks the data centres whose upstreams this balancer gives no new flows.
 type evacuations struct {
-	// firstSeen maps the data centres to when this balancer learned of their evacuation.
+	// firstSeen maps each evacuated data centre to the time at which this balancer learned
+	// of its evacuation.
 	firstSeen map[string]time.Duration
 }
 
@@ -52,7 +53,7 @@
 }
 
 // evacuate applies the operators' requests to evacuate data centres. It is called before
-// the agents of the same listing are applied. The caller holds mu.
+// the agents of the same listing are applied. mu must be held.
 func (b *balancer) evacuate(record evacuation.Record) {
 	now := b.clock()
 	begun, ended := b.evacuations.update(now, record.Requests())
