--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -4,9 +4,8 @@
 // time are its input, and messages are its output. A message is either a watch request
 // (inner.WatchRequest), which asks for changes, or a store update (inner.StoreUpdate), the
 // state of the sender: whether it accepts listeners, and how recent its copy of the store
-// is. The seeds are the balancers that
-// the settings name as the first ones to ask. A listing is a balancer's copy of the
-// configuration and the agent list in the store.
+// is. The seeds are the balancers that the settings name as the first ones to ask. A
+// listing is a balancer's copy of the configuration and the agent list in the store.
 //
 // Each call of the store is paid for, and each change ends the watch of every balancer.
 // If each of 60 balancers watched the store, a release of 45 upstreams would cost
