--- a/internal/packetface/evacuation/return_test.go
+++ b/internal/packetface/evacuation/return_test.go
@@ -16,8 +16,7 @@
 // Tests of a store that is restored from an older copy of its data, in a new era.
 
 // The copy lacks a request in force, operators write it again, and then withdraw it. The
-// withdrawal has a lower revision than the original request and must not be ignored because
-// of that.
+// withdrawal has a lower revision than the original request, but must not be ignored.
 func TestRequestLostByTheStoreStaysUntilWithdrawn(t *testing.T) {
 	g := NewWithT(t)
 	var r evacuation.Record
@@ -80,7 +79,7 @@
 }
 
 // restore restores the store from a copy that contains the first changes only. It
-// returns the data centres of the lost ones, which operators write again later.
+// returns the data centres of the lost changes, which operators write again later.
 func (o *operators) restore(kept int) (lost []string) {
 	for _, c := range o.history[kept:] {
 		lost = append(lost, c.DataCentre)
