--- a/internal/packetface/registry/batch.go
+++ b/internal/packetface/registry/batch.go
@@ -9,8 +9,8 @@
 // Agents send the writes of their entries to a balancer, which combines many of them into
 // one call of the store.
 //
-// When a fleet starts for the first time, or when the store has lost the entries of a
-// part of the fleet, hundreds of agents write within a few seconds. A single entry is written at
+// When a fleet starts for the first time, or when the store has lost the entries of a part
+// of the fleet, hundreds of agents write within a few seconds. A single entry is written at
 // once; writes that arrive within batchInterval of the last call are sent together.
 
 // batchInterval is the minimum time between the starts of two calls. It allows ten calls
--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -225,7 +225,8 @@
 }
 
 // fetchChanges fetches from the source the changes since this balancer's listing. If the
-// source does not answer, fetchChanges reads the store, so that a failed source does not delay changes.
+// source does not answer, fetchChanges reads the store, so that a failed source does not
+// delay changes.
 func (f *Follower) fetchChanges(ctx context.Context, source netip.AddrPort) error {
 	var answer Changes
 	path := changesPath + "?after=" + strconv.FormatUint(uint64(f.listing.AsOf), 10)
--- a/internal/packetface/registry/changes_test.go
+++ b/internal/packetface/registry/changes_test.go
@@ -36,8 +36,9 @@
 	return answer.Items
 }
 
-// startPair returns a follower that watches the store and one whose source it is. notify
-// tells the listener that the source has changes, as a datagram between balancers does.
+// startPair returns a source, a follower that watches the store, and a listener that
+// fetches the source's changes. notify tells the listener that the source has changes, as a
+// datagram between balancers does.
 func startPair(t *testing.T, fake *packetplatform.Store) (watcher, listener *follower, notify func()) {
 	g := NewWithT(t)
 	watcher = startFollower(t, fake, 1)
@@ -102,7 +103,7 @@
 	g.Eventually(func() bool { listener.SourceChanged(); return listener.hasListing(0, "2")() }, waitTimeout).Should(BeTrue())
 }
 
-// A listener without a source any more watches the store from the position it has.
+// A listener that has lost its source watches the store from the listener's position.
 func TestListenerWatchesStoreWhenSourceIsUnset(t *testing.T) {
 	g := NewWithT(t)
 	fake := newStore(t)
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -50,7 +50,8 @@
 	// of this balancer.
 	sharedRetryPause = 20 * time.Millisecond
 	// confirmWait is how long the first watch waits after the source was abandoned. The
-	// answer to this watch shows other balancers at once that this balancer reaches the store.
+	// answer to this watch shows other balancers at once that this balancer reaches the
+	// store.
 	confirmWait = time.Millisecond
 )
 
@@ -343,9 +344,9 @@
 }
 
 // readAfterHint reads all keys. If the store does not answer, or returns a configuration
-// older than the hinted one, readAfterHint fetches the listing of the peer that the hint named. A
-// store restored from an older copy has an older configuration until operators write the
-// current one again.
+// older than the hinted one, readAfterHint fetches the listing of the peer that the hint
+// named. A store restored from an older copy has an older configuration until operators
+// write the current one again.
 func (f *Follower) readAfterHint(ctx context.Context) error {
 	err := f.read(ctx)
 	if err != nil || f.olderThanHinted() {
--- a/internal/packetface/registry/snapshot.go
+++ b/internal/packetface/registry/snapshot.go
@@ -61,8 +61,8 @@
 
 // snapshot describes the snapshot in the store.
 type snapshot struct {
-	// at is the position of the last change of snapshotKey, 0 if no change is known. covers is the
-	// position up to which the snapshot contains every change.
+	// at is the position of the last change of snapshotKey, 0 if no change is known.
+	// covers is the position up to which the snapshot contains every change.
 	at, covers store.Position
 	// newest is the position of the last change of any other key.
 	newest store.Position
