--- a/internal/packetface/watchshare/size_test.go
+++ b/internal/packetface/watchshare/size_test.go
@@ -19,8 +19,8 @@
 const (
 	// callsPerSecond bounds the calls of all balancers together while nothing fails.
 	callsPerSecond = 5
-	// outageCallsPerSecond bounds the calls while the store answers no balancer; each of
-	// these is paid for, too.
+	// outageCallsPerSecond bounds the calls while the store answers no balancer; calls
+	// without an answer are paid for, too.
 	outageCallsPerSecond = 50
 	// maxListenersPerHost bounds the listeners of one host.
 	maxListenersPerHost = 32
@@ -76,7 +76,8 @@
 }
 
 // The first store update of a seed that has just started shows that the fleet is large.
-// Starting balancers then have to wait for the seed's own reading, even if it takes long.
+// Starting balancers then have to wait until the seed has read the store, even if that takes
+// long.
 func TestStartingBalancerWaitsForSeedThatReadsStore(t *testing.T) {
 	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
@@ -124,7 +125,7 @@
 	})
 }
 
-// Restarts a part of the balancers one after the other, among them the seeds.
+// The test restarts a part of the balancers one after the other, among them the seeds.
 func TestRollingRestartOfLargeFleetCostsFewCalls(t *testing.T) {
 	forEachSize(t, func(g *WithT, f *fleet) {
 		f.run(6 * time.Second)
--- a/internal/packetface/watchshare/start.go
+++ b/internal/packetface/watchshare/start.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A balancer has no listing when it starts. In a large fleet most balancers start
-// together, at the first start or after a simultaneous loss of power. If each of them
-// read all keys, the answers would fill the store's link: their total size grows with the
-// number of balancers times the number of agents. So a balancer that is no seed requests the listing from the
-// seeds first. The seeds, which start at the same time, record these requests and send
-// their store updates once they have read the store.
+// A balancer has no listing when it starts. In a large fleet most balancers start together,
+// at the first start or after a simultaneous loss of power. If each of them read all keys,
+// the answers would fill the store's link: their total size grows with the number of
+// balancers times the number of agents. So a balancer that is no seed requests the listing
+// from the seeds first. The seeds, which start at the same time, record these requests and
+// send their store updates once they have read the store.
 
 // Intervals and time limits of a start.
 const (
@@ -48,8 +48,8 @@
 	smallFleet bool
 }
 
-// SetStart sets whether other balancers use the process as a seed, and whether the whole system
-// starts for the first time.
+// SetStart sets whether other balancers use the process as a seed, and whether the whole
+// system starts for the first time.
 func (s *State) SetStart(seed, first bool) { s.start.seed, s.start.first = seed, first }
 
 // lacksListing reports whether the process has neither read the store nor loaded a
