--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -164,8 +164,7 @@
 }
 
 // isReady reports whether routers should send packets to this balancer. A balancer that
-// no agent answers can't serve callers; other balancers may be able to
-// serve them.
+// no agent answers can't serve callers; other balancers may be able to serve them.
 func (b *balancer) isReady() bool {
 	if !b.ready.Load() || b.stopping.Load() {
 		return false
