--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -135,11 +135,11 @@
 	err   error
 }
 
-// load loads the first listing from the source or a snapshot if there is one, else from the
-// store. While the store does not answer, it asks the seeds, so that a balancer that starts
-// during an outage can serve from a seed's listing. That listing may lack changes that the
-// seed has missed since the store refused the seed's calls; agents report such changes to
-// both balancers.
+// load loads the first listing from the source if there is one, else from a snapshot if
+// there is one, else from all keys of the store. While the store does not answer, load asks
+// the seeds, so that a balancer that starts during an outage can serve from a seed's
+// listing. That listing may lack changes that the seed has missed since the store refused
+// the seed's calls; agents report such changes to both balancers.
 func (f *Follower) load(ctx context.Context) error {
 	if source, ok := f.awaitSource(ctx); ok {
 		f.AwaitSource = false
--- a/internal/packetface/watchshare/watchshare.go
+++ b/internal/packetface/watchshare/watchshare.go
@@ -13,14 +13,14 @@
 // number of calls grows with the number of changes only.
 //
 // There is no agreement and no election: any number of watching balancers is correct, even
-// all. A balancer asks the seeds whether they watch the store. A balancer that watches
-// accepts it as a listener; one that listens itself refers it to its own source; one that
-// has no room refers it to one of its listeners, which accepts it. So the listeners of a
-// watching balancer form a tree with that balancer as the root, and no host serves more
-// than maxListeners. A balancer that has listeners continues to watch, unless it joins
-// another watching balancer together with its listeners (see joinsWatcher). All store
-// updates contain the time since the store last answered the root of the tree; a listener
-// without a store update younger than StaleAfter watches the store itself.
+// all. A balancer asks the seeds whether they watch the store. A seed that watches accepts
+// the asking balancer as a listener; a seed that listens itself refers it to the seed's own
+// source; a balancer that has no room refers it to one of its listeners, which accepts it.
+// So the listeners of a watching balancer form a tree with that balancer as the root, and
+// no host serves more than maxListeners. A balancer that has listeners continues to watch,
+// unless it joins another watching balancer together with its listeners (see joinsWatcher).
+// All store updates contain the time since the store last answered the root of the tree; a
+// listener without a store update younger than StaleAfter watches the store itself.
 //
 // A balancer that has just started asks for a source before it reads the store; see
 // start.go.
