--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -59,8 +59,8 @@
 	// eligible are the live balancers that nobody suspects: they can be
 	// witnesses.
 	eligible *member.Candidates
-	// live are the live balancers; liveSet identifies the set they were built
-	// from.
+	// live are the live balancers; liveSet identifies the set of balancers that
+	// live was built from.
 	live    *member.Candidates
 	liveSet uint64
 	// retained is the number of members that enough witnesses suspect, but that
@@ -101,7 +101,8 @@
 // Self returns the process's own record.
 func (e *Engine) Self() member.Member { return e.self }
 
-// Table returns the table of the known members. The caller must not change it.
+// Table returns the table of the known members. The engine's owner must not
+// change it.
 func (e *Engine) Table() *member.Table { return e.table }
 
 // SetJoin sets the addresses to announce to while no balancer is known, and until
@@ -127,8 +128,8 @@
 	e.publishSelf(now, next)
 }
 
-// Leave marks the process gone and returns the calls that inform its witnesses
-// and neighbours. After Leave, Actions returns nothing.
+// Leave marks the process gone and returns the actions that inform its
+// witnesses and neighbours. After Leave, Actions returns nothing.
 func (e *Engine) Leave(now time.Time) []Action {
 	e.Update(now, func(m *member.Member) { m.State = member.StateGone })
 	e.chooseWitnesses(now)
@@ -150,8 +151,8 @@
 	e.nextAnnounce = now
 }
 
-// Actions returns the actions due at now. The caller must call it after each
-// message and every few hundred milliseconds.
+// Actions returns the actions due at now. The engine's owner must call Actions
+// after each message and every few hundred milliseconds.
 func (e *Engine) Actions(now time.Time) []Action {
 	if e.self.State == member.StateGone {
 		return nil
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -1,12 +1,12 @@
 // Package gossip implements the membership protocol. A process announces itself
 // regularly (it renews) at a few balancers, its witnesses; balancers flood
 // transitions of members over a sparse graph of balancers, and compare digests of
-// their tables to repair what messages lost. Witnesses probe silent members,
-// exchange suspicions, and declare a member gone when enough of them suspect it. If
-// much of the fleet becomes unreachable at once, a network partition is the likelier
+// their tables to repair the differences that lost messages leave. Witnesses probe
+// silent members, exchange suspicions, and declare a member gone when enough of them
+// suspect it. If much of the fleet becomes unreachable at once, a network partition is the likelier
 // cause: the panic threshold then retains the unreachable members for a while.
 //
-// The package does no I/O and reads no clock: the caller passes in time,
+// The package does no I/O and reads no clock: the engine's owner passes in time,
 // randomness and messages, and carries out the returned actions.
 package gossip
 
@@ -18,7 +18,7 @@
 )
 
 // Claim is what a process states about its configuration in each message. The
-// engine does not use it; the caller fills it in and reads it.
+// engine does not use it; the engine's owner sets and reads it.
 type Claim struct {
 	// Revision is the adopted revision, 0 for none.
 	Revision uint64
@@ -26,7 +26,8 @@
 	// agent never sets it, because an agent receives a revision only after the
 	// balancers.
 	Serving bool
-	// Reading is the newest reading of the store known to the process.
+	// Reading is the newest reading of the configuration's revision from the store
+	// that is known to the process; nil for none.
 	Reading *adopt.Reading
 	// Balancers is the number of live balancers known to the process, without the
 	// receiver of the message.
@@ -95,38 +96,39 @@
 	Suspicions []member.Suspicion
 }
 
-// Action is a step that the engine asks its caller to carry out.
+// Action is a step that the engine asks its owner to carry out.
 type Action interface{ action() }
 
-// SendAnnounce asks the engine's caller to send a renewal; the outcome goes to
+// SendAnnounce asks the engine's owner to send a renewal; the outcome goes to
 // Engine.AnnounceDone or Engine.AnnounceFailed.
 type SendAnnounce struct {
 	To      netip.AddrPort
 	Message Announce
 }
 
-// SendPush asks the engine's caller to send a push. The engine does not need the outcome:
-// digests repair what a lost push would have carried.
+// SendPush asks the engine's owner to send a push. The engine does not need the
+// outcome: the periodic digests lead to an exchange of the records that a lost push
+// carried.
 type SendPush struct {
 	To      netip.AddrPort
 	Message Push
 }
 
-// SendDigest asks the engine's caller to send a digest; the reply goes to
+// SendDigest asks the engine's owner to send a digest; the reply goes to
 // Engine.DigestDone.
 type SendDigest struct {
 	To      netip.AddrPort
 	Message Digest
 }
 
-// SendExchange asks the engine's caller to send an exchange; the reply goes to
+// SendExchange asks the engine's owner to send an exchange; the reply goes to
 // Engine.ExchangeDone.
 type SendExchange struct {
 	To      netip.AddrPort
 	Message Exchange
 }
 
-// Probe asks the engine's caller to check whether a member answers; the outcome goes to
+// Probe asks the engine's owner to check whether a member answers; the outcome goes to
 // Engine.ProbeDone.
 type Probe struct {
 	To netip.AddrPort
@@ -165,12 +167,12 @@
 type Notice struct {
 	Kind   NoticeKind
 	Member member.Member
-	// Count is the number of members that are retained, or of records that were
-	// fetched.
+	// Count is the number of retained members in NoticeRetained, and of received
+	// records in NoticeTableReceived.
 	Count int
 }
 
-// FindPeers asks the engine's caller for addresses to join at, because no known balancer
+// FindPeers asks the engine's owner for addresses to join at, because no known balancer
 // answers.
 type FindPeers struct{}
 
--- a/internal/gossip/push.go
+++ b/internal/gossip/push.go
@@ -28,8 +28,8 @@
 	// budget.
 	bulk       []member.Member
 	suspicions []member.Suspicion
-	// sendClaim requests a push even without records: the claim in it carries a
-	// new configuration revision.
+	// sendClaim requests a push even without records, because the claim in the
+	// push carries a new configuration revision.
 	sendClaim bool
 }
 
@@ -47,8 +47,9 @@
 	}
 }
 
-// isBulk reports whether the record is a declaration or a refutation: apart from
-// the version, nothing that the process itself decides has changed.
+// isBulk reports whether the record is a declaration or a refutation: compared
+// with the record before, nothing that the member itself decides has changed,
+// apart from the version and the configuration revision.
 func isBulk(m, before member.Member) bool {
 	if m.Declared || before.Declared && before.Incarnation == m.Incarnation {
 		return true
@@ -98,7 +99,7 @@
 }
 
 // tryCharge takes size bytes from the byte budget and reports whether they were
-// available. It counts a failed attempt as deferred.
+// available. If they were not, it counts the message as deferred.
 func (e *Engine) tryCharge(now time.Time, size int) bool {
 	if e.budget.AllowN(now, min(size, e.timing.BurstBytes)) {
 		return true
@@ -121,7 +122,7 @@
 }
 
 // neighbours returns the balancers to push to. A balancer that does not answer
-// stays a neighbour, so that a push reaches it as soon as it is back.
+// stays a neighbour, so that a push reaches it as soon as it is reachable again.
 func (e *Engine) neighbours() []netip.AddrPort {
 	if !e.isBalancer() {
 		return nil
--- a/internal/gossip/reconcile.go
+++ b/internal/gossip/reconcile.go
@@ -39,13 +39,15 @@
 	// recentlyGone is the time for which a balancer that was declared gone often
 	// gets a digest; after that it rarely does.
 	recentlyGone = 15 * time.Minute
-	// Odds in the choice of a peer: one in recentlyGoneOneIn digests goes to a
-	// balancer declared gone within recentlyGone, one in goneOneIn of the others to
-	// any balancer declared gone, and one in anyBalancerOneIn of the rest to any
-	// balancer instead of a neighbour.
-	anyBalancerOneIn  = 4
+	// anyBalancerOneIn: of the digests that are not sent to a balancer declared
+	// gone, one in anyBalancerOneIn is sent to any balancer instead of a neighbour.
+	anyBalancerOneIn = 4
+	// recentlyGoneOneIn: one in recentlyGoneOneIn digests is sent to a balancer
+	// declared gone within recentlyGone, if there is one.
 	recentlyGoneOneIn = 2
-	goneOneIn         = 8
+	// goneOneIn: of the other digests, one in goneOneIn is sent to any balancer
+	// declared gone, if there is one.
+	goneOneIn = 8
 )
 
 // randomPeer returns the balancer for the next digest. Mostly this is a
@@ -81,8 +83,8 @@
 	return members[e.rand.IntN(len(members))].Control, true
 }
 
-// HandleDigest compares the sender's digest with the table's and returns the
-// bucket hashes if they differ.
+// HandleDigest compares the sender's digest with that of this process's table
+// and returns the table's bucket hashes if the digests differ.
 func (e *Engine) HandleDigest(_ time.Time, d Digest) DigestReply {
 	reply := DigestReply{Equal: d.Root == e.table.Digest().Root()}
 	if !reply.Equal {
@@ -154,8 +156,8 @@
 	}
 }
 
-// corrections returns corrections of records that the other side has as live and
-// this process as gone. A member that announced its own departure is gone: the
+// corrections returns corrections of records that the sender of the records has as
+// live and this process has as gone. A member that announced its own departure is gone: the
 // reply carries its record. A member that was declared gone may in fact be live:
 // the reply carries a suspicion, so that the member is probed and can refute.
 func (e *Engine) corrections(records []member.Member) Exchange {
--- a/internal/gossip/watch.go
+++ b/internal/gossip/watch.go
@@ -18,15 +18,19 @@
 	// raises the suspicion, so that the member can learn of it while further
 	// probes are under way.
 	probesToDeclare = 2
-	// gracePeriods is the number of renewal periods between the first suspicion
-	// and the declaration. A member needs one of them to learn of the suspicion
+	// gracePeriods is the number of renewal periods between the first suspicion of
+	// an unreachable member and its declaration. If the member's host refuses
+	// connections, it is the divisor instead: the time is one renewal period divided
+	// by gracePeriods. An unreachable member needs one of them to learn of the suspicion
 	// and refute it; after the start of a network partition, it takes that long
 	// until all members hidden by it are suspected.
 	gracePeriods = 2
-	// flapWindow is the time after which returns of a member no longer count, and
-	// maxFlaps limits how often they double the grace.
+	// flapWindow is the time without a further return after which the returns of a
+	// member that was declared gone no longer count.
 	flapWindow = 10 * time.Minute
-	maxFlaps   = 4
+	// maxFlaps limits how often such returns double the time from the first
+	// suspicion to the declaration.
+	maxFlaps = 4
 )
 
 // watch is the state that a witness keeps about one member.
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -5,8 +5,11 @@
 // Routing does not depend on it, and a process that loses its lease merely stops
 // being a seed.
 //
-// The package does no I/O and reads no clock: the caller passes in time,
-// randomness and the outcomes of calls, and carries out the returned actions.
+// A reading of the store is the result of a read of the configuration's key.
+// Processes forward readings, with their age, to each other.
+//
+// The package does no I/O and reads no clock: the owner of a Machine passes in
+// time, randomness and the outcomes of calls, and carries out the returned actions.
 package seed
 
 import (
@@ -24,7 +27,7 @@
 	Spares = 2
 	// Stale is the age of the newest known reading of the store at which spares
 	// begin to try to become seeds. A reading takes some seconds to propagate
-	// through a large fleet, so there spares may try although the seeds work. This
+	// through a large fleet, so in a large fleet spares may try although the seeds work. This
 	// adds only a fixed number of calls, because the number of spares is fixed.
 	Stale = DefaultLease
 	// DefaultLease is how long a seed holds its slot without renewing the lease.
@@ -111,8 +114,8 @@
 	demotedAt   time.Time
 	// takenCount counts the slots found taken. It selects the slot to claim: the
 	// slot that belongs to this process's rank may be held by a process that took
-	// it when that process had another rank; the other slot is then the one to
-	// claim.
+	// it when that process had another rank; the other of the two slots is then
+	// the one to claim.
 	takenCount int
 	backoff    Backoff
 }
@@ -130,7 +133,8 @@
 // clock.
 func (m *Machine) Holding(now time.Time) bool { return m.holding && now.Before(m.heldUntil) }
 
-// Decide returns the call that is due. The caller must pass its outcome to Done.
+// Decide returns the call that is due. The outcome of the call must be passed to
+// Done.
 func (m *Machine) Decide(now time.Time, in Input) Action {
 	if m.holding && !now.Before(m.heldUntil) {
 		m.holding = false
@@ -143,8 +147,7 @@
 	return a
 }
 
-// nextAction returns the call to make, without regard to the time of the next
-// one.
+// nextAction returns the call to make, regardless of when the next call is due.
 func (m *Machine) nextAction(now time.Time, in Input) Action {
 	switch {
 	case m.holding && m.shouldRelease(now, in):
