--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -112,8 +112,8 @@
 	n.adoptConfig(a)
 }
 
-// parseValue parses a stored value and computes its changes against the adopted
-// text.
+// parseValue parses a stored value and computes the changes from the adopted text
+// to the new one.
 func (n *Node) parseValue(value []byte, revision uint64) (adopted, error) {
 	text, err := n.options.Decode(value)
 	if err != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,4 +1,4 @@
-// Package control maintains a process's state of the fleet: the configuration in
+// Package control maintains what a process knows of the fleet: the configuration in
 // force and the members. One goroutine owns this state and publishes immutable
 // snapshots of it, so that the code that handles traffic never waits for it.
 //
--- a/internal/control/fetch.go
+++ b/internal/control/fetch.go
@@ -138,7 +138,7 @@
 		}
 		log, err := have.log.Apply(reply.Update, maxTextBytes)
 		if err != nil && !whole {
-			continue // the peer's text of our revision differs from ours: fetch the whole text
+			continue // the peer's text of this process's revision differs: fetch the whole text
 		}
 		if err != nil {
 			return adopted{}, err
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -59,8 +59,8 @@
 	seeding  seedState
 	reader   configReader
 	finder   finder
-	// publishedSeq is the table's change number at the last publication; dirty is
-	// set if another part of the snapshot has changed since then.
+	// publishedSeq is the member table's change number at the last publication;
+	// dirty is set if another part of the snapshot has changed since then.
 	publishedSeq uint64
 	dirty        bool
 	publishedAt  time.Time
@@ -191,9 +191,9 @@
 	})
 }
 
-// SetLoad changes the process's weight, in thousandths of the share of a
-// warmed-up upstream. Each change is sent to the whole fleet, so callers should
-// round the weight to coarse steps.
+// SetLoad changes the process's weight, which scales its share of new flows, in
+// thousandths of the share of a warmed-up upstream. Each change is sent to the whole
+// fleet, so the weight should be rounded to coarse steps.
 func (n *Node) SetLoad(weight int) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.Weight = weight })
--- a/internal/control/perform.go
+++ b/internal/control/perform.go
@@ -67,7 +67,7 @@
 	var reply gossip.PushReply
 	trip, err := n.call(a.To, "Push", a.Message, &reply)
 	if err != nil {
-		return // the periodic digests repair what the lost push would have carried
+		return // the periodic digests lead to an exchange of the records that the lost push carried
 	}
 	n.post(func(now time.Time) { n.recordReplyClaim(now, a.To, reply.Claim, trip) })
 }
--- a/internal/control/seeding.go
+++ b/internal/control/seeding.go
@@ -23,7 +23,7 @@
 	EventSeedLost  event.Kind = "seed-lease-lost"
 )
 
-// storeTimeout limits one call to the store. Watches are not limited.
+// storeTimeout limits one call to the store. It does not apply to watches.
 const storeTimeout = 3 * time.Second
 
 // seedRecord is the value of a seed's key in the store: the process that holds
@@ -139,7 +139,8 @@
 		}
 	})
 	if result == seed.Held {
-		// Use a new timeout: a slow store may have used up that of the first call.
+		// Use a new timeout: the first call may have used up its own if the store is
+		// slow.
 		reading, done := context.WithTimeout(n.ctx, storeTimeout)
 		defer done()
 		n.readConfig(reading)
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// Digest compares the caller's digest with the table's, and returns the bucket
-// hashes if they differ.
+// Digest compares the sender's digest with that of this process's table, and
+// returns the table's bucket hashes if the digests differ.
 func (s *Service) Digest(d gossip.Digest, reply *gossip.DigestReply) error {
 	if !validAddr(d.From) {
 		return errInvalid
@@ -87,7 +87,7 @@
 	})
 }
 
-// Exchange merges the caller's records and returns the records that the caller
+// Exchange merges the sender's records and returns the records that the sender
 // lacks.
 func (s *Service) Exchange(x gossip.Exchange, reply *gossip.Exchange) error {
 	if !validAddr(x.From) || !validMembers(x.Members) || !validBuckets(x.Buckets) {
@@ -101,7 +101,7 @@
 // PingArgs are the arguments of a balancer's probe.
 type PingArgs struct {
 	From netip.AddrPort
-	// Suspicion is the balancer's suspicion of the process, nil for none.
+	// Suspicion is the balancer's suspicion of the probed process, nil for none.
 	Suspicion *member.Suspicion
 }
 
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -10,7 +10,7 @@
 const MaxGone = 4096
 
 // goneList holds the most recently gone agents, oldest first. Unlike a tombstone,
-// its record of a process remains when a new process starts at the same control
+// the record of a process in this list remains when a new process starts at the same control
 // address.
 type goneList struct {
 	records []goneRecord
@@ -32,8 +32,8 @@
 	l.records = append(l.records, goneRecord{member: m, at: now})
 }
 
-// GoneAgents returns the agents that have gone after since and did not return in
-// the same incarnation, newest first.
+// GoneAgents returns the agents that left or were declared gone after the time since and
+// did not return in the same incarnation, newest first.
 func (t *Table) GoneAgents(since time.Time) []Member {
 	var out []Member
 	for i := len(t.gone.records) - 1; i >= 0; i-- {
--- a/internal/member/panic.go
+++ b/internal/member/panic.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// panicThreshold is the share of a group whose simultaneous loss indicates a
-	// network partition rather than failures of the members.
+	// panicThreshold is the share of a group that must be lost at the same time to
+	// indicate a network partition rather than failures of the members.
 	panicThreshold = 0.5
 	// retainService is how long unreachable agents are retained if at least half
 	// of the agents of their service became unreachable. If they were retained
@@ -25,7 +25,7 @@
 
 func groupOf(m Member) group { return group{m.Role, m.Service} }
 
-// loss counts the lost members of a group and all its members.
+// loss holds the number of lost members of a group and its total size.
 type loss struct {
 	lost, size int
 }
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -14,7 +14,7 @@
 	// Unreachable: the member neither renewed nor answered probes. A network
 	// partition has the same effect.
 	Unreachable Evidence = iota + 1
-	// Refused: the member's host refused the connection, so that no process
+	// Refused: the member's host refused the connection, which means that no process
 	// listens at the member's address.
 	Refused
 )
@@ -82,8 +82,8 @@
 	return true
 }
 
-// current returns the suspicions of the member's version, nil for none. It drops
-// those of other versions.
+// current returns the suspicions of the member's known version, nil for none. It
+// drops those of other versions.
 func (s *Suspects) current(m Member) *suspect {
 	e := s.suspects[m.Control]
 	if e == nil {
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -6,8 +6,8 @@
 )
 
 // DefaultTombstoneTTL is how long a table retains the record of a gone member. It
-// must exceed the longest time for which a peer can be cut off and return with an
-// old table.
+// must exceed the longest time after which a peer that was cut off can return with
+// an old table.
 const DefaultTombstoneTTL = 24 * time.Hour
 
 // entry is one record with the table's change number of its last change.
@@ -74,7 +74,7 @@
 }
 
 // NoteRevision records the configuration revision that a member has in force.
-// This is no transition: the version and the change number of the record stay the
+// This does not count as a transition: the version and the change number of the record stay the
 // same.
 func (t *Table) NoteRevision(control netip.AddrPort, incarnation, revision uint64) {
 	e := t.entries[control]
