--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -14,7 +14,7 @@
 const readBuffer = 1 << 10
 
 // maxRetainedBuffer is the largest encoding buffer that a connection keeps for the next
-// message. Without it, a connection that once sent a configuration would keep a buffer of
+// message. Without this limit, a connection that once sent a configuration would keep a buffer of
 // that size for as long as it is open.
 const maxRetainedBuffer = 16 << 10
 
@@ -117,8 +117,9 @@
 	sent atomic.Bool
 }
 
-// clientCodec implements rpc.ClientCodec. It encodes in the caller's goroutine and writes
-// in another, so that a remote process that doesn't read never blocks a caller.
+// clientCodec implements rpc.ClientCodec. It encodes in the goroutine that makes the call
+// and writes in another one, so that a remote process that doesn't read never blocks the
+// goroutine that makes the call.
 type clientCodec struct {
 	conn *clientConn
 	read *gobReader
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -20,17 +20,17 @@
 	DefaultIdle = 2 * time.Minute
 	// DefaultDial is the timeout of connecting and of the handshake, at either end.
 	DefaultDial = 3 * time.Second
-	// DefaultWrite is the timeout of one write, for remote processes that don't read.
+	// DefaultWrite is the timeout of one write. It expires if the remote process doesn't read.
 	DefaultWrite = 10 * time.Second
 	// DefaultServed is the largest number of connections served at once, including those
 	// that are still in the handshake.
 	DefaultServed = 4096
-	// DefaultHandshakes is the rate limit of answered handshakes, in handshakes per second,
-	// and DefaultHandshakeBurst its burst. A handshake costs about a millisecond of
+	// DefaultHandshakes is the rate limit of answered handshakes per second. A handshake costs about a millisecond of
 	// processor time; without the limit, processes without a key could take processor time
 	// away from traffic. A restart of the whole fleet causes some dozens of handshakes per
 	// process.
-	DefaultHandshakes     = 100
+	DefaultHandshakes = 100
+	// DefaultHandshakeBurst is the burst of the rate limit of answered handshakes.
 	DefaultHandshakeBurst = 200
 )
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
 // Package peer carries net/rpc calls between saltbend's processes over mutually
 // authenticated TLS. Each process proves that it holds the fleet's current or previous
-// secret. A process without a secret can neither make calls nor read any.
+// secret. A process without a secret can neither make calls nor read the calls of others.
 package peer
 
 import (
@@ -206,11 +206,13 @@
 	}
 }
 
-// Refused connections are logged at most at this rate, so that processes without a key
-// can't flood the log. The metric counts all of them.
+// Limits on the logging of refused connections, so that processes without a key can't flood
+// the log. The metric counts all refused connections.
 const (
+	// refusalsPerSecond is the maximum rate of log lines.
 	refusalsPerSecond = 1
-	refusalBurst      = 10
+	// refusalBurst is the number of log lines that may exceed the rate at once.
+	refusalBurst = 10
 )
 
 // checksPerIdlePeriod is how often idle connections are looked for during one idle timeout.
