--- a/internal/apply/attempt.go
+++ b/internal/apply/attempt.go
@@ -14,7 +14,7 @@
 // Verdict is the outcome of a submitted change.
 type Verdict string
 
-// Verdicts.
+// Verdicts on a submitted change.
 const (
 	// Accepted means that the store holds the change.
 	Accepted Verdict = "accepted"
@@ -36,11 +36,11 @@
 // Action is the next step of an attempt.
 type Action int
 
-// Actions.
+// Actions of an attempt.
 const (
 	// Write means to write the same value against the same base revision.
 	Write Action = iota
-	// Read means to read the key.
+	// Read means to read the configuration's key.
 	Read
 	// Done means that the verdict is final.
 	Done
@@ -65,7 +65,8 @@
 	// conflicted is set when a write failed because the key had another revision.
 	conflicted bool
 	// Verdict, Revision and Winner are set once the action is Done. Revision is the
-	// revision of the change; Winner is the record in the store if that is another one.
+	// revision of the change; Winner is the record that the store holds instead of the
+	// change, if known.
 	Verdict  Verdict
 	Revision uint64
 	Winner   *StoredRecord
--- a/internal/apply/backoff.go
+++ b/internal/apply/backoff.go
@@ -9,8 +9,8 @@
 )
 
 // Backoff returns a function for Env.Pause. The delay doubles from first up to limit, and a
-// random duration between half and all of it is used, so that operators whose writes failed
-// at the same time don't retry at the same time.
+// random duration between half and all of the delay is used, so that operators whose writes
+// failed at the same time don't retry at the same time.
 func Backoff(first, limit time.Duration) func(context.Context, int) error {
 	return func(ctx context.Context, n int) error {
 		d := first
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -80,7 +80,7 @@
 	// Priority orders waiting requests; 0 is the highest.
 	Priority int
 	// Idempotent requests may be retried on any upstream of the service. Other requests
-	// need a ticket and run at most once.
+	// need a ticket, a token under which a request runs at most once.
 	Idempotent bool
 	// Deadline is the time from the arrival of a request to its complete response.
 	Deadline time.Duration
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -28,7 +28,8 @@
 }
 
 // Diff returns the differences from old to next: first those of next's services in their
-// order, then the removed services. Either may be nil, which stands for no services.
+// order, then the removed services. Either configuration may be nil, which stands for one
+// without services.
 func Diff(old, next *Config) []Difference {
 	old, next = orEmpty(old), orEmpty(next)
 	diffs := diffFields("", []fieldValue{{"keys", old.Keys.String()}}, []fieldValue{{"keys", next.Keys.String()}})
--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -26,8 +26,8 @@
 	// KindHandOff carries a caller's Initial from an agent to a sibling, another
 	// agent of the same service.
 	KindHandOff
-	// KindProbe checks whether a balancer is alive, or an agent that the fleet
-	// considers gone. The receiver answers with KindProbeReply.
+	// KindProbe checks whether a balancer, or an agent that the fleet considers
+	// gone, is alive. The receiver answers with KindProbeReply.
 	KindProbe
 	// KindProbeReply answers a probe and repeats the probe's other fields. A sender
 	// can put a nonce into a probe's Revision to match the answer to the probe.
@@ -73,7 +73,7 @@
 	Face     netip.AddrPort
 	Service  config.Tag
 	Revision uint64
-	// Balancer is the address, for encapsulated datagrams, of the balancer that
-	// received the caller's datagram. Replies are sent there while it is alive.
+	// Balancer is the address at which the balancer that received the caller's
+	// datagram accepts encapsulated datagrams. Replies are sent there while it is alive.
 	Balancer netip.AddrPort
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -38,7 +38,7 @@
 }
 
 // Record is one accepted change. It doesn't contain its own revision, because the store
-// assigns that when the record is written.
+// assigns the revision when the record is written.
 type Record struct {
 	ID       ChangeID  `json:"id"`
 	Operator string    `json:"operator"`
--- a/internal/settings/findings.go
+++ b/internal/settings/findings.go
@@ -12,7 +12,7 @@
 	Place string
 	// Message describes the error.
 	Message string
-	// Remedy says how to correct it.
+	// Remedy says how to correct the error.
 	Remedy string
 }
 
--- a/internal/store/httpstore/call.go
+++ b/internal/store/httpstore/call.go
@@ -38,7 +38,7 @@
 	body   []byte
 	// writes is true if the request may change the store.
 	writes bool
-	// extra is added to the timeout.
+	// extra is added to the client's timeout for this call.
 	extra time.Duration
 	// limit is the maximum size of the response body; 0 means the size of one value.
 	limit int64
