--- a/internal/adopt/adopt.go
+++ b/internal/adopt/adopt.go
@@ -187,8 +187,8 @@
 	return true
 }
 
-// Decide returns what to fetch and whether to serve. Once it has decided to
-// serve, it does so for the rest of the process's life.
+// Decide returns what to fetch and whether to serve. Once Decide has allowed
+// the process to serve, it allows that for the rest of the process's life.
 func (s *State) Decide(now time.Time) Decision {
 	s.expire(now)
 	d := s.selectFetch()
@@ -198,7 +198,7 @@
 }
 
 // expire removes answers older than Rules.AnswerTTL: the peer may have adopted
-// another revision since.
+// another revision since its answer.
 func (s *State) expire(now time.Time) {
 	for peer, h := range s.answers {
 		if now.Sub(h.at) > s.rules.AnswerTTL {
--- a/internal/confdelta/log.go
+++ b/internal/confdelta/log.go
@@ -54,7 +54,7 @@
 	return l.with(Step{From: l.revision, To: revision, Delta: delta}, text), nil
 }
 
-// with returns the log extended by a step to text. The oldest steps are dropped until the
+// with returns the log extended by the step s, which leads to text. The oldest steps are dropped until the
 // limits hold; a step that exceeds the size limit by itself is dropped with all others.
 func (l Log) with(s Step, text []byte) Log {
 	steps := append(append([]Step{}, l.steps...), s)
--- a/internal/control/gone.go
+++ b/internal/control/gone.go
@@ -4,8 +4,8 @@
 
 const (
 	// GoneFor is how long a gone agent stays in the snapshots. It is twice the
-	// time after which the callers of an agent close a connection on which it is
-	// silent.
+	// time after which the callers of an agent close a connection on which the agent
+	// is silent.
 	GoneFor = 2 * time.Minute
 	// goneExpiryInterval is the interval at which agents that have been gone for
 	// longer than GoneFor are removed if nothing else changes the snapshot.
--- a/internal/control/seeding.go
+++ b/internal/control/seeding.go
@@ -45,7 +45,7 @@
 	return h, nil
 }
 
-// seedState is the state of the process's own lease. The goroutine that owns the
+// seedState is the state of the process's lease as a seed. The goroutine that owns the
 // control state uses it.
 type seedState struct {
 	machine *seed.Machine
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// closingReader calls closed when a read fails.
+// closingReader calls its function closed when a read fails.
 type closingReader struct {
 	net.Conn
 	closed func()
--- a/internal/peer/socket.go
+++ b/internal/peer/socket.go
@@ -14,10 +14,15 @@
 // an acknowledgement, whether of data or of keep-alive probes: 4 s idle and 3 probes every
 // 2 s add up to the same 10 s.
 const (
-	deadPeerTimeout   = 10 * time.Second
-	keepAliveIdle     = 4 * time.Second
+	// deadPeerTimeout is the time for which sent data may stay unacknowledged.
+	deadPeerTimeout = 10 * time.Second
+	// keepAliveIdle is the idle time before the first keep-alive probe.
+	keepAliveIdle = 4 * time.Second
+	// keepAliveInterval is the time between keep-alive probes.
 	keepAliveInterval = 2 * time.Second
-	keepAliveCount    = 3
+	// keepAliveCount is the number of unacknowledged keep-alive probes after which
+	// the connection is closed.
+	keepAliveCount = 3
 )
 
 var (
