--- a/internal/seed/seed_test.go
+++ b/internal/seed/seed_test.go
@@ -80,7 +80,7 @@
 }
 
 // The lease is counted from the time when the call was sent, so that after a slow
-// answer only the rest of it is left.
+// answer only the rest of the lease remains.
 func TestLeaseStartsWhenTheCallIsSent(t *testing.T) {
 	m := newMachine()
 	a := m.Decide(start, seed.Input{})
