--- a/internal/adopt/fleet_test.go
+++ b/internal/adopt/fleet_test.go
@@ -83,9 +83,9 @@
 }
 
 // decide carries out the decision of a process. A fetch returns what the peer has
-// now, which may be a lower revision than the peer stated, if the peer has restarted. decide reports
-// whether the process begins to serve a lower revision than was in force at its
-// start.
+// now, which may be a lower revision than the peer stated, if the peer has
+// restarted. decide reports whether the process begins to serve a lower revision
+// than was in force at its start.
 func (f *fleet) decide(i int) (reverted bool) {
 	p := &f.all[i]
 	d := p.state.Decide(f.now)
--- a/internal/gossip/watch.go
+++ b/internal/gossip/watch.go
@@ -19,11 +19,11 @@
 	// probes are under way.
 	probesToDeclare = 2
 	// gracePeriods is the number of renewal periods between the first suspicion of
-	// an unreachable member and its declaration. If the member's host refuses
-	// connections, it is the divisor instead: the time is one renewal period divided
-	// by gracePeriods. An unreachable member needs one of them to learn of the suspicion
-	// and refute it; after the start of a network partition, it takes that long
-	// until all members hidden by it are suspected.
+	// an unreachable member and its declaration. A member needs one renewal period
+	// to learn of the suspicion and refute it; after the start of a network
+	// partition, it takes one renewal period until all members hidden by the
+	// partition are suspected. If the member's host refuses connections, the time
+	// is one renewal period divided by gracePeriods.
 	gracePeriods = 2
 	// flapWindow is the time without a further return after which the returns of a
 	// member that was declared gone no longer count.
