--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -1,6 +1,6 @@
-// Package search keeps the state of a search for the agent whose upstream holds a flow:
-// which agents were asked, what each answer proves, which agents to ask or probe next,
-// and whether any agent's answer is still open. It does no I/O: ids of agents, verdicts
+// Package search keeps the state of a search for a flow's owner, the agent whose upstream
+// holds the flow: which agents were asked, what each answer proves, which agents to ask or
+// probe next, and whether any agent's answer is still outstanding. It does no I/O: ids of agents, verdicts
 // and the time are its input; ids of agents to ask and to probe are its output. The code
 // that uses the package determines which agents may hold the flow and how recent the list
 // of agents has to be.
@@ -25,7 +25,7 @@
 // while a search contains it: call Forget first.
 type ID uint32
 
-// State is how far it is proved that an agent's upstream does not hold the flow.
+// State tells what an agent has proved about whether its upstream holds the flow.
 type State uint8
 
 // States of an agent in a search.
@@ -35,7 +35,7 @@
 	// CannotTell agents started after their upstreams, so only a packet of the flow shows
 	// whether the upstreams hold it.
 	CannotTell
-	// Probed agents were sent such a packet, and it has not been returned.
+	// Probed agents were sent a packet of the flow and have not returned it.
 	Probed
 	// NotHeld agents have proved that their upstreams do not hold the flow.
 	NotHeld
@@ -172,7 +172,8 @@
 }
 
 // Probe returns the agents that are to be sent a packet of the flow, at most limit, and
-// records them as probed. Those asked first, the likely owners, come first.
+// records them as probed. Agents that were asked earlier, the likely
+// owners, come first.
 func (s *Search) Probe(limit int) []ID {
 	var chosen []ID
 	if s.counts[CannotTell] == 0 {
@@ -245,7 +246,7 @@
 	s.counts[state]++
 }
 
-// find returns the member of an agent, nil if it was not asked.
+// find returns the member for an agent, nil if the agent was not asked.
 func (s *Search) find(id ID) *member {
 	at, found := s.index(id)
 	if !found {
