--- a/internal/packetface/routing/routing.go
+++ b/internal/packetface/routing/routing.go
@@ -20,7 +20,7 @@
 	routes  map[netip.AddrPort]*Route
 	// names are the names of the services of all routes, by id.
 	names map[uint64]string
-	// cold is, by service, how its upstreams warm up according to the configuration.
+	// cold holds, by service id, the cold rate and warm-up given in the configuration.
 	cold map[uint64]inner.Cold
 }
 
@@ -61,7 +61,7 @@
 // ServiceName returns the name of a service, empty if no route has the service.
 func (t *Table) ServiceName(id uint64) string { return t.names[id] }
 
-// Cold returns how upstreams of a service warm up according to the configuration.
+// Cold returns the cold rate and warm-up that the configuration gives for a service.
 func (t *Table) Cold(service uint64) inner.Cold { return t.cold[service] }
 
 func coldOf(s platform.Service) inner.Cold {
