--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -1,9 +1,9 @@
 // Package search keeps the state of a search for a flow's owner, the agent whose upstream
 // holds the flow: which agents were asked, what each answer proves, which agents to ask or
-// probe next, and whether any agent's answer is still outstanding. It does no I/O: ids of agents, verdicts
-// and the time are its input; ids of agents to ask and to probe are its output. The code
-// that uses the package determines which agents may hold the flow and how recent the list
-// of agents has to be.
+// probe next, and whether any agent's answer is still outstanding. It does no I/O: ids of
+// agents, verdicts and the time are its input; ids of agents to ask and to probe are its
+// output. The code that uses the package determines which agents may hold the flow and how
+// recent the list of agents has to be.
 //
 // After a simultaneous power loss every open flow of the fleet is dead, and its next
 // packet starts a search among all agents. A balancer then processes some hundred answers
@@ -172,8 +172,7 @@
 }
 
 // Probe returns the agents that are to be sent a packet of the flow, at most limit, and
-// records them as probed. Agents that were asked earlier, the likely
-// owners, come first.
+// records them as probed. Agents that were asked earlier, the likely owners, come first.
 func (s *Search) Probe(limit int) []ID {
 	var chosen []ID
 	if s.counts[CannotTell] == 0 {
