--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -29,7 +29,7 @@
 		g.admit(now, from, id, p.CopyAge(), retryOffset(head.Flags), packet)
 	}
 	if head.Flags&inner.FlagStatus != 0 || reason == inner.ReasonEvacuated {
-		g.sendStatus(now, from) // sent first, as the balancer uses it to place the returned packet
+		g.sendStatus(now, from) // sent before the returned packet, which the balancer places by this status
 	}
 	if reason != 0 {
 		g.returnPacket(now, from, id, reason, packet)
--- a/internal/packetface/gate/answer.go
+++ b/internal/packetface/gate/answer.go
@@ -110,9 +110,9 @@
 	return g.notHeldVerdict()
 }
 
-// notHeldVerdict returns the verdict on a flow that the upstream does not hold: none only
-// if the answer carries a store position by which the balancer can detect that its list of
-// agents is outdated, unsure otherwise.
+// notHeldVerdict returns the verdict on a flow that the upstream does not hold: VerdictNone
+// only if the answer carries a store position by which the balancer can detect that its
+// list of agents is outdated, VerdictUnsure otherwise.
 func (g *Gate) notHeldVerdict() inner.Verdict {
 	if g.listingKnown() {
 		return inner.VerdictNone
--- a/internal/packetface/gate/cold.go
+++ b/internal/packetface/gate/cold.go
@@ -10,17 +10,18 @@
 
 // cold holds what the agent knows about the warm-up of its upstream.
 type cold struct {
-	// version is the version of the configuration that bounds comes from.
+	// version is the version of the configuration from which bounds was computed.
 	version uint64
 	bounds  coldrate.Bounds
 	window  coldrate.Window
 	warmup  time.Duration
 	// reported is the longest remaining cold time that upstreams of the service have
-	// reported here in their first heartbeat, 0 if none has.
+	// reported to this agent in their first heartbeat, 0 if none has.
 	reported time.Duration
-	// estimate is the same duration computed from the age given in the first heartbeat
-	// received here, 0 if unknown. A step of the host's clock makes it wrong, so balancers
-	// combine the estimates of many hosts.
+	// estimate is the time for which upstreams are cold after their start, computed as the
+	// sum of the age and the remaining cold time in the first heartbeat that this agent
+	// received, 0 if unknown. A step of the host's clock makes the estimate wrong, so
+	// balancers combine the estimates of many hosts.
 	estimate time.Duration
 }
 
@@ -105,7 +106,8 @@
 	return g.cold.warmup-u.initialWarmupLeft < g.settings.HeartbeatInterval/unobservedStartDivisor
 }
 
-// unobservedStartDivisor divides the heartbeat interval into the time since its start
-// within which an upstream counts as just started. It is a fraction of the interval because
-// heartbeats arrive only about once per interval and a slow host delays them.
+// unobservedStartDivisor is the divisor of the heartbeat interval that gives the time since
+// an upstream's start within which the upstream counts as just started. That time is a
+// fraction of the interval because heartbeats arrive only about once per interval and a
+// slow host delays them.
 const unobservedStartDivisor = 3
--- a/internal/packetface/gate/flows.go
+++ b/internal/packetface/gate/flows.go
@@ -20,14 +20,16 @@
 // flow is the agent's state for one flow.
 type flow struct {
 	state flowState
-	// balancer is the one that forwarded the flow's last packet.
+	// balancer is the address of the balancer that forwarded the flow's last packet.
 	balancer netip.AddrPort
 	// openedAt is when the upstream last accepted the opening packet, or when the agent
-	// first saw the flow if it has not; lastPacket is when the flow's last packet arrived.
+	// first saw the flow if the upstream has not accepted the packet; lastPacket is when
+	// the flow's last packet arrived.
 	openedAt, lastPacket time.Duration
 	// openingAge is the time from the caller's first transmission of the opening packet to
-	// that of the admitted copy, 0 if that is the first one. retryOffset is how long before
-	// its first transmission the caller may have opened another flow for the same request.
+	// the transmission of the admitted copy, 0 if that copy is the first. retryOffset is
+	// how long before its first transmission the caller may have opened another flow for
+	// the same request.
 	openingAge, retryOffset time.Duration
 	// opening is the opening packet, kept until the upstream answers it.
 	opening []byte
@@ -50,7 +52,8 @@
 	terms   inner.Terms
 	served  bool
 	waiting *waiting
-	// callerDone and upstreamDone are true once that end has closed its direction.
+	// callerDone is true once the caller has closed its direction of the flow, upstreamDone
+	// once the upstream has.
 	callerDone, upstreamDone bool
 	// probing is true after the agent has forwarded a packet without knowing whether the
 	// upstream holds the flow, until the upstream answers.
@@ -76,7 +79,7 @@
 			return
 		}
 	}
-	g.upstream.fullyObserved, g.upstream.initialWarmupLeft = false, 0 // an open flow is lost: only the upstream knows its flows now
+	g.upstream.fullyObserved, g.upstream.initialWarmupLeft = false, 0 // an open flow is removed, so from now on only the upstream knows all its flows
 	for id, f := range g.flows {
 		g.removeFlow(id, f)
 		return
@@ -117,7 +120,7 @@
 }
 
 // owns reports whether a packet with this acknowledgement number belongs to the flow as
-// opened by this upstream. Retransmissions of an opening packet may have reached several
+// accepted by this upstream. Retransmissions of an opening packet may have reached several
 // upstreams, and the caller continues with the one whose answer arrived first.
 func (g *Gate) owns(f *flow, acknowledged uint32) bool {
 	if f.state != flowOpening || f.probing {
@@ -158,8 +161,7 @@
 
 // sweep removes flows that were closed or never opened once their retention time is over,
 // open flows without a packet for FlowMaxAge, and balancers that have been silent for
-// balancerTTL.
-// Requests without an answer for maxRunningTime no longer count as running.
+// balancerTTL. Requests without an answer for maxRunningTime no longer count as running.
 func (g *Gate) sweep(now time.Duration) {
 	g.swept = now
 	for balancer, at := range g.balancers {
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -43,16 +43,16 @@
 
 // Times are the settings that may change while the process runs.
 type Times struct {
-	// DrainTimeout is the time after the acknowledgement of a drain from which on no new
-	// flow may reach the upstream.
+	// DrainTimeout is how long after the acknowledgement of a drain new flows may still
+	// reach the upstream.
 	DrainTimeout time.Duration
 	// FlowMaxAge is the maximum age of a flow. A flow without packets for that long is
 	// discarded.
 	FlowMaxAge time.Duration
 	// HeartbeatInterval is the interval between two heartbeats of the upstream.
 	HeartbeatInterval time.Duration
-	// ColdOverage is the multiple of its cold rate that a cold upstream may get at most,
-	// for flows that no other upstream accepts.
+	// ColdOverage limits the rate of new flows to a cold upstream when no other upstream
+	// accepts them, as a multiple of the upstream's cold rate.
 	ColdOverage float64
 }
 
@@ -134,7 +134,7 @@
 	// closedTTL is how long a closed or reset flow is kept, so that late packets are still
 	// forwarded to its upstream, which answers them.
 	closedTTL = 10 * time.Second
-	// openingTTL is how long a flow is kept that has not been opened.
+	// openingTTL is how long a flow that has not been opened is kept.
 	openingTTL = 5 * time.Second
 	// missedHeartbeats is the number of missing heartbeats after which the upstream counts
 	// as silent.
@@ -143,17 +143,17 @@
 	// position reported by balancers is relied on: by then the balancers that use the agent
 	// have polled it several times.
 	settleTime = 400 * time.Millisecond
-	// leaveDelay is the time after an upstream's announcement that it leaves at which it
+	// leaveDelay is the time from an upstream's announcement that it is leaving until it
 	// counts as ended.
 	leaveDelay = 200 * time.Millisecond
-	// longWait and slowAnswer are the thresholds from which on a request's wait for a slot,
-	// or its response time, is logged individually.
-	longWait   = 100 * time.Millisecond
+	// longWait is the wait for a slot from which on a request is logged individually.
+	longWait = 100 * time.Millisecond
+	// slowAnswer is the response time from which on a request is logged individually.
 	slowAnswer = 500 * time.Millisecond
 	// refusals is the number of consecutive packets refused for lack of a listening socket
-	// after which the upstream counts as down; refusalSpan is the least time between the
-	// first and the last of them.
-	refusals    = 2
+	// after which the upstream counts as down.
+	refusals = 2
+	// refusalSpan is the least time between the first and the last of these refusals.
 	refusalSpan = 20 * time.Millisecond
 	// sweepEvery is the interval at which expired flows are removed.
 	sweepEvery = 2 * time.Second
@@ -167,13 +167,14 @@
 	// with as many closed flows.
 	maxFlows = 8192
 	// latencyMaxAge is the age at which the mean latency becomes invalid, so that balancers
-	// try an upstream again that was slow.
+	// try a slow upstream again.
 	latencyMaxAge = 2 * time.Second
 	// latencyWeight is the weight of the newest response time in the moving average of the
 	// latency.
 	latencyWeight = 0.1
-	// firstHeartbeat is the highest sequence number of a heartbeat that shows that the
-	// agent has been running since the upstream's start.
+	// firstHeartbeat is the highest sequence number that the first heartbeat of an instance
+	// may have. An agent that receives the first heartbeat has been running since the
+	// instance's start.
 	firstHeartbeat = 1
 )
 
@@ -207,8 +208,8 @@
 	// sentPacket is true once the upstream has sent a packet since the agent's start that
 	// only a running upstream sends.
 	sentPacket bool
-	// refused counts consecutive packets to the upstream that were refused because no
-	// socket listened, refusedAt is when the first of them was.
+	// refused counts consecutive packets to the upstream that were refused because no socket
+	// listened, refusedAt is when the first of them was refused.
 	refused   int
 	refusedAt time.Duration
 }
@@ -221,8 +222,8 @@
 	flows    map[platform.Flow]*flow
 	queue    admission.Queue[*waiting]
 	upstream upstream
-	// ended are instances that have ended; candidate is one that has reported but is not
-	// adopted yet.
+	// ended are instances that have ended; candidate is an instance that has reported but is
+	// not adopted yet.
 	ended     []platform.Instance
 	candidate candidate
 	// contested is true if an instance of another service has reported from the upstream's
--- a/internal/packetface/gate/idle.go
+++ b/internal/packetface/gate/idle.go
@@ -17,10 +17,10 @@
 	// idleTimeout is the time without a datagram from any balancer after which a check is
 	// sent.
 	idleTimeout = 2 * time.Second
-	// checkTimeout is the time to wait for the answer to a check, maxChecks how many checks
-	// are sent before the agent queries the store.
+	// checkTimeout is the time to wait for the answer to a check.
 	checkTimeout = 300 * time.Millisecond
-	maxChecks    = 2
+	// maxChecks is the number of unanswered checks after which the agent queries the store.
+	maxChecks = 2
 	// maxRecent bounds the recent balancers that are kept as receivers of checks.
 	maxRecent = 8
 )
@@ -73,8 +73,8 @@
 func (g *Gate) SetSeeds(seeds []netip.AddrPort) { g.idle.seeds = seeds }
 
 // CheckListed sends a check to a balancer, asking whether the store lists this agent, if no
-// balancer has sent a datagram for idleTimeout. written reports that no write to the store
-// is pending: balancers do not know an entry yet that has just been written. If no balancer
+// balancer has sent a datagram for idleTimeout. written is true if no write to the store is
+// pending: balancers do not know an entry yet that has just been written. If no balancer
 // answers, TakeNoBalancerAnswered returns true.
 func (g *Gate) CheckListed(now time.Duration, written bool) *Result {
 	g.resetResult()
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -21,7 +21,7 @@
 const (
 	// maxEnded bounds the ended instances that are remembered.
 	maxEnded = 16
-	// confirmDivisor divides the heartbeat interval into the least time that must lie
+	// confirmDivisor is the divisor of the heartbeat interval that gives the minimum time
 	// between two heartbeats that confirm an instance. Delayed heartbeats arrive together.
 	confirmDivisor = 2
 	// overdueHeartbeats is the number of missing heartbeats after which another instance is
@@ -127,8 +127,8 @@
 }
 
 // adoptInstance makes the sender of a heartbeat the current instance. If the previous
-// instance has certainly ended, flows opened before its last heartbeat are reset; for the
-// others only the upstream knows whether it holds them.
+// instance has certainly ended, flows opened before its last heartbeat are reset. Of other
+// flows, only the upstream knows whether it holds them.
 func (g *Gate) adoptInstance(now time.Duration, beat platform.Heartbeat, s succession) {
 	before := g.upstream
 	if !before.unknown() {
--- a/internal/packetface/gate/queue.go
+++ b/internal/packetface/gate/queue.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// While all slots of the upstream are in use, requests wait here rather than in the
+// While all slots of the upstream are in use, requests wait in the agent rather than in the
 // upstream's own queue, which is short, has no priorities and refuses requests beyond its
 // length. Package admission determines the order.
 
@@ -76,7 +76,8 @@
 	return g.slots() > 0 && g.running >= g.slots()
 }
 
-// hold queues a packet if its request has to wait for a slot, and reports whether it did.
+// hold queues a packet if its request has to wait for a slot, and reports whether the
+// packet was queued.
 func (g *Gate) hold(now time.Duration, id platform.Flow, f *flow, p *platform.Packet, packet []byte) bool {
 	if f.waiting == nil {
 		begins := f.isNew(p) && f.state == flowOpen && !f.running
@@ -107,8 +108,8 @@
 	}
 }
 
-// release forwards waiting requests to the upstream while it has free slots, and those
-// whose maximum wait is over.
+// release forwards waiting requests to the upstream while it has free slots. Requests whose
+// maximum wait is over are forwarded without a free slot, too.
 func (g *Gate) release(now time.Duration) {
 	for g.queue.Len() > 0 {
 		w, why := g.next(now)
--- a/internal/packetface/gate/reply.go
+++ b/internal/packetface/gate/reply.go
@@ -71,7 +71,7 @@
 		g.resetByUpstream(now, id, f)
 	}
 	// Packets may be reordered on the way to this socket, so that the end of a flow arrives
-	// before the answer. It then counts as the answer.
+	// before the answer. The end then counts as the answer.
 	if f.running && (p.Length > 0 || p.Flags.Has(platform.FlagFIN)) {
 		g.recordAnswer(now, id, f)
 	}
@@ -82,16 +82,16 @@
 	g.send(ToCaller, g.caller(id), b)
 }
 
-// provesAlive reports whether only a running upstream sends such a packet. For an upstream
-// that has ended, its host replies: it returns packets, acknowledges the end of a flow and
-// answers data with a reset.
+// provesAlive reports whether p is a packet that only a running upstream sends. For an
+// upstream that has ended, its host replies: it returns packets, acknowledges the end of a
+// flow and answers data with a reset.
 func provesAlive(p *platform.Packet) bool {
 	return p.Length > 0 || p.Flags.Has(platform.FlagSYN) || p.Flags.Has(platform.FlagFIN)
 }
 
 // stateOfUnknown returns the initial state for a flow that the agent first sees by a reply
-// of the upstream, as it is older than the agent. A flow whose opening packet is only now
-// answered may have been opened at another upstream by a retransmission.
+// of the upstream, as the flow is older than the agent process. A flow whose opening packet
+// is only now answered may have been opened at another upstream by a retransmission.
 func stateOfUnknown(p *platform.Packet) flowState {
 	if p.Flags.Has(platform.FlagSYN) {
 		return flowOpening
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -20,8 +20,8 @@
 	// reports none.
 	Service, DataCentre string
 	Slots               int
-	// Warmup is the longest time for which upstreams of the service have reported to be
-	// cold after their start, 0 if none has.
+	// Warmup is the longest time for which upstreams of the service have reported that
+	// they are cold after their start, 0 if none has reported it.
 	Warmup time.Duration
 }
 
@@ -53,7 +53,7 @@
 	u.lastHeartbeat, u.sequence, u.slots, u.down, u.silent = now, beat.Sequence, beat.Slots, false, false
 	u.coldEnd = now + beat.WarmupLeft
 	if revived {
-		u.fullyObserved, u.initialWarmupLeft = false, 0 // it may have opened flows unobserved while it counted as down
+		u.fullyObserved, u.initialWarmupLeft = false, 0 // the upstream may have opened flows unobserved while it counted as down
 		g.note(now, Note{Kind: KindUpstream, Reason: "back " + u.instance.String()})
 		g.announce(now)
 	}
@@ -69,7 +69,7 @@
 	return &g.out, true
 }
 
-// HandleLeave handles the announcement of an instance of the upstream that it ends.
+// HandleLeave handles the announcement by an instance of the upstream that it is ending.
 func (g *Gate) HandleLeave(now time.Duration, instance platform.Instance) (result *Result, ok bool) {
 	g.resetResult()
 	if !g.upstream.endedBy(instance) {
@@ -82,9 +82,9 @@
 	return &g.out, true
 }
 
-// endedBy reports whether the announcement of an instance that it ends applies to the
-// current upstream: it does if it comes from that instance, or from one with the same id
-// that started later. An announcement of an earlier instance is outdated.
+// endedBy reports whether an instance's announcement that it is ending applies to the
+// current upstream. This is so if the announcement comes from that instance, or from one
+// with the same id that started later. An announcement of an earlier instance is outdated.
 func (u *upstream) endedBy(instance platform.Instance) bool {
 	return instance.MayBeSame(u.instance) || instance.ID == u.instance.ID && instance.StartedMS > u.instance.StartedMS
 }
@@ -137,7 +137,8 @@
 }
 
 // resetBefore resets all flows that were opened before the given time, so that their
-// callers can retry at once. For the others only the upstream knows whether it holds them.
+// callers can retry at once. Of other flows, only the upstream knows whether it holds
+// them.
 func (g *Gate) resetBefore(now, ended time.Duration, reason string) {
 	for id, f := range g.flows {
 		if f.openedAt >= ended {
@@ -182,9 +183,9 @@
 
 // Finished reports whether a process that is shutting down has nothing left to do for its
 // upstream. If the upstream has not reported since the process's start, the process waits
-// for its next heartbeat, or until enough are missing to show that it has ended. In that
-// time the process answers searches for flows, and it learns whether its entry must stay
-// for its successor.
+// for the upstream's next heartbeat, or until enough heartbeats are missing to show that
+// the upstream has ended. In that time the process answers searches for flows, and it
+// learns whether its entry must stay for its successor.
 func (g *Gate) Finished() bool {
 	u := &g.upstream
 	if u.unknown() && !u.sentPacket {
