--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -17,8 +17,8 @@
 	Service    uint64
 	DataCentre string
 	Slots      int
-	// Warmup is how long upstreams of its service have been observed to be cold after a
-	// start, 0 if no start has been observed.
+	// Warmup is how long upstreams of the agent's service have been observed to be cold
+	// after a start, 0 if no start has been observed.
 	Warmup time.Duration
 	// Damaged is set if another writer has overwritten the entry. The next polls tell the
 	// agent, so that it writes its entry again.
@@ -45,7 +45,9 @@
 	// suspectAfter is the time without an answer after which an agent is suspected,
 	// provided that suspectMinRequests requests are unanswered. A suspected agent gets no
 	// new flows if any other agent can take them.
-	suspectAfter       = 250 * time.Millisecond
+	suspectAfter = 250 * time.Millisecond
+	// suspectMinRequests is the minimum number of unanswered requests of a suspected
+	// agent.
 	suspectMinRequests = 2
 	// DefaultAbsentAfter is the usual value of Settings.AbsentAfter, the time without an
 	// answer after which an agent counts as absent.
@@ -94,7 +96,7 @@
 	pending int
 	// questions are waiting to be sent to the agent.
 	questions []inner.Question
-	// evacuation is the newest known evacuation state of its data centre.
+	// evacuation is the newest known evacuation state of the agent's data centre.
 	evacuation evacuation.State
 	// requiredListing is a position of the list of agents. The agent is polled until it
 	// reports that it knows of this position.
@@ -124,8 +126,8 @@
 	a.status, a.statusAt, a.pending = s, now, 0
 }
 
-// setRunning records the load that an agent reports with a packet returned as busy. It
-// counts as at least the number of slots in the agent's status.
+// setRunning records the load that an agent reports with a packet returned as busy. The
+// load counts as at least the number of slots in the agent's status.
 func (a *agent) setRunning(now time.Duration, running uint16) {
 	a.status.Running, a.statusAt, a.pending = max(running, a.status.Slots), now, 0
 }
@@ -146,9 +148,10 @@
 	return a.waitingSince != 0 && now-a.waitingSince > suspectAfter && a.unanswered >= suspectMinRequests
 }
 
-// isAbsent reports whether the agent has left requests unanswered for longer than after,
-// so that its flows make no progress. An agent that is stopping has restartAllowance if
-// that is longer; with an after of 0 no agent counts as absent.
+// isAbsent reports whether the agent has left requests unanswered for longer than the
+// duration after, so that its flows make no progress. An agent that is stopping has
+// restartAllowance if that is longer than after. If after is not positive, no agent
+// counts as absent.
 func (a *agent) isAbsent(now, after time.Duration) bool {
 	if after <= 0 || !a.isSuspect(now) {
 		return false
@@ -227,7 +230,7 @@
 		return nil
 	}
 	if s, err := inner.ParseStatus(b); err != nil || s.State == inner.StateDown {
-		return nil // statuses are all that agents report unsolicited
+		return nil // the only unsolicited datagrams of agents are statuses
 	}
 	c.applyEntry(removed.Agent)
 	a := c.roster.agents[from]
@@ -370,8 +373,8 @@
 }
 
 // pollDue reports whether the agent is to be polled now: because it is unlisted or its
-// entry is damaged, because it has not reported the required list, or because requests
-// are unanswered.
+// entry is damaged, because it has not reported that it knows of requiredListing, or
+// because requests are unanswered.
 func (a *agent) pollDue(now time.Duration) bool {
 	since := now - a.lastRequest
 	switch {
--- a/internal/packetface/steer/early_openings.go
+++ b/internal/packetface/steer/early_openings.go
@@ -9,15 +9,16 @@
 
 // A balancer that has just started has neither routes nor agents for some 20 to 40 ms.
 // After a simultaneous power loss opening packets from callers arrive from the first
-// millisecond on. A dropped one is sent again after 0.2 or 0.4 s, and the last copy not
-// at all, so opening packets are buffered until the first list of agents is there.
+// millisecond on. A caller repeats a dropped packet after 0.2 or 0.4 s, and does not
+// repeat its last copy, so opening packets are buffered until the first list of agents is
+// there.
 
 const (
 	// maxEarlyOpenings bounds the buffered opening packets: those of 100 ms at 5,000 a
 	// second, with 31 bytes each.
 	maxEarlyOpenings = 512
-	// maxEarlyAge is the age at which a buffered packet is dropped: its caller has sent a
-	// copy.
+	// maxEarlyAge is the age at which a buffered packet is dropped: by then its caller
+	// has sent another copy.
 	maxEarlyAge = 200 * time.Millisecond
 )
 
@@ -29,7 +30,7 @@
 }
 
 // bufferEarly buffers an opening packet until routes and agents are known; it reports
-// whether it did.
+// whether the packet was buffered.
 func (c *Core) bufferEarly(now time.Duration, id platform.Flow, b []byte) bool {
 	if c.table != nil || len(c.early) >= maxEarlyOpenings {
 		return false
--- a/internal/packetface/steer/evacuation.go
+++ b/internal/packetface/steer/evacuation.go
@@ -23,13 +23,13 @@
 	// evacuatedPollInterval is the minimum time between two polls of an agent that has
 	// reported the evacuation.
 	evacuatedPollInterval = 500 * time.Millisecond
-	// pollersUninformed is how many balancers of the fleet, on average, poll between two
-	// ticks (50 ms) an agent that has not reported the evacuation. The agent is informed
+	// pollersUninformed is how many balancers of the fleet, on average per tick interval
+	// (50 ms), poll an agent that has not reported the evacuation. The agent is informed
 	// within one tick, and its status informs all other balancers.
 	pollersUninformed = 4
-	// pollersInformed is the same for an agent that has reported the evacuation: about one
-	// poll in 50 ms from the whole fleet, so that a restarted agent is informed long
-	// before operators rely on the evacuation (5 s).
+	// pollersInformed is the same number for an agent that has reported the evacuation:
+	// about one poll in 50 ms from the whole fleet, so that a restarted agent is informed
+	// long before operators rely on the evacuation (5 s).
 	pollersInformed = 1
 )
 
@@ -76,7 +76,7 @@
 
 // mergeEvacuation merges a reported state of an agent's data centre with the state known
 // for the agent and with the operators' requests that the balancer has, and keeps the
-// newest. It reports whether this has started or ended the agent's evacuation.
+// newest. It reports whether the merge has started or ended the agent's evacuation.
 func (c *Core) mergeEvacuation(a *agent, received evacuation.State) (changed bool) {
 	before := a.evacuation
 	a.evacuation = c.evacuations.Resolve(a.DataCentre, before.Newer(received))
--- a/internal/packetface/steer/flows.go
+++ b/internal/packetface/steer/flows.go
@@ -11,8 +11,8 @@
 // flow is the balancer's state for a flow.
 type flow struct {
 	agent *agent
-	// placed is when its opening packet was sent to agent, seen is when its last packet
-	// arrived.
+	// placed is when the flow's opening packet was sent to the agent or a search found
+	// the agent; seen is when the flow's last packet arrived.
 	placed, seen time.Duration
 	// open is set once the caller has sent a packet that follows the opening.
 	open bool
--- a/internal/packetface/steer/former_services.go
+++ b/internal/packetface/steer/former_services.go
@@ -11,13 +11,14 @@
 
 // A flow is held by an agent of a service that its face routes to now, or routed to when
 // the flow was opened. A balancer that has followed the configuration for longer than any
-// flow lasts knows all these services. To find a flow's holder it asks no other agents, so
-// the cost of that search does not grow with the fleet.
+// flow lasts knows all these services. To find a flow's owner, the agent whose upstream
+// holds it, the balancer asks only agents of these services, so the cost of that search
+// does not grow with the fleet.
 
-// formerRetentionFactor is a multiple of the maximum lifetime of a flow. A balancer has
-// to follow the configuration for that long before it relies on its record of former
-// services, and keeps a former service for that long: other balancers may have placed
-// flows by an older version of the configuration for a while.
+// formerRetentionFactor times the maximum lifetime of a flow is the retention time of
+// former services. A balancer has to follow the configuration for that long before it
+// relies on its record of former services, and keeps a former service for that long: other
+// balancers may have placed flows by an older version of the configuration for a while.
 const formerRetentionFactor = 3
 
 // formerServices records the services that each face has stopped routing to, and when.
--- a/internal/packetface/steer/newer_state.go
+++ b/internal/packetface/steer/newer_state.go
@@ -7,8 +7,8 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// Detects, by what agents report, that this balancer lacks a newer configuration, list of
-// agents or evacuation.
+// This file detects, by what agents report, that this balancer lacks a newer
+// configuration, list of agents or evacuation.
 
 // noteReported compares the configuration version and the list of agents that an agent
 // has reported with the balancer's own, and adds a note if the reported ones are newer.
--- a/internal/packetface/steer/owner_search.go
+++ b/internal/packetface/steer/owner_search.go
@@ -11,9 +11,9 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Searches for the owner of a flow, the agent whose upstream holds it. Package search
-// keeps the state of each search; this file sends its questions and probes and adds what
-// the roster knows of the agents.
+// This file searches for the owner of a flow, the agent whose upstream holds it. Package
+// search keeps the state of each search; this file sends the questions and probes and adds
+// what the roster knows of the agents.
 
 // Limits and intervals of searches.
 const (
@@ -124,7 +124,7 @@
 	return all
 }
 
-// inStage reports whether a candidate for a stage is asked in it.
+// inStage reports whether a candidate for a stage is asked in that stage.
 func (c *Core) inStage(stage search.Stage, a *agent) bool {
 	return stage != search.Near || a.DataCentre == c.settings.DataCentre
 }
@@ -172,10 +172,10 @@
 	c.advance(now, id, q)
 }
 
-// askNowProven repeats the questions of all searches that an agent could not answer
-// before. The agent can answer them now, as it has received a report of its upstream, and
-// the upstream started after the agent. After a simultaneous power loss most agents
-// receive that report within some 10 ms, long before the next round.
+// askNowProven asks an agent again those questions of all searches that the agent could
+// not answer before. The agent can answer them now, as it has received a report of its
+// upstream, and the upstream started after the agent. After a simultaneous power loss most
+// agents receive that report within some 10 ms, long before the next round.
 func (c *Core) askNowProven(a *agent) {
 	for id, q := range c.searches {
 		if q.search.AskAgain(a.id) {
--- a/internal/packetface/steer/returned_packets.go
+++ b/internal/packetface/steer/returned_packets.go
@@ -7,7 +7,8 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// probeReturnTime is the time within which a probe is returned.
+// probeReturnTime is the time within which a probe, a packet sent to an agent to find out
+// whether its upstream holds the flow, is returned.
 const probeReturnTime = time.Second
 
 // handleReturned processes a packet that an agent has returned.
@@ -30,7 +31,7 @@
 		if head.Reason == inner.ReasonUnknown {
 			c.handleVerdict(now, id, q, a, inner.VerdictNone)
 		}
-		return nil // not a new packet of the caller; an agent without proof is probed again in the next round
+		return nil // not a new packet of the caller; an agent that has proved nothing is probed again in the next round
 	}
 	if c.isDead(now, id) {
 		return nil // the caller has been sent a reset
@@ -46,10 +47,10 @@
 	return nil
 }
 
-// handleLateReturn processes a packet returned by an agent that is not the flow's owner.
-// A packet that returns within probeReturnTime after the owner was found counts as a probe
-// that was in flight then, and the owner has been sent that packet already. Any other was
-// sent to an earlier owner, and is forwarded to the present one.
+// handleLateReturn processes a packet returned by an agent that is not the flow's owner. A
+// packet that returns within probeReturnTime after the owner was found counts as a probe
+// that was in flight then, and the owner has been sent that packet already. Any other
+// packet was sent to an earlier owner, and is forwarded to the present one.
 func (c *Core) handleLateReturn(now time.Duration, f *flow, packet []byte) {
 	if now-f.placed >= probeReturnTime {
 		c.forward(now, f.agent, packet, inner.Forward{Terms: f.terms})
--- a/internal/packetface/steer/roster.go
+++ b/internal/packetface/steer/roster.go
@@ -29,7 +29,7 @@
 	// warmups are, by service, the longest warm-ups in the entries of agents.
 	warmups map[uint64]time.Duration
 	// estimates are, by service, the warm-ups estimated from the reports of agents whose
-	// upstreams started before them.
+	// upstreams started before the agents did.
 	estimates map[uint64]estimate
 	// age is how recent the list is, newestReported the highest position of an entry that
 	// an agent has reported.
@@ -113,9 +113,9 @@
 }
 
 // slots returns how many slots the agent's upstream has, as far as is known: the larger of
-// the numbers in the agent's status and in its entry in the store, which has what the
-// previous instance reported. If both are 0, those of another agent of the service are
-// used, as the upstreams of a service are alike.
+// the numbers in the agent's status and in its entry in the store, which has the number
+// that the previous instance reported. If both are 0, the number of another agent of the
+// service is used, as the upstreams of a service are alike.
 func (r *roster) slots(a *agent) uint16 {
 	known := max(int(a.status.Slots), a.Slots)
 	for _, sibling := range r.byService[a.Service] {
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -112,12 +112,13 @@
 	// many agents do at once when hosts start whose upstreams are gone. 24 tries take
 	// some 70 ms, less than the time to the caller's next copy.
 	maxHops = 24
-	// listSettleTime is how long the list counts as incomplete after the first one
-	// arrived: agents whose entries expired may be about to be listed again.
+	// listSettleTime is how long the list of agents counts as incomplete after the first
+	// list arrived: agents whose entries expired may be about to be listed again.
 	listSettleTime = 250 * time.Millisecond
-	// relistSettleTime is the same after the store was restored from a copy. Agents whose
-	// entries it lost learn of the restore from balancers, the last of which detect it
-	// after some 1.5 s, check their entries within 2 s, and are listed again.
+	// relistSettleTime replaces listSettleTime after the store was restored from a copy.
+	// Agents whose entries the store lost learn of the restore from balancers, the last of
+	// which detect it after some 1.5 s, check their entries within 2 s, and are listed
+	// again.
 	relistSettleTime = 4 * time.Second
 	// deadFlowRetention is how long a flow that was reset is remembered: further packets
 	// of it are reset without another search.
@@ -156,8 +157,8 @@
 	searches    map[platform.Flow]*ownerSearch
 	dead        map[platform.Flow]time.Duration
 	lastSweep   time.Duration
-	// lastTick is when the last tick was, searching whether searches were running then,
-	// and tickInterval the time between two ticks while they run, 0 if not known.
+	// lastTick is when the last tick was; searching is true if searches were running then;
+	// tickInterval is the time between two ticks while searches run, 0 if not known.
 	lastTick, tickInterval time.Duration
 	searching              bool
 	// probeBudget, searchBudget and questionBudget are how many probes, searches and
@@ -166,15 +167,15 @@
 	// lastCall is when the Core was last called, 0 for not yet.
 	lastCall time.Duration
 	// newer is the newest version that an agent has reported; newerNotedAt is when the
-	// last note of it was added, 0 for never.
+	// last note of something newer was added, 0 for never.
 	newer        newerVersion
 	newerNotedAt time.Duration
-	// questioned are the agents with questions to send; lastFlush is when questions were
-	// last sent.
+	// questioned are the agents with questions to send.
 	questioned []*agent
 	// peerAgentsAdded is set once other balancers have reported which agents they know.
 	peerAgentsAdded bool
-	lastFlush       time.Duration
+	// lastFlush is when questions were last sent.
+	lastFlush time.Duration
 	// early are opening packets that arrived before the first list of agents.
 	early  []earlyOpening
 	out    Result
@@ -359,7 +360,8 @@
 	return nil
 }
 
-// versions returns which configuration and list of agents the balancer has.
+// versions returns the version of the configuration and the store position of the list of
+// agents that the balancer has.
 func (c *Core) versions() inner.Versions {
 	v := inner.Versions{Listing: c.roster.age.Newest}
 	if c.table != nil {
@@ -368,8 +370,9 @@
 	return v
 }
 
-// coldOf returns how upstreams of a service warm up. If the configuration does not
-// contain the duration, it is the observed or else the estimated one.
+// coldOf returns the cold rate and warm-up of the upstreams of a service. If the
+// configuration does not contain the warm-up, the one in the agents' entries is returned,
+// or else the estimated one.
 func (c *Core) coldOf(service uint64) (cold inner.Cold) {
 	if c.table != nil {
 		cold = c.table.Cold(service)
--- a/internal/packetface/steer/view.go
+++ b/internal/packetface/steer/view.go
@@ -26,10 +26,11 @@
 // AgentView is a snapshot of the state of one agent.
 type AgentView struct {
 	Addr netip.AddrPort
-	// Service is the name of its service, or its id if no route has the service.
+	// Service is the name of the agent's service, or the service's id if no route has the
+	// service.
 	Service    string
 	DataCentre string
-	// Status is the agent's last status; its state is 0 before the first.
+	// Status is the agent's last status; Status.State is 0 before the first status.
 	Status inner.Status
 	// LastReceived is when the last datagram arrived from the agent, 0 for never.
 	LastReceived        time.Duration
--- a/internal/packetface/steer/warmup.go
+++ b/internal/packetface/steer/warmup.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Estimates how long the upstreams of a service are cold after their start, for services
-// of which no start has been observed.
+// This file estimates how long the upstreams of a service are cold after their start, for
+// services of which no start has been observed.
 //
 // After a simultaneous power loss each upstream starts shortly before its agent. The
 // agent then cannot tell which flows the upstream holds, and each dead flow has to be
