--- a/internal/packetface/outcome/outcome.go
+++ b/internal/packetface/outcome/outcome.go
@@ -67,31 +67,35 @@
 
 // Limits and timeouts.
 const (
-	// window is the number of most recent outcomes that count, failures the number of
-	// failures among them that shut an upstream out. A single failure may be a caller's
-	// fault or come from the end of an instance of the upstream.
-	window   = 8
+	// window is the number of most recent outcomes that count.
+	window = 8
+	// failures is the number of failures among these outcomes that shut an upstream out. A
+	// single failure may be a caller's fault or come from the end of an instance of the
+	// upstream.
 	failures = 2
 	// minShut is the first duration for which an upstream is shut out: several response
-	// times, so that a transient fault costs little. It doubles each time up to maxShut,
-	// which is short enough for a fleet that has recovered to be tried again within a few
-	// seconds.
+	// times, so that a transient fault costs little. The duration doubles each time up to
+	// maxShut.
 	minShut = 400 * time.Millisecond
+	// maxShut is the longest duration for which an upstream is shut out: short enough for a
+	// fleet that has recovered to be tried again within a few seconds.
 	maxShut = 6400 * time.Millisecond
 	// probationSuccesses is the number of consecutive successes that end a probation. An
 	// upstream that fails three of ten requests passes it one time in four.
 	probationSuccesses = 4
-	// shutResetAfter is the time without an exclusion after which the next one is as short
-	// as the first: longer than one cycle of an upstream that keeps failing and recovering.
+	// shutResetAfter is the time since the end of the last exclusion after which the next
+	// exclusion is as short as the first: longer than one cycle of an upstream that keeps
+	// failing and recovering.
 	shutResetAfter = 20 * time.Second
-	// SilentOpenings is the number of different callers whose opening packets must be left
-	// without any packet from the upstream, and SilentFor the time since the first of them,
-	// for the upstream to count as silent. Several callers are required because one caller
-	// may send packets that no upstream answers. A working upstream answers within a
-	// millisecond; a host that has temporarily used up its share of the processor continues
-	// within a tenth of a second.
+	// SilentOpenings is the number of different callers that must have sent opening packets
+	// since the upstream's last packet for the upstream to count as silent. Several callers
+	// are required because one caller may send packets that no upstream answers.
 	SilentOpenings = 3
-	SilentFor      = 80 * time.Millisecond
+	// SilentFor is the time since the first of these opening packets after which the
+	// upstream counts as silent. A working upstream answers within a millisecond; a host
+	// that has temporarily used up its share of the processor continues within a tenth of a
+	// second.
+	SilentFor = 80 * time.Millisecond
 )
 
 // Judge derives the verdict on one upstream. The zero value has recorded no outcomes. A
@@ -114,9 +118,10 @@
 // Change describes a change of the verdict, for the log.
 type Change struct {
 	Verdict Verdict
-	// Cause is the last failure, For is how long the upstream is shut out.
+	// Cause is the last failure.
 	Cause Failure
-	For   time.Duration
+	// For is how long the upstream is shut out, 0 if Verdict is not Shut.
+	For time.Duration
 }
 
 // Verdict returns the current verdict. Only the change from Shut to Probation is due to
--- a/internal/packetface/outcome/recent.go
+++ b/internal/packetface/outcome/recent.go
@@ -16,7 +16,7 @@
 }
 
 // addCaller records that an opening packet of a caller was returned, and reports whether
-// the first one returned was another caller's.
+// the first opening packet returned came from another caller.
 func (r *returnedOpening) addCaller(caller [4]byte) bool {
 	if r.any {
 		return r.caller != caller
--- a/internal/packetface/outcome/responsetimes.go
+++ b/internal/packetface/outcome/responsetimes.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// fastDivisor divides the usual response time into the time below which an answer
-	// counts as fast. For work that varies as widely as its mean, one answer in some
-	// thousands takes less.
+	// fastDivisor is the divisor of the average response time that gives the time below
+	// which an answer counts as fast. For work that varies as widely as its mean, one
+	// answer in some thousands takes less.
 	fastDivisor = 6
 	// minSamples is the number of answers below which none counts as fast.
 	minSamples = 64
 	// fastLimitDivisor gives the share of fast answers, as one in that many, above which
-	// they are normal for the service and prove no failure.
+	// fast answers are normal for the service and prove no failure.
 	fastLimitDivisor = 16
 	// maxSamples is the number of answers at which the counts are halved, so that older
 	// answers weigh less.
