--- a/internal/packetface/coldrate/coldrate.go
+++ b/internal/packetface/coldrate/coldrate.go
@@ -2,11 +2,11 @@
 // start. It does no I/O.
 //
 // After an evacuation, a power loss or a release many upstreams of a service start at the
-// same time, and each can process only few requests a second until its caches are warm.
-// Every balancer sees an idle upstream and sends its flows there; only the agent beside the
-// upstream sees all of them. In any sliding window of a second the agent admits only as
-// many flows as the upstream can process. It returns the others to their balancers early
-// enough for other upstreams to serve them.
+// same time, and each can process only few requests a second until its caches are warm. To
+// every balancer such an upstream looks idle, so every balancer sends flows there; only the
+// agent beside the upstream sees all of these flows. In any sliding window of a second the
+// agent admits only as many flows as the upstream can process. It returns the others to
+// their balancers early enough for other upstreams to serve them.
 package coldrate
 
 import (
@@ -16,7 +16,7 @@
 
 // Bounds are the limits for one upstream, in flows a second.
 type Bounds struct {
-	// Usual is the number of flows that the upstream can process, 0 for no limit.
+	// Usual is the number of flows that the cold upstream can process, 0 for no limit.
 	Usual int
 	// Most is the limit for flows that no other upstream accepts.
 	Most int
@@ -40,7 +40,8 @@
 const window = time.Second
 
 // Window counts the flows that were admitted to an upstream in the last second. The zero
-// value is empty. It holds no more entries than the bounds that it is used with.
+// value is empty. A Window holds no more entries than the bounds given to its methods
+// allow.
 type Window struct {
 	// admitted holds the times at which flows were admitted, the oldest first.
 	admitted []time.Duration
