--- a/internal/packetface/policy/policy.go
+++ b/internal/packetface/policy/policy.go
@@ -27,7 +27,7 @@
 	// deadline, instead of after all other requests (admission).
 	LeastSlack Name = "least-slack"
 	// ListedSlots uses the number of slots that balancers report for an upstream that has
-	// not sent its own yet (gate).
+	// not reported its number of slots yet (gate).
 	ListedSlots Name = "listed-slots"
 	// Outcomes judges upstreams by the outcomes of their flows and requests (outcome).
 	Outcomes Name = "outcomes"
