--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -30,14 +30,14 @@
 
 // States of an agent in a search.
 const (
-	// Waiting agents were asked and have proved nothing yet.
+	// Waiting: the agent was asked and has proved nothing yet.
 	Waiting State = iota + 1
-	// CannotTell agents started after their upstreams, so only a packet of the flow shows
-	// whether the upstreams hold it.
+	// CannotTell: the agent started after its upstream, so only a packet of the flow shows
+	// whether the upstream holds the flow.
 	CannotTell
-	// Probed agents were sent a packet of the flow and have not returned it.
+	// Probed: the agent was sent a packet of the flow and has not returned it.
 	Probed
-	// NotHeld agents have proved that their upstreams do not hold the flow.
+	// NotHeld: the agent has proved that its upstream does not hold the flow.
 	NotHeld
 	states
 )
@@ -61,13 +61,13 @@
 
 // Stages in their order.
 const (
-	// Near are the agents of the route's services in the balancer's data centre.
+	// Near: the agents of the route's services in the balancer's data centre.
 	Near Stage = iota
-	// Route are the other agents of the route's services.
+	// Route: the other agents of the route's services.
 	Route
-	// All are all other agents that may hold the flow.
+	// All: all other agents that may hold the flow.
 	All
-	// End follows once all agents were asked.
+	// End: no stage is left, as all agents were asked.
 	End
 )
 
