--- a/internal/packetface/gate/cold.go
+++ b/internal/packetface/gate/cold.go
@@ -36,9 +36,9 @@
 	g.updateWarmup(now, service, c.Warmup)
 }
 
-// coldBounds returns the bounds on the rate of new flows of a cold upstream, none once it
-// is warm. An upstream that has not reported since the agent process started counts as
-// cold, because it may just have started, too.
+// coldBounds returns the bounds on the rate of new flows of a cold upstream, no bounds once
+// the upstream is warm. An upstream that has not reported since the agent process started
+// counts as cold, because it may just have started, too.
 func (g *Gate) coldBounds(now time.Duration) coldrate.Bounds {
 	if !g.upstream.unknown() && now >= g.upstream.coldEnd {
 		return coldrate.Bounds{}
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -1,13 +1,15 @@
-// Package gate decides for an agent of the packet face which packets are forwarded to its
-// upstream. It does no I/O: packets, datagrams from balancers, heartbeats and the current
-// time are passed in; datagrams to send and notes on decisions are returned. A Gate is not
-// safe for concurrent use.
+// Package gate decides for an agent of the packet face (the part of saltbend that forwards
+// packets) which packets are forwarded to its upstream. It does no I/O: packets, datagrams
+// from balancers, heartbeats and the current time are passed in; datagrams to send and notes
+// on decisions are returned. A Gate is not safe for concurrent use.
 //
 // An agent runs beside one upstream. Balancers forward the packets of callers to it; it
 // forwards them to the upstream and sends replies directly to the caller. Because it sees
 // every packet of its upstream in both directions, it knows the upstream's open flows,
-// except those that are older than the agent process. An instance of the upstream is one
-// run of it, identified by platform.Instance.
+// except those that are older than the agent process. An instance of the upstream is one run
+// of it, identified by platform.Instance. A slot is room for one request that the upstream
+// works on. An upstream is cold after its start until its caches are warm; its cold rate is
+// the number of new flows a second that it can process until then.
 //
 // The agent makes the last check on an opening packet: it refuses one that is meant for
 // another service or that arrives after the upstream has announced that it is leaving. A
@@ -66,7 +68,7 @@
 	ToUpstream
 )
 
-// Action is a datagram to send. Its bytes are valid until the next call.
+// Action is a datagram to send. Its bytes are valid until the next call of the Gate.
 type Action struct {
 	Target Target
 	// To is the receiver's address; it is not set for the upstream.
@@ -117,7 +119,7 @@
 	Took time.Duration
 }
 
-// Result holds the decisions of one call. It is valid until the next call.
+// Result holds the decisions of one call. It is valid until the next call of the Gate.
 type Result struct {
 	Actions []Action
 	Notes   []Note
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -85,10 +85,10 @@
 
 // HandleUncheckedHeartbeat handles a heartbeat of an instance of another service that could
 // not be checked against the configuration. As long as the current instance reports, the
-// other's heartbeat may be wrong. But if the address has been reused, a request for the
-// current service must not run there, so the upstream gets no new flow until either
-// instance reports again. contested is false if the current instance has ended or is
-// overdue; the heartbeat must then be processed as usual.
+// heartbeat of the other instance may be wrong. But if the address has been reused, a
+// request for the current service must not run there, so the upstream gets no new flow
+// until either instance reports again. contested is false if the current instance has ended
+// or is overdue; the heartbeat must then be processed as usual.
 func (g *Gate) HandleUncheckedHeartbeat(now time.Duration, beat platform.Heartbeat) (result *Result, contested bool) {
 	g.resetResult()
 	if g.upstream.unknown() || g.overdue(now) {
--- a/internal/packetface/gate/upstream.go
+++ b/internal/packetface/gate/upstream.go
@@ -172,7 +172,8 @@
 
 // noSignSinceStart reports whether the upstream has sent neither heartbeats nor packets
 // that prove it alive since the process's start, for longer than missedHeartbeats
-// intervals: it has ended while no agent process ran. If the agent left the entry of an
+// intervals, counted from the end of the process's last pause if there was one. The
+// upstream has then ended while no agent process ran. If the agent left the entry of an
 // earlier instance in the store, the entry would stay in every balancer's list until its
 // lease expires, and each search for a flow would wait for an agent that has left (13 s
 // after a power loss, from logs of a fleet of 140 agents).
