--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -143,9 +143,10 @@
 	return best
 }
 
-// running returns an estimate of the requests that the upstream works on: the number in
-// its last status, replaced by the average of the service the more, the older the status
-// is. If balancers relied on old statuses alone, they would all choose the same upstream.
+// running returns an estimate of the requests that the upstream works on: a weighted mean
+// of the number in the agent's last status and the average of the service, in which the
+// average weighs more the older the status is. If balancers relied on old statuses alone,
+// they would all choose the same upstream.
 func (a *agent) running(now time.Duration, mean float64) float64 {
 	reported := float64(a.status.Running)
 	age := now - a.statusAt
@@ -184,9 +185,9 @@
 }
 
 // slownessLoad returns the load added for an upstream that takes much longer for an
-// answer than the average of its service. By its running requests alone it looks no
-// busier than the others until its slots are taken, and every request that it has by then
-// is late.
+// answer than the average of its service. Judged by its running requests alone, such an
+// upstream looks no busier than the others until its slots are taken, and every request
+// that it has by then is late.
 func (m means) slownessLoad(a *agent) float64 {
 	if m.answer == 0 {
 		return 0
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -94,7 +94,7 @@
 	warmupReported, warmupSent time.Duration
 	// pending counts the flows placed on the agent since its last status.
 	pending int
-	// questions are waiting to be sent to the agent.
+	// questions holds the questions that are to be sent to the agent.
 	questions []inner.Question
 	// evacuation is the newest known evacuation state of the agent's data centre.
 	evacuation evacuation.State
--- a/internal/packetface/steer/sim_fleet_test.go
+++ b/internal/packetface/steer/sim_fleet_test.go
@@ -247,7 +247,8 @@
 // gives up; the platform's callers give up after 1.4 s.
 const openingLimit = 4 * time.Second
 
-// openingExpired removes a flow that was not opened in time; it reports whether it did.
+// openingExpired removes a flow that was not opened in time; it reports whether the flow
+// was removed.
 func (w *simFleet) openingExpired(id platform.Flow) bool {
 	for _, s := range w.agents {
 		if s.held[id] {
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -1,12 +1,13 @@
-// Package steer decides for a balancer of the packet face where each packet of a caller
-// is sent. It does no I/O: packets, datagrams of agents, lists of agents, routes and the
-// time are its input; datagrams to send and notes on decisions are its output. A Core
-// must not be used by two goroutines at once.
+// Package steer decides for a balancer of the packet face (the part of saltbend that
+// forwards packets) where each packet of a caller is sent. It does no I/O: packets,
+// datagrams of agents, lists of agents, routes and the time are its input; datagrams to
+// send and notes on decisions are its output. A Core must not be used by two goroutines at
+// once.
 //
 // An agent is the process in front of an upstream and sees all packets of the upstream. A
 // face is an address and port to which callers open flows; its route names the services
 // that the flows are distributed to. A slot is room for one request that an upstream works
-// on.
+// on. An upstream is cold after its start until its caches are warm.
 //
 // A packet that opens a flow is sent to the agent with the lowest score. All other
 // packets follow the balancer's table of flows. If a flow is not in the table, because
@@ -49,7 +50,7 @@
 	Random *rand.Rand
 }
 
-// Action is a datagram to send. Its bytes are valid until the next call.
+// Action is a datagram to send. Its bytes are valid until the next call of the Core.
 type Action struct {
 	To    netip.AddrPort
 	Bytes []byte
@@ -96,7 +97,7 @@
 	Count int
 }
 
-// Result holds what a call decided. It is valid until the next call.
+// Result holds what a call decided. It is valid until the next call of the Core.
 type Result struct {
 	Actions []Action
 	Notes   []Note
