--- a/internal/packetface/outcome/outcome.go
+++ b/internal/packetface/outcome/outcome.go
@@ -4,9 +4,9 @@
 // It guards against black holes. An upstream that returns opening packets, resets the
 // requests that it accepts, or answers at once with a failure completes each within a
 // millisecond. It looks idle and attracts the flows of all balancers, while others have
-// free slots. An upstream that does not answer opening packets at all attracts them until
-// its heartbeats are missed. Outcomes are derived from the sizes, times and flags of
-// packets only; the contents of requests and answers are not read.
+// free slots (room for requests). An upstream that does not answer opening packets at all
+// attracts them until its heartbeats are missed. Outcomes are derived from the sizes, times
+// and flags of packets only; the contents of requests and answers are not read.
 //
 // Two failures shut an upstream out for a while. It is then on probation: it gets one flow
 // at a time, and gets flows as usual after some successes. Each time that it fails again it
@@ -109,8 +109,9 @@
 	// passed counts consecutive successes during the probation.
 	passed         int
 	recentOutcomes recentOutcomes
-	// byFace holds the usual response times for each face whose requests the upstream
-	// answers: requests of one service may take 1 ms on one face and 40 ms on another.
+	// byFace holds the usual response times for each face (address and port to which
+	// callers open flows) whose requests the upstream answers: requests of one service may
+	// take 1 ms on one face and 40 ms on another.
 	byFace map[netip.AddrPort]*responseTimes
 	cause  Failure
 }
