--- a/internal/packetface/routing/routing.go
+++ b/internal/packetface/routing/routing.go
@@ -1,6 +1,7 @@
-// Package routing selects the service of a new flow of the packet face. A face is an
-// address and port to which callers open flows; its route names the services and their
-// weights. A Table is built from one version of the configuration and is immutable.
+// Package routing selects the service of a new flow of the packet face (the part of
+// saltbend that forwards packets). A face is an address and port to which callers open
+// flows; its route names the services and their weights. A Table is built from one
+// version of the configuration and is immutable.
 package routing
 
 import (
