--- a/internal/packetface/policy/policy.go
+++ b/internal/packetface/policy/policy.go
@@ -1,6 +1,7 @@
-// Package policy names the decisions of the packet face that can be switched off one at a
-// time, so that the effect of each can be measured (docs/design/measures.md). They are
-// switched off for such measurements only.
+// Package policy names the decisions of the packet face (the part of saltbend that
+// forwards packets) that can be switched off one at a time, so that the effect of each
+// can be measured (docs/design/measures.md). They are switched off for such measurements
+// only.
 package policy
 
 import (
