--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -1,13 +1,15 @@
-// Package gate decides for an agent of the packet face which packets are forwarded to its
-// upstream. It does no I/O: packets, datagrams from balancers, heartbeats and the current
-// time are passed in; datagrams to send and notes on decisions are returned. A Gate is not
-// safe for concurrent use.
+// Package gate decides for an agent of the packet face (the part of saltbend that forwards
+// packets) which packets are forwarded to its upstream. It does no I/O: packets, datagrams
+// from balancers, heartbeats and the current time are passed in; datagrams to send and notes
+// on decisions are returned. A Gate is not safe for concurrent use.
 //
 // An agent runs beside one upstream. Balancers forward the packets of callers to it; it
 // forwards them to the upstream and sends replies directly to the caller. Because it sees
 // every packet of its upstream in both directions, it knows the upstream's open flows,
-// except those that are older than the agent process. An instance of the upstream is one
-// run of it, identified by platform.Instance.
+// except those that are older than the agent process. An instance of the upstream is one run
+// of it, identified by platform.Instance. A slot is room for one request that the upstream
+// works on. An upstream is cold after its start until its caches are warm; its cold rate is
+// the number of new flows a second that it can process until then.
 //
 // The agent makes the last check on an opening packet: it refuses one that is meant for
 // another service or that arrives after the upstream has announced that it is leaving. A
@@ -43,16 +45,16 @@
 
 // Times are the settings that may change while the process runs.
 type Times struct {
-	// DrainTimeout is the time after the acknowledgement of a drain from which on no new
-	// flow may reach the upstream.
+	// DrainTimeout is how long after the acknowledgement of a drain new flows may still
+	// reach the upstream.
 	DrainTimeout time.Duration
 	// FlowMaxAge is the maximum age of a flow. A flow without packets for that long is
 	// discarded.
 	FlowMaxAge time.Duration
 	// HeartbeatInterval is the interval between two heartbeats of the upstream.
 	HeartbeatInterval time.Duration
-	// ColdOverage is the multiple of its cold rate that a cold upstream may get at most,
-	// for flows that no other upstream accepts.
+	// ColdOverage limits the rate of new flows to a cold upstream when no other upstream
+	// accepts them, as a multiple of the upstream's cold rate.
 	ColdOverage float64
 }
 
@@ -66,7 +68,7 @@
 	ToUpstream
 )
 
-// Action is a datagram to send. Its bytes are valid until the next call.
+// Action is a datagram to send. Its bytes are valid until the next call of the Gate.
 type Action struct {
 	Target Target
 	// To is the receiver's address; it is not set for the upstream.
@@ -117,7 +119,7 @@
 	Took time.Duration
 }
 
-// Result holds the decisions of one call. It is valid until the next call.
+// Result holds the decisions of one call. It is valid until the next call of the Gate.
 type Result struct {
 	Actions []Action
 	Notes   []Note
@@ -134,7 +136,7 @@
 	// closedTTL is how long a closed or reset flow is kept, so that late packets are still
 	// forwarded to its upstream, which answers them.
 	closedTTL = 10 * time.Second
-	// openingTTL is how long a flow is kept that has not been opened.
+	// openingTTL is how long a flow that has not been opened is kept.
 	openingTTL = 5 * time.Second
 	// missedHeartbeats is the number of missing heartbeats after which the upstream counts
 	// as silent.
@@ -143,17 +145,17 @@
 	// position reported by balancers is relied on: by then the balancers that use the agent
 	// have polled it several times.
 	settleTime = 400 * time.Millisecond
-	// leaveDelay is the time after an upstream's announcement that it leaves at which it
+	// leaveDelay is the time from an upstream's announcement that it is leaving until it
 	// counts as ended.
 	leaveDelay = 200 * time.Millisecond
-	// longWait and slowAnswer are the thresholds from which on a request's wait for a slot,
-	// or its response time, is logged individually.
-	longWait   = 100 * time.Millisecond
+	// longWait is the wait for a slot from which on a request is logged individually.
+	longWait = 100 * time.Millisecond
+	// slowAnswer is the response time from which on a request is logged individually.
 	slowAnswer = 500 * time.Millisecond
 	// refusals is the number of consecutive packets refused for lack of a listening socket
-	// after which the upstream counts as down; refusalSpan is the least time between the
-	// first and the last of them.
-	refusals    = 2
+	// after which the upstream counts as down.
+	refusals = 2
+	// refusalSpan is the least time between the first and the last of these refusals.
 	refusalSpan = 20 * time.Millisecond
 	// sweepEvery is the interval at which expired flows are removed.
 	sweepEvery = 2 * time.Second
@@ -167,13 +169,14 @@
 	// with as many closed flows.
 	maxFlows = 8192
 	// latencyMaxAge is the age at which the mean latency becomes invalid, so that balancers
-	// try an upstream again that was slow.
+	// try a slow upstream again.
 	latencyMaxAge = 2 * time.Second
 	// latencyWeight is the weight of the newest response time in the moving average of the
 	// latency.
 	latencyWeight = 0.1
-	// firstHeartbeat is the highest sequence number of a heartbeat that shows that the
-	// agent has been running since the upstream's start.
+	// firstHeartbeat is the highest sequence number that the first heartbeat of an instance
+	// may have. An agent that receives the first heartbeat has been running since the
+	// instance's start.
 	firstHeartbeat = 1
 )
 
@@ -207,8 +210,8 @@
 	// sentPacket is true once the upstream has sent a packet since the agent's start that
 	// only a running upstream sends.
 	sentPacket bool
-	// refused counts consecutive packets to the upstream that were refused because no
-	// socket listened, refusedAt is when the first of them was.
+	// refused counts consecutive packets to the upstream that were refused because no socket
+	// listened, refusedAt is when the first of them was refused.
 	refused   int
 	refusedAt time.Duration
 }
@@ -221,8 +224,8 @@
 	flows    map[platform.Flow]*flow
 	queue    admission.Queue[*waiting]
 	upstream upstream
-	// ended are instances that have ended; candidate is one that has reported but is not
-	// adopted yet.
+	// ended are instances that have ended; candidate is an instance that has reported but is
+	// not adopted yet.
 	ended     []platform.Instance
 	candidate candidate
 	// contested is true if an instance of another service has reported from the upstream's
--- a/internal/packetface/routing/routing.go
+++ b/internal/packetface/routing/routing.go
@@ -1,6 +1,7 @@
-// Package routing selects the service of a new flow of the packet face. A face is an
-// address and port to which callers open flows; its route names the services and their
-// weights. A Table is built from one version of the configuration and is immutable.
+// Package routing selects the service of a new flow of the packet face (the part of
+// saltbend that forwards packets). A face is an address and port to which callers open
+// flows; its route names the services and their weights. A Table is built from one
+// version of the configuration and is immutable.
 package routing
 
 import (
@@ -20,7 +21,7 @@
 	routes  map[netip.AddrPort]*Route
 	// names are the names of the services of all routes, by id.
 	names map[uint64]string
-	// cold is, by service, how its upstreams warm up according to the configuration.
+	// cold holds, by service id, the cold rate and warm-up given in the configuration.
 	cold map[uint64]inner.Cold
 }
 
@@ -61,7 +62,7 @@
 // ServiceName returns the name of a service, empty if no route has the service.
 func (t *Table) ServiceName(id uint64) string { return t.names[id] }
 
-// Cold returns how upstreams of a service warm up according to the configuration.
+// Cold returns the cold rate and warm-up that the configuration gives for a service.
 func (t *Table) Cold(service uint64) inner.Cold { return t.cold[service] }
 
 func coldOf(s platform.Service) inner.Cold {
--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -1,9 +1,9 @@
-// Package search keeps the state of a search for the agent whose upstream holds a flow:
-// which agents were asked, what each answer proves, which agents to ask or probe next,
-// and whether any agent's answer is still open. It does no I/O: ids of agents, verdicts
-// and the time are its input; ids of agents to ask and to probe are its output. The code
-// that uses the package determines which agents may hold the flow and how recent the list
-// of agents has to be.
+// Package search keeps the state of a search for a flow's owner, the agent whose upstream
+// holds the flow: which agents were asked, what each answer proves, which agents to ask or
+// probe next, and whether any agent's answer is still outstanding. It does no I/O: ids of
+// agents, verdicts and the time are its input; ids of agents to ask and to probe are its
+// output. The code that uses the package determines which agents may hold the flow and how
+// recent the list of agents has to be.
 //
 // After a simultaneous power loss every open flow of the fleet is dead, and its next
 // packet starts a search among all agents. A balancer then processes some hundred answers
@@ -25,19 +25,19 @@
 // while a search contains it: call Forget first.
 type ID uint32
 
-// State is how far it is proved that an agent's upstream does not hold the flow.
+// State tells what an agent has proved about whether its upstream holds the flow.
 type State uint8
 
 // States of an agent in a search.
 const (
-	// Waiting agents were asked and have proved nothing yet.
+	// Waiting: the agent was asked and has proved nothing yet.
 	Waiting State = iota + 1
-	// CannotTell agents started after their upstreams, so only a packet of the flow shows
-	// whether the upstreams hold it.
+	// CannotTell: the agent started after its upstream, so only a packet of the flow shows
+	// whether the upstream holds the flow.
 	CannotTell
-	// Probed agents were sent such a packet, and it has not been returned.
+	// Probed: the agent was sent a packet of the flow and has not returned it.
 	Probed
-	// NotHeld agents have proved that their upstreams do not hold the flow.
+	// NotHeld: the agent has proved that its upstream does not hold the flow.
 	NotHeld
 	states
 )
@@ -61,13 +61,13 @@
 
 // Stages in their order.
 const (
-	// Near are the agents of the route's services in the balancer's data centre.
+	// Near: the agents of the route's services in the balancer's data centre.
 	Near Stage = iota
-	// Route are the other agents of the route's services.
+	// Route: the other agents of the route's services.
 	Route
-	// All are all other agents that may hold the flow.
+	// All: all other agents that may hold the flow.
 	All
-	// End follows once all agents were asked.
+	// End: no stage is left, as all agents were asked.
 	End
 )
 
@@ -172,7 +172,7 @@
 }
 
 // Probe returns the agents that are to be sent a packet of the flow, at most limit, and
-// records them as probed. Those asked first, the likely owners, come first.
+// records them as probed. Agents that were asked earlier, the likely owners, come first.
 func (s *Search) Probe(limit int) []ID {
 	var chosen []ID
 	if s.counts[CannotTell] == 0 {
@@ -245,7 +245,7 @@
 	s.counts[state]++
 }
 
-// find returns the member of an agent, nil if it was not asked.
+// find returns the member for an agent, nil if the agent was not asked.
 func (s *Search) find(id ID) *member {
 	at, found := s.index(id)
 	if !found {
