--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 
 # These tests build the programs that they start. The test cache does not detect
 # changes of those programs, so -count=1 disables it.
-integration: ## run the tests of the test doubles, and the tests with real processes on loopback
+integration: ## run the tests of the stand-ins, and the tests with real processes on loopback
 	$(GO) test -count=1 $${SKIP:+-skip "$$SKIP"} $$($(GO) list ./test/... | grep -v /test/integration)
 	$(GO) test -count=1 -timeout 12m ./test/integration $${SKIP_SPECS:+-args -ginkgo.skip "$$SKIP_SPECS"}
 
