--- a/internal/agent/quic.go
+++ b/internal/agent/quic.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// handshakeTimeout ends a handshake when the caller stops answering.
+	// handshakeTimeout is the time after which a handshake fails if the caller stops
+	// answering.
 	handshakeTimeout = 5 * time.Second
 	// streamWindow and connectionWindow limit how many bytes a caller may send
 	// before the upstream has read them, per stream and per connection. They
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -2,8 +2,8 @@
 // one upstream, its local upstream, and gives it at most as many requests at a time as
 // it has slots. The scheduler decides which request gets the next free slot, which is
 // sent to a sibling (another agent of the same service), and which is refused at once.
-// It does no I/O and reads no clock: callers pass in the time and received messages,
-// and get back the actions to carry out. A Scheduler isn't safe for concurrent use; one
+// It does no I/O and reads no clock: the agent passes in the time and received messages,
+// and gets back the actions to carry out. A Scheduler isn't safe for concurrent use; one
 // goroutine owns it.
 //
 // Requests are assigned to siblings as late as possible. An agent that has a free slot
@@ -103,7 +103,7 @@
 	To          Sibling
 	Reservation Reservation
 	// Admit asks the sibling to queue the request if no slot is free there, by the
-	// same rules as for requests of its own callers.
+	// same rules as for requests from the sibling's own callers.
 	Admit    bool
 	Standing Standing
 }
@@ -139,8 +139,8 @@
 	Idle int
 	// Queued is the number of waiting requests that may run on a sibling.
 	Queued int
-	// Priority and Waited are the priority of the first of these requests and the
-	// time since it arrived.
+	// Priority and Waited are the priority of the first waiting request that may run
+	// on a sibling, and the time since that request arrived.
 	Priority int
 	Waited   time.Duration
 	// Connections is the number of connections from callers.
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -7,9 +7,10 @@
 	// the average adapts to a change within some 20 requests.
 	estimateGain = 0.05
 	// priorityLevels is the number of priorities with an estimate of their own. All
-	// lower priorities share the last one.
+	// lower priorities share the last estimate.
 	priorityLevels = 16
-	// firstServiceTime is the assumed service time until a request has ended.
+	// firstServiceTime is the service time that is assumed until the first request has
+	// ended.
 	firstServiceTime = 20 * time.Millisecond
 	// maxUrgentShare caps the share of more urgent requests, so that the expected wait
 	// of lower priorities stays finite.
--- a/internal/dispatch/flows.go
+++ b/internal/dispatch/flows.go
@@ -4,12 +4,12 @@
 
 const (
 	// flowStep is the change of the number of connections that is worth an announcement
-	// to siblings. It is also the least difference at which a new flow goes to a
-	// sibling.
+	// to siblings. It is also the least difference between the numbers of connections
+	// of this agent and a sibling at which a new flow goes to the sibling.
 	flowStep = 16
-	// flowMargin is the least difference as a fraction of the sibling's connections;
-	// the larger of flowStep and this share applies. It allows for the connection
-	// counts known of siblings, which are always somewhat outdated.
+	// flowMargin is that least difference as a fraction of the sibling's connections;
+	// the larger of flowStep and this share applies. The margin is needed because
+	// the known connection counts of siblings are always somewhat outdated.
 	flowMargin = 0.1
 )
 
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -46,7 +46,7 @@
 }
 
 // New returns the scheduler of an agent with an idle upstream. The sequence numbers of
-// its standings start at the epoch. The epoch must increase with each start of the
+// the agent's standings start at the epoch. The epoch must increase with each start of the
 // agent, because siblings ignore a standing whose number isn't above the last one.
 func New(limits Limits, epoch uint64, rng *rand.Rand, options Options) *Scheduler {
 	return &Scheduler{
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -2,6 +2,9 @@
 // its requests and from the reports of its health endpoint. Recent good outcomes
 // override a report of bad health. Tracker does no I/O and does not read the
 // clock: times, outcomes and reports are passed in, and Judge returns a Verdict.
+//
+// An agent is the process next to one upstream; its siblings are the other agents
+// of the same service. A flow is one connection of a caller.
 package health
 
 import (
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,8 +18,8 @@
 	// dialTimeout limits the time to connect. It is short because the upstream
 	// is on the same host.
 	dialTimeout = 2 * time.Second
-	// idleTimeout closes idle pooled connections before most servers would close
-	// them.
+	// idleTimeout is the time after which an idle pooled connection is closed. It
+	// is shorter than the idle time-out of most servers.
 	idleTimeout = 30 * time.Second
 	// maxIdle is the maximum number of idle pooled connections. It is enough
 	// because an upstream serves only a few requests at once.
