--- a/internal/home/forward.go
+++ b/internal/home/forward.go
@@ -108,8 +108,8 @@
 }
 
 // homeTimeout returns the time that the home gets for its answer: the time until the
-// deadline of ctx less answerMargin, but at least half of that time, or otherwise if ctx
-// has no deadline.
+// deadline of ctx less answerMargin, but at least half of that time. If ctx has no
+// deadline, homeTimeout returns the value of otherwise.
 func homeTimeout(ctx context.Context, otherwise time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -2,8 +2,8 @@
 // home of the tickets that it issued. It decides about requests under these tickets by
 // its outcome window (internal/ticket), and forwards requests under other tickets to
 // their homes. Only the home of a ticket decides that a request has not run; other
-// processes report that only from its answer or its closing, the record that it sends
-// when it stops.
+// processes report this only if they have it from the home's answer or from the home's
+// closing, the record that a home sends when it stops.
 package home
 
 import (
@@ -114,7 +114,8 @@
 	t, err := h.codec.Load().Open(text, h.tag)
 	switch {
 	case errors.Is(err, ticket.ErrText), errors.Is(err, ticket.ErrService):
-		// No agent of this service can have run a request under this text.
+		// No agent of this service can have run a request under a ticket with this
+		// text.
 		return refuse(err)
 	case err != nil:
 		// The ticket may have been sealed with a key that was removed since. Then
@@ -211,8 +212,8 @@
 	}
 }
 
-// abandon ends a ticket that has been voided, and notifies the handler that waits in
-// the queue with it.
+// abandon ends a ticket that has been voided, and notifies the handler whose request
+// was queued under the ticket.
 func (h *Home) abandon(nonce uint64) {
 	if r := h.runs[nonce]; r != nil {
 		close(r.abandoned)
--- a/internal/home/service.go
+++ b/internal/home/service.go
@@ -22,8 +22,8 @@
 	methodInherit = serviceName + ".Inherit"
 )
 
-// Attempt identifies one forwarded request across all processes. Retries of the same
-// forward have the same Attempt.
+// Attempt identifies one forwarded request across all processes. Retries of one
+// forwarded request have the same Attempt.
 type Attempt struct {
 	From        netip.AddrPort
 	Incarnation uint64
--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -65,12 +65,12 @@
 
 // Verdicts of Tickets.Begin.
 const (
-	// VerdictRun allows this caller of Begin, and no other, to run the request.
+	// VerdictRun allows the handler that gets it, and no other, to run the request.
 	VerdictRun Verdict = iota + 1
 	// VerdictReplay comes with the recorded answer.
 	VerdictReplay
 	// VerdictWait comes with a channel that delivers the answer of the run in progress.
-	// The channel is closed without an answer if there is none (unknown).
+	// The channel is closed without an answer if the outcome is unknown.
 	VerdictWait
 	// VerdictForward names the ticket's home agent, which has to decide.
 	VerdictForward
--- a/internal/request/failover.go
+++ b/internal/request/failover.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// headerLastEventID asks the upstream to resume a feed after the event with that
-	// id.
+	// headerLastEventID is the header field that asks the upstream to resume a feed
+	// after the event with the id in the field.
 	headerLastEventID = "Last-Event-Id"
 	// maxResumes bounds the consecutive failovers of a feed without an event in
 	// between.
@@ -80,8 +80,8 @@
 	return f
 }
 
-// canFailOver reports whether the feed with that response can be resumed from another
-// source.
+// canFailOver reports whether the feed that the response starts can be resumed from
+// another source.
 func (h *Handler) canFailOver(j *job, response *http.Response) bool {
 	return h.o.Caller != nil && j.class.Resume && response.StatusCode == http.StatusOK &&
 		upstream.IsEvents(response.Header) && response.Header.Get("Content-Encoding") == ""
--- a/internal/request/message.go
+++ b/internal/request/message.go
@@ -6,7 +6,7 @@
 	"github.com/saltbend/saltbend/internal/dispatch"
 )
 
-// arrival submits a job from one of the agent's own callers.
+// arrival is the message that submits a job from one of the agent's own callers.
 type arrival struct {
 	job     *job
 	request dispatch.Request
@@ -17,7 +17,7 @@
 	return e.sched.Arrive(now, m.request)
 }
 
-// movedArrival submits a job that a sibling owns.
+// movedArrival is the message that submits a job that a sibling owns.
 type movedArrival struct {
 	job     *job
 	request dispatch.Request
@@ -38,7 +38,7 @@
 	return e.sched.ArriveMoved(now, m.request, m.push.under, m.push.admit)
 }
 
-// ended frees the slot of a job whose run has ended.
+// ended is the message that frees the slot of a job whose run has ended.
 type ended struct {
 	id       dispatch.ID
 	service  time.Duration
@@ -50,15 +50,15 @@
 	return e.sched.Done(now, m.id, m.service, m.complete)
 }
 
-// returned gives a pushed job back to the scheduler, because the sibling refused to run
-// it.
+// returned is the message that gives a pushed job back to the scheduler, because the
+// sibling refused to run it.
 type returned struct{ id dispatch.ID }
 
 func (m returned) apply(e *engine, now time.Time) []dispatch.Action {
 	return e.sched.Returned(now, m.id)
 }
 
-// settled ends a pushed job.
+// settled is the message that ends a pushed job.
 type settled struct{ id dispatch.ID }
 
 func (m settled) apply(e *engine, now time.Time) []dispatch.Action {
@@ -66,7 +66,8 @@
 	return e.sched.Settled(now, m.id)
 }
 
-// removal removes a job from the queue. The reply reports whether it was queued.
+// removal is the message that removes a job from the queue. The reply reports whether
+// the job was queued.
 type removal struct {
 	id    dispatch.ID
 	reply chan<- bool
@@ -81,7 +82,7 @@
 	return actions
 }
 
-// feedOpening requests a connection for a feed.
+// feedOpening is the message that requests a connection for a feed.
 type feedOpening struct{ job *job }
 
 func (m feedOpening) apply(e *engine, now time.Time) []dispatch.Action {
@@ -89,7 +90,7 @@
 	return e.sched.OpenFeed(now, m.job.id)
 }
 
-// feedClosing releases the connection of a feed.
+// feedClosing is the message that releases the connection of a feed.
 type feedClosing struct{ id dispatch.ID }
 
 func (m feedClosing) apply(e *engine, _ time.Time) []dispatch.Action {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// serviceUpdate applies the present limits and siblings of the service.
+// serviceUpdate is the message with the present limits and siblings of the service.
 type serviceUpdate struct {
 	limits   dispatch.Limits
 	siblings []dispatch.Sibling
@@ -109,8 +110,8 @@
 	return e.sched.SetSiblings(now, m.siblings)
 }
 
-// healthChanged applies the slots and the willingness to take siblings' requests that
-// result from the upstream's health.
+// healthChanged is the message with the number of slots, and the willingness to take
+// siblings' requests, that result from the upstream's health.
 type healthChanged struct {
 	slots int
 	draws bool
@@ -120,21 +121,21 @@
 	return e.sched.SetHealth(now, m.slots, m.draws)
 }
 
-// connectionsChanged sets the number of connections from callers.
+// connectionsChanged is the message with the number of connections from callers.
 type connectionsChanged struct{ connections int }
 
 func (m connectionsChanged) apply(e *engine, now time.Time) []dispatch.Action {
 	return e.sched.SetConnections(now, m.connections)
 }
 
-// draining stops the admission of requests.
+// draining is the message that stops the admission of requests.
 type draining struct{}
 
 func (draining) apply(e *engine, now time.Time) []dispatch.Action {
 	return e.sched.Drain(now)
 }
 
-// standingReceived is a standing received from a sibling.
+// standingReceived is the message with a standing received from a sibling.
 type standingReceived struct {
 	from     dispatch.Sibling
 	standing dispatch.Standing
@@ -144,7 +145,7 @@
 	return e.sched.ReceiveStanding(now, m.from, m.standing)
 }
 
-// offered is a sibling's offer of a reserved slot.
+// offered is the message with a sibling's offer of a reserved slot.
 type offered struct {
 	standingReceived
 	held dispatch.Reservation
@@ -155,8 +156,9 @@
 	return e.sched.SlotOffered(now, m.from, m.held)
 }
 
-// declined ends a reservation of this agent, because the sibling declined it or could
-// not be reached. In the latter case there is no standing and its Seq is 0.
+// declined is the message that ends a reservation of this agent, because the sibling
+// declined it or could not be reached. If the sibling could not be reached, the message
+// has no standing: Seq is 0.
 type declined struct {
 	standingReceived
 	held dispatch.Reservation
--- a/internal/request/relay.go
+++ b/internal/request/relay.go
@@ -22,10 +22,11 @@
 const (
 	// feedPollTimeout is how long FeedNext waits for the next event.
 	feedPollTimeout = 10 * time.Second
-	// feedPollMargin is added to feedPollTimeout on the calling side for the network
-	// round trip.
+	// feedPollMargin is added to feedPollTimeout by the agent that calls FeedNext, for
+	// the network round trip.
 	feedPollMargin = 5 * time.Second
-	// relayIdleTimeout ends a relay if its reader hasn't called FeedNext for that long.
+	// relayIdleTimeout is the time without a call of FeedNext after which a relay is
+	// ended.
 	relayIdleTimeout = 30 * time.Second
 	// relayBuffer is the size of one read from the upstream in bytes.
 	relayBuffer = 512
--- a/internal/ticket/closing.go
+++ b/internal/ticket/closing.go
@@ -50,8 +50,8 @@
 }
 
 // Closing returns the final record of a closed window, without Home and Incarnation,
-// which the caller sets. ok is false if the window is open, because unused tickets may
-// still run.
+// which the owner of the window sets. ok is false if the window is open, because unused
+// tickets may still run.
 func (w *Window) Closing() (c Closing, ok bool) {
 	if !w.closed {
 		return Closing{}, false
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -1,9 +1,9 @@
 // Package ticket ensures that a non-idempotent request runs at most once. A ticket is a
 // token with the address of its home, the agent that issued it, the home's incarnation,
 // which identifies one run of the agent's process, and a nonce. Only that incarnation
-// may run a request under the ticket. Its Window lets each nonce run at most once and
-// replays the recorded outcome. The package does no I/O, reads no clock and starts no
-// goroutines.
+// may run a request under the ticket. The incarnation's Window lets each nonce run at
+// most once and replays the recorded outcome. The package does no I/O, reads no clock
+// and starts no goroutines.
 package ticket
 
 import (
@@ -20,7 +20,7 @@
 )
 
 // Header is the HTTP header with a ticket's text form: in a request the ticket to run
-// under, in a response a new one.
+// under, in a response a new ticket.
 const Header = "Saltbend-Ticket"
 
 // Layout of the sealed form:
@@ -48,13 +48,13 @@
 )
 
 // Ticket allows one non-idempotent request to run once. It contains no time: an
-// incarnation issues its nonces in ascending order, so they order its tickets by age
-// without synchronised clocks.
+// incarnation issues its nonces in ascending order, so the nonces order the
+// incarnation's tickets by age without synchronised clocks.
 type Ticket struct {
 	// Home is the control address of the agent that issued the ticket.
 	Home netip.AddrPort
 	// Incarnation identifies the process at Home that issued the ticket. No other
-	// process runs a request under it.
+	// process runs a request under the ticket.
 	Incarnation uint64
 	Service     config.Tag
 	// Nonce numbers the tickets of an incarnation consecutively.
@@ -137,8 +137,8 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Digest identifies the content of a request. It binds a ticket to the request that it
-// is first used for.
+// Digest identifies the content of a request. It binds a ticket to the request that
+// the ticket is first used for.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a request. The target is the path with its query.
--- a/internal/ticket/window.go
+++ b/internal/ticket/window.go
@@ -64,13 +64,13 @@
 const (
 	// Admitted means that the request is now queued and may be started.
 	Admitted Verdict = iota + 1
-	// Joined means that the same request is already queued or running. This one gets
-	// the same outcome.
+	// Joined means that the same request is already queued or running. The new
+	// request gets the same outcome.
 	Joined
 	// Settled means that the outcome is known; Admit returns it as the Result.
 	Settled
-	// Mismatch means that the ticket was used for another request. This one has not run
-	// and never will under this ticket.
+	// Mismatch means that the ticket was used for another request. The new request
+	// has not run and never will under this ticket.
 	Mismatch
 )
 
@@ -85,8 +85,8 @@
 type Bounds struct {
 	// Entries bounds the number of queued, running and recorded requests together.
 	Entries int
-	// Bytes bounds the total size of the recorded answers. A single answer beyond
-	// it isn't recorded.
+	// Bytes bounds the total size of the recorded answers. A single answer above
+	// this size isn't recorded.
 	Bytes int
 	// Span is the number of latest issued tickets for which the window knows
 	// whether they were used. Each takes two bits.
