--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -197,7 +197,8 @@
 }
 
 // leave announces the shutdown and continues to forward for the grace period, so
-// that the fabric and the agents have time to switch to other balancers.
+// that the agents and the fabric (the network in front of the balancers) have time
+// to switch to other balancers.
 func (r *role) leave() {
 	r.log.Info("Leaving.", slog.Duration("grace", r.settings.Grace))
 	r.env.Events.Add(part, eventLeaving, r.settings.Grace.String())
--- a/internal/balancer/faces.go
+++ b/internal/balancer/faces.go
@@ -38,13 +38,14 @@
 // faceChange is the kind of event that reports a change of a face.
 type faceChange = event.Kind
 
-// Changes of a face: faceDraining means that it was removed from the configuration,
-// faceFailed that it could not be bound.
+// Changes of a face.
 const (
-	faceOpened   event.Kind = "face-opened"
+	faceOpened event.Kind = "face-opened"
+	// faceDraining means that the face was removed from the configuration.
 	faceDraining event.Kind = "face-draining"
 	faceClosed   event.Kind = "face-closed"
-	faceFailed   event.Kind = "face-failed"
+	// faceFailed means that the face could not be bound.
+	faceFailed event.Kind = "face-failed"
 )
 
 func newFaces(host netip.Addr, drain time.Duration, notify func(faceChange, netip.AddrPort, error)) *faces {
@@ -59,7 +60,7 @@
 
 // update opens the faces of the configuration that are not open yet, and drains
 // the open faces that are no longer in it. It returns the sockets whose drain has
-// ended: they are no longer in open, and the caller must close them after
+// ended: they are no longer in f.open, and the publisher must close them after
 // publishing a snapshot without them.
 func (f *faces) update(c *config.Config, now time.Time) (ended []*datapath.Socket) {
 	wanted := facesOf(c)
--- a/internal/datapath/path.go
+++ b/internal/datapath/path.go
@@ -18,7 +18,7 @@
 	snapshot atomic.Pointer[Snapshot]
 	forward  *forwardCounters
 	reply    *replyCounters
-	// toAgents sends through data.
+	// toAgents is the queue of datagrams to agents, sent through the data socket.
 	toAgents *queue
 	// resets is the rate limit that all faces share for stateless resets.
 	resets    *rate.Limiter
@@ -27,7 +27,7 @@
 }
 
 // Start returns a running path that exchanges encapsulated datagrams with agents
-// through the socket data. self is the address at which agents reach that socket;
+// through the data socket. self is the address at which agents reach that socket;
 // first is the first snapshot.
 func Start(data *net.UDPConn, self netip.AddrPort, first *Snapshot) *Path {
 	p := &Path{
--- a/internal/datapath/queue.go
+++ b/internal/datapath/queue.go
@@ -30,17 +30,17 @@
 	onSendError func()
 
 	mu      sync.Mutex
-	space   sync.Cond // signalled when filling has room
+	space   sync.Cond // signalled when the batch in filling has room
 	filling *batch
 	closed  bool
-	// wake holds a value while filling may contain datagrams that run has not
-	// taken yet.
+	// wake holds a value while the batch in filling may contain datagrams that
+	// run has not taken yet.
 	wake chan struct{}
 }
 
 // newQueue returns a queue that sends up to size datagrams at once. onSendError is
-// called for each datagram that the kernel fails to send. The caller must start
-// run.
+// called for each datagram that the kernel fails to send. The owner of the
+// queue must start run.
 func newQueue(conn *ipv4.PacketConn, size int, onSendError func()) *queue {
 	q := &queue{conn: conn, onSendError: onSendError, filling: newBatch(size), wake: make(chan struct{}, 1)}
 	q.space.L = &q.mu
--- a/internal/datapath/reason.go
+++ b/internal/datapath/reason.go
@@ -27,13 +27,13 @@
 	// UnknownKey means that the datagram is signed with a secret that the process
 	// does not have.
 	UnknownKey
-	// Forged means that the MAC does not match.
+	// Forged means that the MAC of the token or header does not match.
 	Forged
 	// NotInitial means that the datagram has no valid token and can't open a flow.
 	NotInitial
 	// SmallInitial means that an Initial is below the minimum size of QUIC.
 	SmallInitial
-	// NoFace means that the balancer has no such face open.
+	// NoFace means that the face of the datagram is not open at the balancer.
 	NoFace
 	// FaceDraining means that the datagram opens a flow at a face that was removed
 	// from the configuration.
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -4,7 +4,7 @@
 // between one caller address and one face, the public address that the caller
 // sends to. Conn implements net.PacketConn for the QUIC library. It selects the
 // balancer that each reply is sent through and avoids balancers that stop
-// answering probes.
+// answering probes. The fleet is all balancers and agents of one installation.
 package flow
 
 import (
--- a/internal/flow/ids.go
+++ b/internal/flow/ids.go
@@ -24,7 +24,7 @@
 
 // IDs generates the connection IDs of an agent. Each ID is a flow token, which
 // holds the agent's address and a MAC, so that any balancer can route the flow
-// without having its state. IDs is safe for concurrent use.
+// without state of the flow. IDs is safe for concurrent use.
 type IDs struct {
 	mu    sync.Mutex
 	codec *token.Codec
@@ -33,7 +33,7 @@
 
 var _ quic.ConnectionIDGenerator = (*IDs)(nil)
 
-// NewIDs returns a generator of tokens for the agent at the IPv4 address data.
+// NewIDs returns a generator of tokens for the agent with the given IPv4 data address.
 func NewIDs(ring *keyring.Ring, data netip.AddrPort, service config.Tag, incarnation uint64) (*IDs, error) {
 	if !data.Addr().Is4() || data.Addr().IsUnspecified() {
 		return nil, errors.Errorf("flow: data address %s cannot be encoded in a token; bind a specific IPv4 address", data)
--- a/internal/flow/paths.go
+++ b/internal/flow/paths.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Arrived records that the balancer via carried a datagram from the caller, and
-// returns the caller's flow.
+// Arrived records that the balancer at the address via carried a datagram from
+// the caller, and returns the caller's flow.
 func (p *Paths) Arrived(now time.Time, key Key, via netip.AddrPort) *Flow {
 	f := p.flows[key]
 	if f == nil {
@@ -107,7 +107,8 @@
 	}
 }
 
-// recordCarrier records that the balancer via carried a datagram to this agent.
+// recordCarrier records that the balancer at the address via carried a datagram to
+// this agent.
 // It does not clear a suspicion, because replies may still get lost on the path
 // through this balancer.
 func (p *Paths) recordCarrier(now time.Time, via netip.AddrPort) {
--- a/internal/flow/placements.go
+++ b/internal/flow/placements.go
@@ -31,7 +31,8 @@
 // the same agent. The zero AddrPort stands for this agent. Two generations of
 // entries bound its memory: after placementTTL or maxPlacements entries, the
 // current generation becomes the previous one, and an entry that is used again
-// is copied to the new one. The cache does no I/O and does not read the clock.
+// is copied to the new current generation. The cache does no I/O and does not
+// read the clock.
 type placementCache struct {
 	current, previous map[dcidKey]netip.AddrPort
 	rotatedAt         time.Time
--- a/internal/flow/writer.go
+++ b/internal/flow/writer.go
@@ -22,7 +22,7 @@
 
 // datagram is one datagram to send. buf holds the encoded header, followed by
 // the payload. Datagrams are passed by pointer, to keep the stacks of the sending
-// goroutines small; there is one for each flow.
+// goroutines small: each flow has one such goroutine.
 type datagram struct {
 	header encap.Header
 	to     netip.AddrPort
@@ -61,7 +61,7 @@
 }
 
 // send queues a datagram with a copy of the payload. It does not block. The
-// caller must not use the datagram afterwards.
+// datagram must not be used afterwards.
 func (w *writer) send(d *datagram, payload []byte) {
 	if len(payload) > encap.MaxPayload {
 		w.drop(d, droppedTooLong)
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -4,7 +4,8 @@
 // clock: times, outcomes and reports are passed in, and Judge returns a Verdict.
 //
 // An agent is the process next to one upstream; its siblings are the other agents
-// of the same service. A flow is one connection of a caller.
+// of the same service. A flow is one connection of a caller. The fleet is all
+// agents and balancers of one installation.
 package health
 
 import (
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -9,13 +9,14 @@
 // Locality holds a balancer's data centre and the distribution of all balancers
 // over the data centres. It is immutable.
 //
-// The fabric gives every balancer an equal share of all new flows, so the flows
-// that arrive in a data centre are proportional to the number of its balancers.
-// If the agents of that data centre have enough capacity, all these flows stay
-// there. Otherwise only the excess goes to the data centres with spare capacity,
-// in proportion to it. If every balancer follows this rule, each agent gets a
-// share of all flows in proportion to its weight, and the fewest possible flows
-// cross between data centres.
+// The fabric, the network in front of the balancers, gives every balancer an
+// equal share of all new flows, so the flows that arrive in a data centre are
+// proportional to the number of its balancers. If the agents of that data centre
+// have enough capacity, all these flows stay there. Otherwise only the excess goes
+// to the data centres with spare capacity, in proportion to their spare
+// capacities. If every balancer follows this rule, each agent gets a share of all
+// flows in proportion to its weight, and the fewest possible flows cross between
+// data centres.
 type Locality struct {
 	dataCentre string
 	// arrivals is the share of all new flows that arrives in each data centre.
@@ -59,7 +60,7 @@
 
 // arrivalsByDataCentre returns the fraction of the balancers that is in each data
 // centre. Draining and gone balancers do not count. If no balancer of
-// ownDataCentre is left, that data centre counts as having one: the calling
+// ownDataCentre is left, that data centre counts as having one: this
 // balancer, which may be missing from its own list.
 func arrivalsByDataCentre(ownDataCentre string, balancers []member.Member) map[string]float64 {
 	counts := make(map[string]float64)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -34,7 +34,7 @@
 }
 
 // NewSet returns the set for a balancer with the given locality. The new flows are
-// distributed over the ready agents by Weight and data centre, as described at
+// distributed over the ready agents by weight and data centre, as described at
 // Locality. Draining and gone agents get no new flows, nor do agents without an
 // IPv4 data address.
 //
@@ -44,7 +44,7 @@
 // more likely than the failure of so many upstreams at once. If no agent is ready, the
 // starting agents get the flows: their reported state may be out of date, and an
 // agent that can't serve a request can still answer that the request was not run.
-// Panics reports either case.
+// The method Panics reports whether one of these two cases holds.
 func NewSet(locality Locality, agents []member.Member, threshold float64) *Set {
 	w, panics := candidates(agents, threshold)
 	return &Set{groups: groups(agents, w, locality.shares(w)), panics: panics}
--- a/internal/reset/reset.go
+++ b/internal/reset/reset.go
@@ -1,5 +1,6 @@
 // Package reset derives the tokens of stateless resets (RFC 9000, section 10.3)
-// from the fleet's secrets. An agent gives these tokens to its callers. Any process
+// from the secrets that all processes of the fleet (the balancers and agents of one
+// installation) share. An agent gives these tokens to its callers. Any process
 // that has the secrets can send a stateless reset on the agent's behalf, which
 // tells a caller that its connection no longer exists.
 package reset
