--- a/internal/adopt/adopt.go
+++ b/internal/adopt/adopt.go
@@ -1,6 +1,7 @@
 // Package adopt decides which configuration revision a process adopts and whether
-// it may serve it. It does no I/O and reads no clock: the caller passes in answers
-// of peers, readings of the store and the time, and carries out the decision.
+// it may serve it. It does no I/O and reads no clock: the owner of the State
+// passes in answers of peers, readings of the store and the time, and carries out the
+// decision.
 //
 // The rules:
 //
--- a/internal/control/fetch.go
+++ b/internal/control/fetch.go
@@ -20,12 +20,12 @@
 // FetchArgs request a configuration newer than Have.
 type FetchArgs struct {
 	Have uint64
-	// Service requests the section of one service only; if empty, the whole
-	// configuration is requested.
+	// Service is the name of the service whose section is requested; if empty, the
+	// whole configuration is requested.
 	Service string
 	// Section is the hash of the section that the requester has, 0 for none.
 	Section uint64
-	// Whole requests the whole text instead of the changes since Have.
+	// Whole is set to request the whole text instead of the changes since Have.
 	Whole bool
 }
 
--- a/internal/control/finder.go
+++ b/internal/control/finder.go
@@ -18,7 +18,7 @@
 // when no known balancer answers, or when one is requested.
 type finder struct {
 	busy bool
-	// requested starts a search as soon as the back-off allows it.
+	// requested is set if a search is to start as soon as the back-off allows it.
 	requested bool
 	next      time.Time
 	backoff   seed.Backoff
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -192,8 +192,8 @@
 }
 
 // SetLoad changes the process's weight, in thousandths of the share of a
-// warmed-up upstream. Each change is sent to the whole fleet, so callers should
-// round the weight to coarse steps.
+// warmed-up upstream. Each change is sent to the whole fleet, so the weight should
+// be rounded to coarse steps.
 func (n *Node) SetLoad(weight int) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.Weight = weight })
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// Digest compares the caller's digest with the table's, and returns the bucket
-// hashes if they differ.
+// Digest compares the digest of the calling balancer with that of the table, and
+// returns the bucket hashes if the digests differ.
 func (s *Service) Digest(d gossip.Digest, reply *gossip.DigestReply) error {
 	if !validAddr(d.From) {
 		return errInvalid
@@ -87,8 +87,8 @@
 	})
 }
 
-// Exchange merges the caller's records and returns the records that the caller
-// lacks.
+// Exchange merges the records of the calling balancer and returns the records that
+// this balancer lacks.
 func (s *Service) Exchange(x gossip.Exchange, reply *gossip.Exchange) error {
 	if !validAddr(x.From) || !validMembers(x.Members) || !validBuckets(x.Buckets) {
 		return errInvalid
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -38,7 +38,8 @@
 
 // StatusArgs are the arguments of a status request.
 type StatusArgs struct {
-	// Witnessed requests the members for which the process is a witness, too.
+	// Witnessed is set to request also the members for which the process is a
+	// witness.
 	Witnessed bool
 }
 
--- a/internal/gossip/announce.go
+++ b/internal/gossip/announce.go
@@ -40,9 +40,10 @@
 }
 
 // unansweredJoins returns the join addresses that have not answered yet, except
-// those already chosen and those backed off. The process keeps announcing to them even when other
-// balancers have announced themselves to it first: if it stopped, it and those
-// balancers could remain a separate group from the rest of the fleet.
+// those already chosen and those backed off. The process keeps announcing itself
+// to the returned addresses even when other balancers have announced themselves to
+// the process first: otherwise the process and those balancers could remain a
+// separate group from the rest of the fleet.
 func (e *Engine) unansweredJoins(now time.Time, chosen []netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(e.join), func(a netip.AddrPort) bool {
 		_, answered := e.cursors[a]
@@ -114,8 +115,8 @@
 	}
 }
 
-// AnnounceFailed records that a balancer did not answer a renewal. If it is a
-// witness and another candidate exists, the next renewal is due at once and goes
+// AnnounceFailed records that a balancer did not answer a renewal. If the balancer
+// is a witness and another candidate exists, the next renewal is due at once and goes
 // to the replacement.
 func (e *Engine) AnnounceFailed(now time.Time, to netip.AddrPort) {
 	e.backOff(now, to)
--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -101,7 +101,7 @@
 // Self returns the process's own record.
 func (e *Engine) Self() member.Member { return e.self }
 
-// Table returns the table of the known members. The caller must not change it.
+// Table returns the table of the known members. It must not be changed.
 func (e *Engine) Table() *member.Table { return e.table }
 
 // SetJoin sets the addresses to announce to while no balancer is known, and until
@@ -150,8 +150,8 @@
 	e.nextAnnounce = now
 }
 
-// Actions returns the actions due at now. The caller must call it after each
-// message and every few hundred milliseconds.
+// Actions returns the actions due at the time now. The engine's owner must call it
+// after each message and every few hundred milliseconds.
 func (e *Engine) Actions(now time.Time) []Action {
 	if e.self.State == member.StateGone {
 		return nil
@@ -213,7 +213,7 @@
 	return true
 }
 
-// emitNotice emits a notice for the timeline of what a merged record changed.
+// emitNotice emits a notice, for the timeline, about what a merged record changed.
 func (e *Engine) emitNotice(before member.Member, known bool, m member.Member) {
 	switch {
 	case !known || before.Incarnation != m.Incarnation:
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -6,8 +6,8 @@
 // much of the fleet becomes unreachable at once, a network partition is the likelier
 // cause: the panic threshold then retains the unreachable members for a while.
 //
-// The package does no I/O and reads no clock: the caller passes in time,
-// randomness and messages, and carries out the returned actions.
+// The package does no I/O and reads no clock: the engine's owner passes in
+// time, randomness and messages, and carries out the returned actions.
 package gossip
 
 import (
@@ -18,7 +18,7 @@
 )
 
 // Claim is what a process states about its configuration in each message. The
-// engine does not use it; the caller fills it in and reads it.
+// engine does not use it; the engine's owner fills it in and reads it.
 type Claim struct {
 	// Revision is the adopted revision, 0 for none.
 	Revision uint64
@@ -95,38 +95,38 @@
 	Suspicions []member.Suspicion
 }
 
-// Action is a step that the engine asks its caller to carry out.
+// Action is a step that the engine asks its owner to carry out.
 type Action interface{ action() }
 
-// SendAnnounce asks the engine's caller to send a renewal; the outcome goes to
+// SendAnnounce asks the engine's owner to send a renewal; the outcome goes to
 // Engine.AnnounceDone or Engine.AnnounceFailed.
 type SendAnnounce struct {
 	To      netip.AddrPort
 	Message Announce
 }
 
-// SendPush asks the engine's caller to send a push. The engine does not need the outcome:
+// SendPush asks the engine's owner to send a push. The engine does not need the outcome:
 // digests repair what a lost push would have carried.
 type SendPush struct {
 	To      netip.AddrPort
 	Message Push
 }
 
-// SendDigest asks the engine's caller to send a digest; the reply goes to
+// SendDigest asks the engine's owner to send a digest; the reply goes to
 // Engine.DigestDone.
 type SendDigest struct {
 	To      netip.AddrPort
 	Message Digest
 }
 
-// SendExchange asks the engine's caller to send an exchange; the reply goes to
+// SendExchange asks the engine's owner to send an exchange; the reply goes to
 // Engine.ExchangeDone.
 type SendExchange struct {
 	To      netip.AddrPort
 	Message Exchange
 }
 
-// Probe asks the engine's caller to check whether a member answers; the outcome goes to
+// Probe asks the engine's owner to check whether a member answers; the outcome goes to
 // Engine.ProbeDone.
 type Probe struct {
 	To netip.AddrPort
@@ -170,7 +170,7 @@
 	Count int
 }
 
-// FindPeers asks the engine's caller for addresses to join at, because no known balancer
+// FindPeers asks the engine's owner for addresses to join at, because no known balancer
 // answers.
 type FindPeers struct{}
 
--- a/internal/gossip/push.go
+++ b/internal/gossip/push.go
@@ -35,7 +35,7 @@
 
 func (o *outbox) waiting() int { return len(o.urgent) + len(o.bulk) + len(o.suspicions) }
 
-// enqueue queues a record for the next push; before is the record that it
+// enqueue queues the record m for the next push; before is the record that m
 // replaced.
 func (e *Engine) enqueue(m, before member.Member) {
 	switch {
--- a/internal/gossip/reconcile.go
+++ b/internal/gossip/reconcile.go
@@ -39,10 +39,11 @@
 	// recentlyGone is the time for which a balancer that was declared gone often
 	// gets a digest; after that it rarely does.
 	recentlyGone = 15 * time.Minute
-	// Odds in the choice of a peer: one in recentlyGoneOneIn digests goes to a
-	// balancer declared gone within recentlyGone, one in goneOneIn of the others to
-	// any balancer declared gone, and one in anyBalancerOneIn of the rest to any
-	// balancer instead of a neighbour.
+	// The constants below set the odds in the choice of a peer: one in
+	// recentlyGoneOneIn digests goes to a balancer declared gone within
+	// recentlyGone, one in goneOneIn of the other digests to any balancer declared
+	// gone, and one in anyBalancerOneIn of the rest to any balancer instead of a
+	// neighbour.
 	anyBalancerOneIn  = 4
 	recentlyGoneOneIn = 2
 	goneOneIn         = 8
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -132,10 +132,10 @@
 	return b
 }
 
-// grace returns the time from the first suspicion to the declaration. It starts
-// again when the panic threshold stops retaining a member, because while a
+// grace returns the time from the first suspicion to the declaration. The time
+// starts again when the panic threshold stops retaining a member, because while a
 // network partition heals, some of the hidden members become reachable before
-// others. It doubles each time that the member returns after it was declared
+// others. The time doubles each time that the member returns after it was declared
 // gone.
 func (e *Engine) grace(now time.Time, w *watch, evidence member.Evidence) time.Duration {
 	if now.Sub(w.returned) > flapWindow {
--- a/internal/gossip/watch.go
+++ b/internal/gossip/watch.go
@@ -23,10 +23,11 @@
 	// and refute it; after the start of a network partition, it takes that long
 	// until all members hidden by it are suspected.
 	gracePeriods = 2
-	// flapWindow is the time after which returns of a member no longer count, and
-	// maxFlaps limits how often they double the grace.
+	// flapWindow is the time after which returns of a member that was declared gone
+	// no longer count.
 	flapWindow = 10 * time.Minute
-	maxFlaps   = 4
+	// maxFlaps limits how often such returns double the time of Engine.grace.
+	maxFlaps = 4
 )
 
 // watch is the state that a witness keeps about one member.
@@ -125,8 +126,8 @@
 	return slices.DeleteFunc(slices.Clone(e.table.Balancers()), e.suspects.Suspected)
 }
 
-// updateWatch updates the watch of a member after its record has changed from
-// before to m.
+// updateWatch updates the watch of a member after the record m has replaced the
+// record before.
 func (e *Engine) updateWatch(now time.Time, m, before member.Member) {
 	if !e.isBalancer() {
 		return
--- a/internal/member/gone.go
+++ b/internal/member/gone.go
@@ -32,8 +32,8 @@
 	l.records = append(l.records, goneRecord{member: m, at: now})
 }
 
-// GoneAgents returns the agents that have gone after since and did not return in
-// the same incarnation, newest first.
+// GoneAgents returns the agents that have gone after the given time and did not
+// return in the same incarnation, newest first.
 func (t *Table) GoneAgents(since time.Time) []Member {
 	var out []Member
 	for i := len(t.gone.records) - 1; i >= 0; i-- {
--- a/internal/member/query.go
+++ b/internal/member/query.go
@@ -7,13 +7,13 @@
 )
 
 // Balancers returns the balancers that are not gone, in order of address. The
-// caller must not change the slice; later changes of the table do not modify it.
+// slice must not be changed; later changes of the table do not modify it.
 func (t *Table) Balancers() []Member {
 	return t.balancerList.get(func(addr netip.AddrPort) (Member, bool) { return t.liveAs(addr, RoleBalancer) })
 }
 
-// Agents returns all agents that are not gone, in order of address. The caller
-// must not change the slice; later changes of the table do not modify it.
+// Agents returns all agents that are not gone, in order of address. The slice
+// must not be changed; later changes of the table do not modify it.
 func (t *Table) Agents() []Member {
 	return t.agentList.get(func(addr netip.AddrPort) (Member, bool) { return t.liveAs(addr, RoleAgent) })
 }
@@ -56,8 +56,8 @@
 	return collect(t.balancers, func(e *entry) bool { return e.seq > seq })
 }
 
-// DeclaredGoneBalancers returns the balancers that were declared gone after
-// since. They may be live on the other side of a network partition.
+// DeclaredGoneBalancers returns the balancers that were declared gone after the
+// given time. They may be live on the other side of a network partition.
 func (t *Table) DeclaredGoneBalancers(since time.Time) []Member {
 	return collect(t.balancers, func(e *entry) bool { return e.member.Declared && e.goneAt.After(since) })
 }
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -20,7 +20,7 @@
 )
 
 // Suspicion is the statement of one witness that one version of a member is dead.
-// A record with a higher version refutes it.
+// A record with a higher version refutes the suspicion.
 type Suspicion struct {
 	Control     netip.AddrPort
 	Incarnation uint64
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -131,8 +131,8 @@
 	}
 	c.touch()
 	out := &outgoing{args: args}
-	// The reply is decoded into a separate value: once ctx has ended, Call returns and the
-	// caller may reuse its own, while net/rpc may still decode the reply.
+	// The reply is decoded into a separate value: once ctx has ended, Call returns and its
+	// parameter reply may be reused, while net/rpc may still decode the reply.
 	result := reflect.New(reflect.TypeOf(reply).Elem())
 	call := c.rpc.Go(method, out, result.Interface(), make(chan *rpc.Call, 1))
 	select {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -117,8 +117,8 @@
 	sent atomic.Bool
 }
 
-// clientCodec implements rpc.ClientCodec. It encodes in the caller's goroutine and writes
-// in another, so that a remote process that doesn't read never blocks a caller.
+// clientCodec implements rpc.ClientCodec. It encodes in the goroutine of the call and writes
+// in another, so that a remote process that doesn't read never blocks a call.
 type clientCodec struct {
 	conn *clientConn
 	read *gobReader
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -100,7 +100,7 @@
 	register("serving", func() int { return len(p.served) })
 }
 
-// countConn returns conn wrapped so that its bytes are counted under name.
+// countConn returns conn wrapped so that its bytes are counted under the given name.
 func (t *traffic) countConn(conn net.Conn, name string) net.Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,8 +116,9 @@
 	return &countedConn{Conn: conn, traffic: t, name: name, bytes: b}
 }
 
-// releaseCounters ends one connection's use of the counters of name. They are unregistered
-// with the last connection, so that there are only counters of connected processes.
+// releaseCounters ends one connection's use of the counters with the given name. The
+// counters are unregistered with the last connection, so that there are only counters of
+// connected processes.
 func (t *traffic) releaseCounters(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -5,8 +5,9 @@
 // Routing does not depend on it, and a process that loses its lease merely stops
 // being a seed.
 //
-// The package does no I/O and reads no clock: the caller passes in time,
-// randomness and the outcomes of calls, and carries out the returned actions.
+// The package does no I/O and reads no clock: the owner of the Machine passes
+// in time, randomness and the outcomes of calls, and carries out the returned
+// actions.
 package seed
 
 import (
@@ -24,7 +25,7 @@
 	Spares = 2
 	// Stale is the age of the newest known reading of the store at which spares
 	// begin to try to become seeds. A reading takes some seconds to propagate
-	// through a large fleet, so there spares may try although the seeds work. This
+	// through a large fleet, so its spares may try although its seeds work. This
 	// adds only a fixed number of calls, because the number of spares is fixed.
 	Stale = DefaultLease
 	// DefaultLease is how long a seed holds its slot without renewing the lease.
@@ -130,7 +131,8 @@
 // clock.
 func (m *Machine) Holding(now time.Time) bool { return m.holding && now.Before(m.heldUntil) }
 
-// Decide returns the call that is due. The caller must pass its outcome to Done.
+// Decide returns the call that is due. The outcome of the call must be passed to
+// Done.
 func (m *Machine) Decide(now time.Time, in Input) Action {
 	if m.holding && !now.Before(m.heldUntil) {
 		m.holding = false
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -52,6 +52,7 @@
 	Swap(ctx context.Context, key string, value []byte, expected uint64, lease time.Duration) (Entry, error)
 	// Delete deletes the key if it still has the expected revision.
 	Delete(ctx context.Context, key string, expected uint64) error
-	// Watch waits until the key's revision is greater than after, or until ctx ends.
+	// Watch waits until the key's revision is greater than the revision given by after, or
+	// until ctx ends.
 	Watch(ctx context.Context, key string, after uint64) (Entry, error)
 }
