--- a/cmd/saltbend/apply.go
+++ b/cmd/saltbend/apply.go
@@ -42,7 +42,8 @@
 	maxPause     = 2 * time.Second
 	// changeIDBytes is the length of a random change id before its encoding as hex.
 	changeIDBytes = 12
-	// waitInterval is the time between two rounds of polling the late balancers.
+	// waitInterval is the time between two rounds of polling the balancers that don't
+	// have the revision in force yet.
 	waitInterval = 250 * time.Millisecond
 )
 
--- a/cmd/saltbend/peers.go
+++ b/cmd/saltbend/peers.go
@@ -25,7 +25,7 @@
 }
 
 // open checks the flags and returns the client. Its error holds all findings on the flags.
-// Whoever calls open must close the caller of the result.
+// Whoever calls open must close the Peer in the field caller of the result.
 func (p *peerFlags) open() (*fleetAccess, error) {
 	var f settings.Findings
 	if len(p.Peers) == 0 {
--- a/internal/apply/attempt.go
+++ b/internal/apply/attempt.go
@@ -24,8 +24,8 @@
 	Unchanged Verdict = "unchanged"
 	// Refused means that the file has findings; nothing was written.
 	Refused Verdict = "refused"
-	// Conflict means that another change was accepted first; this one was not written and
-	// will not be.
+	// Conflict means that another change was accepted first; the submitted change was not
+	// written and will not be.
 	Conflict Verdict = "conflict"
 	// Unknown means that the change may have been written or may still be written.
 	Unknown Verdict = "unknown"
@@ -65,7 +65,7 @@
 	// conflicted is set when a write failed because the key had another revision.
 	conflicted bool
 	// Verdict, Revision and Winner are set once the action is Done. Revision is the
-	// revision of the change; Winner is the record in the store if that is another one.
+	// revision of the change; Winner is the record in the store if that is of another change.
 	Verdict  Verdict
 	Revision uint64
 	Winner   *StoredRecord
--- a/internal/confdelta/confdelta.go
+++ b/internal/confdelta/confdelta.go
@@ -27,8 +27,8 @@
 
 // Errors of Decode.
 var (
-	// ErrBase means that the delta was made for another base text. The caller should request
-	// the full text.
+	// ErrBase means that the delta was made for another base text. The full text should
+	// then be requested.
 	ErrBase = errors.New("confdelta: the delta was made for another base text")
 	// ErrDamaged means that the delta can't be decoded, or that the decoded text doesn't
 	// match its checksum.
--- a/internal/confdelta/log.go
+++ b/internal/confdelta/log.go
@@ -39,7 +39,7 @@
 // Revision returns the newest revision, or 0 if there is none.
 func (l Log) Revision() uint64 { return l.revision }
 
-// Text returns the text of the newest revision. The caller must not modify it.
+// Text returns the text of the newest revision. It must not be modified.
 func (l Log) Text() []byte { return l.text }
 
 // Advance returns the log extended by a newer revision that was read from the store.
@@ -84,8 +84,8 @@
 	return Update{Revision: l.revision, Whole: whole}, err
 }
 
-// Apply returns the log after applying an update. If it fails, the caller should request the
-// full text. A text may have at most limit bytes.
+// Apply returns the log after applying an update. If it fails, the full text
+// should be requested. A text may have at most limit bytes.
 func (l Log) Apply(u Update, limit int) (Log, error) {
 	if u.Whole != nil {
 		text, err := Decode(nil, u.Whole, limit)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -126,7 +126,7 @@
 }
 
 // checkReachable rejects a class that no request can reach, because a request gets the
-// first class that matches and the preceding classes match all of this one's requests.
+// first class that matches and the preceding classes match all requests of this class.
 func checkReachable(d *decoder, preceding []Class, c *Class, p *classPositions) {
 	covering := slices.DeleteFunc(slices.Clone(preceding), func(b Class) bool { return !b.coversPath(c.Path) })
 	if !coverMethods(covering, c.Methods) {
@@ -154,7 +154,7 @@
 	})
 }
 
-// coversPath reports whether c matches every path that the pattern path matches.
+// coversPath reports whether c matches every path that the given path pattern matches.
 func (c *Class) coversPath(path string) bool {
 	prefix, wildcard := strings.CutSuffix(c.Path, "*")
 	if !wildcard {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,11 +61,12 @@
 
 // Kinds of classes.
 const (
-	// KindRequest occupies a slot until its response is complete.
+	// KindRequest is a request that occupies a slot until its response is complete.
 	KindRequest Kind = "request"
 	// KindFeed is a long-lived response stream. It occupies a connection but no slot.
 	KindFeed Kind = "feed"
-	// KindUpload occupies a slot and streams its body with back pressure.
+	// KindUpload is a request that occupies a slot and whose body is streamed with back
+	// pressure.
 	KindUpload Kind = "upload"
 )
 
--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -26,8 +26,9 @@
 	// KindHandOff carries a caller's Initial from an agent to a sibling, another
 	// agent of the same service.
 	KindHandOff
-	// KindProbe checks whether a balancer is alive, or an agent that the fleet
-	// considers gone. The receiver answers with KindProbeReply.
+	// KindProbe checks whether a balancer, or an agent that the fleet (all balancers
+	// and agents of one installation) considers gone, is alive. The receiver answers
+	// with KindProbeReply.
 	KindProbe
 	// KindProbeReply answers a probe and repeats the probe's other fields. A sender
 	// can put a nonce into a probe's Revision to match the answer to the probe.
@@ -61,7 +62,7 @@
 	MaxDatagram = 1500 - 20 - 8
 	// MaxPayload is the size in bytes of the largest datagram of a caller that can be
 	// encapsulated. Larger ones are dropped, so QUIC's path MTU discovery finds a
-	// size that does not exceed it.
+	// size that does not exceed MaxPayload.
 	MaxPayload = MaxDatagram - HeaderSize
 )
 
@@ -73,7 +74,8 @@
 	Face     netip.AddrPort
 	Service  config.Tag
 	Revision uint64
-	// Balancer is the address, for encapsulated datagrams, of the balancer that
-	// received the caller's datagram. Replies are sent there while it is alive.
+	// Balancer is the address for encapsulated datagrams of the balancer that
+	// received the caller's datagram. Replies are sent to this address while the
+	// balancer is alive.
 	Balancer netip.AddrPort
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -124,7 +124,7 @@
 //   - the lines that carry the flow's id;
 //   - lines without a flow that name an agent of the flow's lines, come from the host of
 //     such an agent or name no agent, if they were logged between the flow's first and
-//     last line, or earlier or later than these by at most the duration around;
+//     last line, or earlier or later than these by at most the time given by around;
 //   - for each host that logged the flow, the last restore of the store before all these
 //     lines, however long ago, since the host has acted on the restored state from then on.
 func FlowHistory(all []Line, flow string, around time.Duration) History {
@@ -155,8 +155,8 @@
 	return history
 }
 
-// lastRestores returns, for each host that logged the flow, its last line before the
-// given time on a restore of the store from a copy.
+// lastRestores returns, for each host that logged the flow, the last line on a restore
+// of the store from a copy that the host logged before the given time.
 func lastRestores(all, flowLines []Line, before time.Time) (out []Line) {
 	latest := map[string]Line{}
 	for _, line := range all {
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -115,7 +115,7 @@
 	return last
 }
 
-// after schedules do to run after the simulated duration d.
+// after schedules a call of do at the end of the simulated duration d.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now + d, order: w.order, do: do})
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -92,7 +92,8 @@
 	return seq - expected
 }
 
-// orderUnsure reports whether after may in fact have happened before the other entry.
+// orderUnsure reports whether the second entry may in fact have happened before the
+// first one.
 func orderUnsure(before, after sortable) bool {
 	if before.Process == after.Process {
 		return false
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d and returns nil. If ctx ends first, it returns the error of ctx at
-// once.
+// For waits for the duration d and returns nil. If ctx ends first, it returns the error of
+// ctx at once.
 func For(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
