--- a/internal/packetface/admission/admission.go
+++ b/internal/packetface/admission/admission.go
@@ -57,8 +57,8 @@
 	// the caller may have made its first attempt if the request may be a retry, and equals
 	// Asked otherwise.
 	Asked, EarliestAttempt time.Duration
-	// TargetLatency is the time within which the caller wants the answer, Timeout that
-	// after which it gives up; 0 if the route does not state it.
+	// TargetLatency is the time within which the caller wants the answer, Timeout the time
+	// after which the caller gives up; each is 0 if the route does not state it.
 	TargetLatency, Timeout time.Duration
 	// FirstTry is true if the request is certainly not a retry.
 	FirstTry bool
--- a/internal/packetface/admission/queue.go
+++ b/internal/packetface/admission/queue.go
@@ -74,7 +74,7 @@
 	// waited longer.
 	Pressing Choice = "pressing"
 	// Late: the request is past its target latency, and no waiting request of its priority
-	// can still meet its own.
+	// can still meet its own target latency.
 	Late Choice = "late"
 	// Overdue: the request has waited for its full timeout, or for MaxHold if it has none,
 	// and is forwarded although no slot is free.
@@ -122,8 +122,9 @@
 
 // pressingAmong does the same as pressing for the requests of a priority and of more urgent
 // ones. Requests past their target latency run in the order of their deadlines, which loses
-// the fewest. The k-th begins after the k before it have passed through the slots; if that
-// is too late for its deadline, there is no slack and the first one is pressing.
+// the fewest requests. Each request begins after those before it have passed through the
+// slots; if that is too late for its deadline, there is no slack and the first request is
+// pressing.
 func (q *Queue[T]) pressingAmong(now time.Duration, p Pace, priority uint8) int {
 	each := time.Duration(float64(p.Answer) / (slotShare * float64(p.Slots)))
 	first, begins := -1, now+spareAnswers*p.Answer+transitTime
--- a/internal/packetface/admission/retry.go
+++ b/internal/packetface/admission/retry.go
@@ -15,10 +15,12 @@
 
 const (
 	// RetryInterval is the time from the beginning of a caller's attempt to that of the next:
-	// 1.4 s of waiting, and a pause of 0.02 to 0.25 s as observed. The middle of that range
-	// loses fewer requests in the simulation than its end (22 and 24 in the load "busy").
+	// 1.4 s of waiting, and a pause that was 0.02 to 0.25 s in observations of callers
+	// before this value was set. The middle of that range loses fewer requests in the
+	// simulation than its end (22 and 24 in the load "busy").
 	RetryInterval = 1500 * time.Millisecond
-	// longestPause is the longest pause of a caller between two attempts, as observed.
+	// longestPause is the longest pause of a caller between two attempts. It is a fixed
+	// value from those observations, not measured at run time.
 	longestPause = 250 * time.Millisecond
 	// attemptTime is the time after which a caller ends an attempt that is not answered.
 	attemptTime = 1400 * time.Millisecond
--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -168,8 +168,8 @@
 	maps.DeleteFunc(r.requests, func(_ string, at store.Position) bool { return !at.SameEra(r.asOf) })
 }
 
-// State returns the state of a data centre. It is the zero State if no request is known
-// but, in an unsettled era, that does not prove that there is none.
+// State returns the state of a data centre. In an unsettled era it returns the zero State
+// if no request and no withdrawal is known: this does not prove that there is no request.
 func (r *Record) State(dataCentre string) State {
 	at, requested := r.requests[dataCentre]
 	switch {
--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -38,7 +38,7 @@
 }
 
 // refusal returns why an opening packet must not be forwarded to the upstream, 0 if it may
-// be.
+// be forwarded.
 func (g *Gate) refusal(now time.Duration, id platform.Flow, head inner.Open) inner.Reason {
 	lastChoice := head.Flags&inner.FlagLastChoice != 0
 	switch {
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -188,7 +188,7 @@
 	// down is true if the upstream has certainly ended, silent if its heartbeats have
 	// stopped. A silent upstream gets no new flows, but may still hold open ones.
 	down, silent bool
-	// left is true once the upstream has announced that it ends, at leftAt.
+	// left is true once the upstream has announced that it ends; leftAt is when it did.
 	left   bool
 	leftAt time.Duration
 	// lastHeartbeat is when the last heartbeat was received, 0 if none has been; sequence
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -102,7 +102,7 @@
 }
 
 // sameService reports whether a heartbeat comes from the service that the agent serves; a
-// heartbeat without a service is assumed to.
+// heartbeat without a service is assumed to come from it.
 func (g *Gate) sameService(beat platform.Heartbeat) bool {
 	return beat.Service == "" || inner.ServiceID(beat.Service) == g.service
 }
--- a/internal/packetface/gate/verdict.go
+++ b/internal/packetface/gate/verdict.go
@@ -25,7 +25,7 @@
 )
 
 // unansweredOpenings holds the callers whose opening packets were forwarded to the upstream
-// since its last packet; the first of them was forwarded at since.
+// since its last packet; since is when the first of these packets was forwarded.
 type unansweredOpenings struct {
 	callers [outcome.SilentOpenings][4]byte
 	count   int
--- a/internal/packetface/inner/inner.go
+++ b/internal/packetface/inner/inner.go
@@ -40,8 +40,9 @@
 	// KindAnswer is the response to KindAsk (9 bytes and 13 bytes a flow).
 	KindAnswer
 	// KindWatchRequest asks a balancer for its current store update and registers the
-	// sender as its listener (2 bytes). KindStoreUpdate carries a store update (23 bytes).
+	// sender as its listener (2 bytes).
 	KindWatchRequest
+	// KindStoreUpdate carries a store update (23 bytes).
 	KindStoreUpdate
 	// KindCheck is sent by an agent to ask a balancer whether the store lists the agent;
 	// the balancer answers with a poll (1 byte).
--- a/internal/packetface/inner/peer.go
+++ b/internal/packetface/inner/peer.go
@@ -19,7 +19,7 @@
 	// listens to a balancer that has the store's changes.
 	AcceptsListeners bool
 	// Redirects reports that Source is one of the sender's listeners, named because the
-	// sender can accept no more.
+	// sender can accept no more listeners.
 	Redirects bool
 	// Depth is the number of levels between the sender and the balancer that watches the
 	// store, 0 for that balancer itself.
--- a/internal/packetface/outcome/outcome.go
+++ b/internal/packetface/outcome/outcome.go
@@ -2,9 +2,9 @@
 // sent to it. It does no I/O: outcomes and times are passed in, a verdict is returned.
 //
 // It guards against black holes. An upstream that returns opening packets, resets the
-// requests that it accepts, or answers at once with a failure completes each within a
-// millisecond. It looks idle and attracts the flows of all balancers, while others have
-// free slots. An upstream that does not answer opening packets at all attracts them until
+// requests that it accepts, or answers at once with a failure is done with each of
+// these packets or requests within a millisecond. It looks idle and attracts the flows of
+// all balancers, while other upstreams have free slots. An upstream that does not answer opening packets at all attracts them until
 // its heartbeats are missed. Outcomes are derived from the sizes, times and flags of
 // packets only; the contents of requests and answers are not read.
 //
@@ -33,7 +33,7 @@
 	Takes
 	// Probation: the upstream gets one flow at a time, to test whether it works again.
 	Probation
-	// Shut: the upstream gets no flows as long as there is any other.
+	// Shut: the upstream gets no flows as long as there is any other upstream.
 	Shut
 )
 
--- a/internal/packetface/registry/changes.go
+++ b/internal/packetface/registry/changes.go
@@ -29,8 +29,8 @@
 // changes are the most recent changes of the store in their order. The zero value has
 // none.
 type changes struct {
-	// items are all changes after the position from, up to the position to. Both are of
-	// one era.
+	// items are all changes after the position in the field from, up to the position in
+	// the field to. Both positions are of one era.
 	from, to store.Position
 	items    []platform.Item
 	bytes    int
--- a/internal/packetface/registry/publisher.go
+++ b/internal/packetface/registry/publisher.go
@@ -21,7 +21,7 @@
 	// recheckInterval is the minimum time between two readings of the entry because of
 	// hints that it is missing.
 	recheckInterval = 500 * time.Millisecond
-	// idleReadInterval is the same for an agent that no balancer contacts.
+	// idleReadInterval is that minimum time for an agent that no balancer contacts.
 	idleReadInterval = 20 * time.Second
 )
 
@@ -164,7 +164,7 @@
 }
 
 // nextUndecided returns StepRenew if the lease of an inherited entry is due for renewal;
-// it is used until Want is called.
+// nextUndecided is used until Want is called.
 func (p *Publisher) nextUndecided(now time.Duration) Step {
 	if p.lease.ID == 0 {
 		return StepNone
--- a/internal/packetface/registry/routes.go
+++ b/internal/packetface/registry/routes.go
@@ -27,10 +27,11 @@
 	maxWrittenBytes = 1 << 10
 )
 
-// errNotSent means that no balancer has accepted the write, errNoWriter that none is
-// known.
+// Errors of writeViaBalancer.
 var (
-	errNotSent  = errors.New("registry: no balancer accepted the write")
+	// errNotSent means that no balancer has accepted the write.
+	errNotSent = errors.New("registry: no balancer accepted the write")
+	// errNoWriter means that no balancer is known.
 	errNoWriter = errors.Wrap(errNotSent, "no balancer is known")
 )
 
--- a/internal/packetface/registry/writes.go
+++ b/internal/packetface/registry/writes.go
@@ -18,7 +18,7 @@
 const (
 	// entryPath is the path at which a balancer accepts the writes of agents.
 	entryPath = "/packet/entry"
-	// maxWriteBytes bounds the body of such a request.
+	// maxWriteBytes bounds the body of a request with such a write.
 	maxWriteBytes = 4 * maxEntryBytes
 )
 
@@ -120,7 +120,7 @@
 	return err == nil && !w.Delete
 }
 
-// schedule sets a timer for the next call. The caller holds mu.
+// schedule sets a timer for the next call. mu must be held.
 func (w *writer) schedule() {
 	wait, ok := w.batch.due(time.Since(w.started))
 	if !ok {
--- a/internal/packetface/role/agent.go
+++ b/internal/packetface/role/agent.go
@@ -180,8 +180,8 @@
 	a.apply(result)
 }
 
-// apply sends the datagrams of a result and records its metrics and log notes. The caller
-// holds mu.
+// apply sends the datagrams of a result and records its metrics and log notes. mu must
+// be held.
 func (a *agent) apply(r *gate.Result) {
 	refused := false
 	for _, action := range r.Actions {
@@ -212,7 +212,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// onRefused informs the core that the upstream's port is closed. The caller holds mu.
+// onRefused informs the core that the upstream's port is closed. mu must be held.
 func (a *agent) onRefused() {
 	a.apply(a.core.HandleRefusedPacket(a.clock()))
 	a.updateRegistration()
@@ -250,7 +250,7 @@
 	}
 }
 
-// updateRegistration passes a changed registration to the registry. The caller holds mu.
+// updateRegistration passes a changed registration to the registry. mu must be held.
 func (a *agent) updateRegistration() {
 	current := a.core.Registration()
 	if current == a.registration {
--- a/internal/packetface/role/balancer.go
+++ b/internal/packetface/role/balancer.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// apply sends the datagrams of a result and records its metrics and log notes. The caller
-// holds mu.
+// apply sends the datagrams of a result and records its metrics and log notes. mu must
+// be held.
 func (b *balancer) apply(r *steer.Result) {
 	for _, a := range r.Actions {
 		conn := b.agents
--- a/internal/packetface/role/config.go
+++ b/internal/packetface/role/config.go
@@ -39,7 +39,7 @@
 // updateTableFresh informs the core whether the configuration is known to be the newest.
 // Only then may the core reset flows to a face without a route. A balancer that started
 // while the store's era had not settled may have the older configuration of a restored
-// copy. The caller holds mu.
+// copy. mu must be held.
 func (b *balancer) updateTableFresh() {
 	b.startedUnsettled = b.startedUnsettled && b.settling
 	b.core.SetTableFresh(b.storeReachable && !b.startedUnsettled)
--- a/internal/packetface/role/evacuations.go
+++ b/internal/packetface/role/evacuations.go
@@ -52,7 +52,7 @@
 }
 
 // evacuate applies the operators' requests to evacuate data centres. It is called before
-// the agents of the same listing are applied. The caller holds mu.
+// the agents of the same listing are applied. mu must be held.
 func (b *balancer) evacuate(record evacuation.Record) {
 	now := b.clock()
 	begun, ended := b.evacuations.update(now, record.Requests())
--- a/internal/packetface/role/watchshare.go
+++ b/internal/packetface/role/watchshare.go
@@ -89,7 +89,7 @@
 	b.laggingSource = netip.Addr{}
 }
 
-// tickWatchShare does the periodic work of sharing watches. The caller holds mu.
+// tickWatchShare does the periodic work of sharing watches. mu must be held.
 func (b *balancer) tickWatchShare() {
 	now := b.clock()
 	if !b.env.Policies.On(policy.SharedWatches) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// sendWatchShare sends datagrams to other balancers. The caller holds mu.
+// sendWatchShare sends datagrams to other balancers. mu must be held.
 func (b *balancer) sendWatchShare(messages []watchshare.Send) {
 	for _, m := range messages {
 		to := netip.AddrPortFrom(m.To, b.env.Host.InnerPorts[0])
@@ -116,7 +116,7 @@
 }
 
 // updateSource passes a changed source to the follower, and informs the follower if the
-// source has changes that this balancer lacks. The caller holds mu.
+// source has changes that this balancer lacks. mu must be held.
 func (b *balancer) updateSource() {
 	source, listens := b.watchShare.Source()
 	if listens {
--- a/internal/packetface/search/search.go
+++ b/internal/packetface/search/search.go
@@ -30,14 +30,14 @@
 
 // States of an agent in a search.
 const (
-	// Waiting agents were asked and have proved nothing yet.
+	// Waiting means that the agent was asked and has proved nothing yet.
 	Waiting State = iota + 1
-	// CannotTell agents started after their upstreams, so only a packet of the flow shows
-	// whether the upstreams hold it.
+	// CannotTell means that the agent started after its upstream, so only a packet of the
+	// flow shows whether the upstream holds the flow.
 	CannotTell
-	// Probed agents were sent such a packet, and it has not been returned.
+	// Probed means that the agent was sent such a packet and has not returned it.
 	Probed
-	// NotHeld agents have proved that their upstreams do not hold the flow.
+	// NotHeld means that the agent has proved that its upstream does not hold the flow.
 	NotHeld
 	states
 )
@@ -67,7 +67,7 @@
 	Route
 	// All are all other agents that may hold the flow.
 	All
-	// End follows once all agents were asked.
+	// End is the stage after all agents were asked.
 	End
 )
 
--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -12,31 +12,34 @@
 // Loads that are added to an agent's score when a new flow is placed, as fractions of its
 // upstream's slots.
 const (
-	// weightFar and weightFarLong are added for an agent in another data centre: more for
-	// a flow of one request, which waits only if no slot is free, less for a flow that
-	// stays open. farRequests is the minimum of the latter, as a number of requests, for
-	// upstreams with few slots.
-	weightFar     = 0.7
+	// weightFar is added for an agent in another data centre if the flow is of one
+	// request, which waits only if no slot is free.
+	weightFar = 0.7
+	// weightFarLong is added for an agent in another data centre if the flow stays open.
 	weightFarLong = 0.3
-	farRequests   = 1.5
+	// farRequests is the minimum of the load added by weightFarLong, as a number of
+	// requests, for upstreams with few slots.
+	farRequests = 1.5
 	// weightCold is added for a cold upstream.
 	weightCold = 0.5
 	// weightFlow is added for each open flow, as the load of a flow while it is idle.
 	weightFlow = 0.04
-	// weightUnproven and weightProbation are added for an agent that has received no
-	// report of its upstream since the agent started, and for one whose upstream is tried
-	// again after failures: such an agent gets flows once other agents have half of their
-	// slots taken.
-	weightUnproven  = 0.5
+	// weightUnproven is added for an agent that has received no report of its upstream
+	// since the agent started: it gets flows once other agents have half of their slots
+	// taken.
+	weightUnproven = 0.5
+	// weightProbation is added for an agent whose upstream is tried again after failures:
+	// it gets flows once other agents have half of their slots taken.
 	weightProbation = 0.5
-	// weightFailing is added for an agent whose upstream fails, where such agents may be
-	// used.
+	// weightFailing is added for an agent whose upstream fails its requests, in the cases
+	// in which such agents may be used.
 	weightFailing = 10
 	// slowThreshold is the ratio of an upstream's answer time to the mean of its service
-	// above which it counts as slow: the answer times of different kinds of requests
-	// differ by less. weightSlow is added for each further multiple of the mean.
+	// above which the upstream counts as slow: the answer times of different kinds of
+	// requests differ by less.
 	slowThreshold = 1.8
-	weightSlow    = 1.0
+	// weightSlow is added for each multiple of the mean above slowThreshold.
+	weightSlow = 1.0
 	// weightRandom bounds the random load that breaks ties, so that balancers do not all
 	// choose the same agent.
 	weightRandom = 0.05
@@ -44,11 +47,12 @@
 	// service for the rest. Of 20 ms, 60 ms and no decay, 20 ms gave the shortest waits
 	// in BenchmarkChoices (p99 62, 71 and 218 ms at a load of 0.85).
 	statusDecay = 20 * time.Millisecond
-	// weightUnknown, weightSuspect and weightDraining are added for an agent that has
-	// never sent a datagram, is suspected, or is draining: it gets flows only if there is
-	// no better agent.
-	weightUnknown  = 100
-	weightSuspect  = 200
+	// weightUnknown is added for an agent that has never sent a datagram. With this weight
+	// or one of the next two, an agent gets flows only if there is no better agent.
+	weightUnknown = 100
+	// weightSuspect is added for an agent that is suspected.
+	weightSuspect = 200
+	// weightDraining is added for an agent that is draining.
 	weightDraining = 400
 )
 
@@ -137,9 +141,10 @@
 	return best
 }
 
-// running returns an estimate of the requests that the upstream works on: the number in
-// its last status, replaced by the average of the service the more, the older the status
-// is. If balancers relied on old statuses alone, they would all choose the same upstream.
+// running returns an estimate of the requests that the upstream works on: a weighted mean
+// of the number in its last status and the average of the service, in which the average
+// weighs more the older the status is. If balancers relied on old statuses alone, they
+// would all choose the same upstream.
 func (a *agent) running(now time.Duration, mean float64) float64 {
 	reported := float64(a.status.Running)
 	age := now - a.statusAt
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -124,13 +124,13 @@
 	a.status, a.statusAt, a.pending = s, now, 0
 }
 
-// setRunning records the load that an agent reports with a packet returned as busy. It
-// counts as at least the number of slots in the agent's status.
+// setRunning records the load that an agent reports with a packet returned as busy. The
+// load counts as at least the number of slots in the agent's status.
 func (a *agent) setRunning(now time.Duration, running uint16) {
 	a.status.Running, a.statusAt, a.pending = max(running, a.status.Slots), now, 0
 }
 
-// needsStatus reports whether to request a status: the last one is at least as old as age
+// needsStatus reports whether to request a status: the last one has at least the given age
 // and no request is unanswered, or the last request has been unanswered for longer than
 // pollRetryInterval.
 func (a *agent) needsStatus(now, age time.Duration) bool {
@@ -146,9 +146,9 @@
 	return a.waitingSince != 0 && now-a.waitingSince > suspectAfter && a.unanswered >= suspectMinRequests
 }
 
-// isAbsent reports whether the agent has left requests unanswered for longer than after,
-// so that its flows make no progress. An agent that is stopping has restartAllowance if
-// that is longer; with an after of 0 no agent counts as absent.
+// isAbsent reports whether the agent has left requests unanswered for longer than the time
+// in the parameter after, so that its flows make no progress. An agent that is stopping
+// has restartAllowance if that is longer; if after is 0, no agent counts as absent.
 func (a *agent) isAbsent(now, after time.Duration) bool {
 	if after <= 0 || !a.isSuspect(now) {
 		return false
--- a/internal/packetface/steer/evacuation.go
+++ b/internal/packetface/steer/evacuation.go
@@ -27,7 +27,7 @@
 	// ticks (50 ms) an agent that has not reported the evacuation. The agent is informed
 	// within one tick, and its status informs all other balancers.
 	pollersUninformed = 4
-	// pollersInformed is the same for an agent that has reported the evacuation: about one
+	// pollersInformed is that number for an agent that has reported the evacuation: about one
 	// poll in 50 ms from the whole fleet, so that a restarted agent is informed long
 	// before operators rely on the evacuation (5 s).
 	pollersInformed = 1
--- a/internal/packetface/steer/flows.go
+++ b/internal/packetface/steer/flows.go
@@ -11,8 +11,8 @@
 // flow is the balancer's state for a flow.
 type flow struct {
 	agent *agent
-	// placed is when its opening packet was sent to agent, seen is when its last packet
-	// arrived.
+	// placed is when the opening packet was sent to the agent, seen is when the flow's
+	// last packet arrived.
 	placed, seen time.Duration
 	// open is set once the caller has sent a packet that follows the opening.
 	open bool
@@ -58,7 +58,7 @@
 }
 
 // flagsFor returns the flag that requests the agent's status if the last status is older
-// than age.
+// than the given age.
 func (c *Core) flagsFor(a *agent, now, age time.Duration) inner.Flags {
 	if !a.needsStatus(now, age) {
 		return 0
--- a/internal/packetface/steer/listing_check.go
+++ b/internal/packetface/steer/listing_check.go
@@ -9,8 +9,8 @@
 
 // An agent that receives nothing from any balancer asks one whether the store lists the
 // agent. The balancer answers with a poll, in which FlagUnlisted is set if the store does
-// not. A balancer that has not reached the store lately does not answer, and the agent
-// asks another balancer or the store.
+// not list the agent. A balancer that has not reached the store lately does not answer,
+// and the agent asks another balancer or the store.
 
 // answerCheck polls a known agent that asks whether it is listed.
 func (c *Core) answerCheck(now time.Duration, a *agent) {
--- a/internal/packetface/steer/roster.go
+++ b/internal/packetface/steer/roster.go
@@ -15,8 +15,8 @@
 	agents    map[netip.AddrPort]*agent
 	byService map[uint64][]*agent
 	list      []*agent
-	// byID are the agents by their ids. An entry is nil if its id is in free and may be
-	// reused.
+	// byID are the agents by their ids. An entry is nil if its id is in the list free and
+	// may be reused.
 	byID []*agent
 	free []search.ID
 	// absentCount is how many agents were absent at the last tick.
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -115,7 +115,7 @@
 	// listSettleTime is how long the list counts as incomplete after the first one
 	// arrived: agents whose entries expired may be about to be listed again.
 	listSettleTime = 250 * time.Millisecond
-	// relistSettleTime is the same after the store was restored from a copy. Agents whose
+	// relistSettleTime is that time after the store was restored from a copy. Agents whose
 	// entries it lost learn of the restore from balancers, the last of which detect it
 	// after some 1.5 s, check their entries within 2 s, and are listed again.
 	relistSettleTime = 4 * time.Second
--- a/internal/packetface/watchshare/start.go
+++ b/internal/packetface/watchshare/start.go
@@ -28,8 +28,8 @@
 	// agents takes some 100 ms on a link of 20 Mbit/s.
 	seedReplyTimeout = 25 * time.Millisecond
 	seedReadTimeout  = 400 * time.Millisecond
-	// firstStartTimeout applies instead if the whole system starts for the first time:
-	// the seeds may start later, and callers later than those.
+	// firstStartTimeout applies instead of both if the whole system starts for the first
+	// time: the seeds may start later, and callers later than the seeds.
 	firstStartTimeout = 2 * time.Second
 	// sizeKnownAfter is the time since the start after which the number of balancers that
 	// have sent requests shows whether the fleet is small.
