--- a/cmd/saltbend/apply.go
+++ b/cmd/saltbend/apply.go
@@ -36,10 +36,11 @@
 }
 
 const (
-	// initialPause and maxPause are the first and the longest pause between attempts to
-	// find out whether a write whose answer was lost took effect.
+	// initialPause is the first pause between attempts to find out whether a write whose
+	// answer was lost took effect.
 	initialPause = 50 * time.Millisecond
-	maxPause     = 2 * time.Second
+	// maxPause is the longest pause between these attempts.
+	maxPause = 2 * time.Second
 	// changeIDBytes is the length of a random change id before its encoding as hex.
 	changeIDBytes = 12
 	// waitInterval is the time between two rounds of polling the balancers that don't
--- a/internal/agent/quic.go
+++ b/internal/agent/quic.go
@@ -20,11 +20,11 @@
 	// handshakeTimeout is the time after which a handshake fails if the caller stops
 	// answering.
 	handshakeTimeout = 5 * time.Second
-	// streamWindow and connectionWindow limit how many bytes a caller may send
-	// before the upstream has read them, per stream and per connection. They
-	// are also the most memory that an upload takes up here when the upstream
-	// reads slowly.
-	streamWindow     = 256 << 10
+	// streamWindow limits how many bytes a caller may send on one stream before
+	// the upstream has read them. It is also the most memory that an upload on
+	// the stream takes up in the agent when the upstream reads slowly.
+	streamWindow = 256 << 10
+	// connectionWindow is the same limit for all streams of one connection.
 	connectionWindow = 512 << 10
 	// requestsPerConnection is the maximum number of concurrent requests on one
 	// connection.
@@ -32,11 +32,12 @@
 	// uniStreams is the maximum number of unidirectional streams that a caller
 	// may open. HTTP/3 needs three: the control stream and two for QPACK.
 	uniStreams = 8
-	// Above validateAbove new connections per second, with bursts of
-	// validateBurst, the agent validates callers' addresses before the
-	// handshake. That costs a round trip, but a flood with spoofed source
-	// addresses then doesn't cost the agent handshakes.
+	// validateAbove is the rate of new connections per second above which the
+	// agent validates callers' addresses before the handshake. That costs a round
+	// trip, but a flood with spoofed source addresses then doesn't cost the agent
+	// handshakes.
 	validateAbove = 500
+	// validateBurst is the burst of new connections that validateAbove allows.
 	validateBurst = 1000
 )
 
--- a/internal/request/failover.go
+++ b/internal/request/failover.go
@@ -229,8 +229,8 @@
 	return f.setSource(next) == nil
 }
 
-// setSource makes next the source, unless the feed is closed. The caller holds the
-// lock.
+// setSource makes next the source, unless the feed is closed. f.mu must be
+// held.
 func (f *failoverFeed) setSource(next feedSource) error {
 	if f.closed {
 		next.stop()
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -9,10 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// Sizes of the buffers for copying responses, in bytes. The buffer of a feed is
-// small because the feed uses it for hours.
+// Sizes of the buffers for copying responses, in bytes.
 const (
-	copyBuffer  = 32 << 10
+	// copyBuffer is the size of the buffer for a response other than a feed.
+	copyBuffer = 32 << 10
+	// eventBuffer is the size of the buffer for a feed. It is small because a feed
+	// uses its buffer for hours.
 	eventBuffer = 512
 )
 
