--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -88,7 +88,7 @@
 }
 
 // Exchange merges the records of the calling balancer and returns the records that
-// this balancer lacks.
+// the calling balancer lacks.
 func (s *Service) Exchange(x gossip.Exchange, reply *gossip.Exchange) error {
 	if !validAddr(x.From) || !validMembers(x.Members) || !validBuckets(x.Buckets) {
 		return errInvalid
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -9,8 +9,8 @@
 	// priorityLevels is the number of priorities with an estimate of their own. All
 	// lower priorities share the last estimate.
 	priorityLevels = 16
-	// firstServiceTime is the service time that is assumed until the first request has
-	// ended.
+	// firstServiceTime is the initial value of the moving average of the service time,
+	// before any request has ended.
 	firstServiceTime = 20 * time.Millisecond
 	// maxUrgentShare caps the share of more urgent requests, so that the expected wait
 	// of lower priorities stays finite.
--- a/internal/packetface/outcome/outcome.go
+++ b/internal/packetface/outcome/outcome.go
@@ -4,9 +4,10 @@
 // It guards against black holes. An upstream that returns opening packets, resets the
 // requests that it accepts, or answers at once with a failure is done with each of
 // these packets or requests within a millisecond. It looks idle and attracts the flows of
-// all balancers, while other upstreams have free slots. An upstream that does not answer opening packets at all attracts them until
-// its heartbeats are missed. Outcomes are derived from the sizes, times and flags of
-// packets only; the contents of requests and answers are not read.
+// all balancers, while other upstreams have free slots. An upstream that does not answer
+// opening packets at all attracts them until its heartbeats are missed. Outcomes are
+// derived from the sizes, times and flags of packets only; the contents of requests and
+// answers are not read.
 //
 // Two failures shut an upstream out for a while. It is then on probation: it gets one flow
 // at a time, and gets flows as usual after some successes. Each time that it fails again it
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -28,9 +28,9 @@
 	// Run sends r and returns the response after its headers have arrived. Only
 	// the path and the query of r.URL are used. Run sends the deadline of ctx to
 	// the upstream in HeaderDeadline. The end of ctx cancels the request at the
-	// upstream, even while the response body is being read. The body
-	// must be closed after use. Read of a truncated body returns an error other
-	// than io.EOF. If Run fails, its error matches ErrNotSent or ErrMayHaveRun.
+	// upstream, even while the response body is being read. The body must be
+	// closed after use. Read of a truncated body returns an error other than
+	// io.EOF. If Run fails, its error matches ErrNotSent or ErrMayHaveRun.
 	//
 	// Run reads r.Body no faster than the upstream accepts it, and does not
 	// modify r.
