--- a/internal/apply/attempt.go
+++ b/internal/apply/attempt.go
@@ -24,8 +24,8 @@
 	Unchanged Verdict = "unchanged"
 	// Refused means that the file has findings; nothing was written.
 	Refused Verdict = "refused"
-	// Conflict means that another change was accepted first; this one was not written and
-	// will not be.
+	// Conflict means that another change was accepted first; the submitted change was not
+	// written and will not be.
 	Conflict Verdict = "conflict"
 	// Unknown means that the change may have been written or may still be written.
 	Unknown Verdict = "unknown"
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -154,7 +154,7 @@
 	})
 }
 
-// coversPath reports whether c matches every path that the pattern path matches.
+// coversPath reports whether c matches every path that the given path pattern matches.
 func (c *Class) coversPath(path string) bool {
 	prefix, wildcard := strings.CutSuffix(c.Path, "*")
 	if !wildcard {
--- a/internal/encap/encap.go
+++ b/internal/encap/encap.go
@@ -61,7 +61,7 @@
 	MaxDatagram = 1500 - 20 - 8
 	// MaxPayload is the size in bytes of the largest datagram of a caller that can be
 	// encapsulated. Larger ones are dropped, so QUIC's path MTU discovery finds a
-	// size that does not exceed it.
+	// size that does not exceed MaxPayload.
 	MaxPayload = MaxDatagram - HeaderSize
 )
 
--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -214,7 +214,7 @@
 	return true
 }
 
-// emitNotice emits a notice for the timeline of what a merged record changed.
+// emitNotice emits a notice, for the timeline, about what a merged record changed.
 func (e *Engine) emitNotice(before member.Member, known bool, m member.Member) {
 	switch {
 	case !known || before.Incarnation != m.Incarnation:
--- a/internal/gossip/watch.go
+++ b/internal/gossip/watch.go
@@ -129,8 +129,8 @@
 	return slices.DeleteFunc(slices.Clone(e.table.Balancers()), e.suspects.Suspected)
 }
 
-// updateWatch updates the watch of a member after its record has changed from
-// before to m.
+// updateWatch updates the watch of a member after the record m has replaced the
+// record before.
 func (e *Engine) updateWatch(now time.Time, m, before member.Member) {
 	if !e.isBalancer() {
 		return
--- a/internal/packetface/outcome/outcome.go
+++ b/internal/packetface/outcome/outcome.go
@@ -33,7 +33,7 @@
 	Takes
 	// Probation: the upstream gets one flow at a time, to test whether it works again.
 	Probation
-	// Shut: the upstream gets no flows as long as there is any other.
+	// Shut: the upstream gets no flows as long as there is any other upstream.
 	Shut
 )
 
--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -31,8 +31,8 @@
 	// weightProbation is added for an agent whose upstream is tried again after failures.
 	// The agent gets flows once other agents have half of their slots taken.
 	weightProbation = 0.5
-	// weightFailing is added for an agent whose upstream fails, where such agents may be
-	// used.
+	// weightFailing is added for an agent whose upstream fails its requests, in the cases
+	// in which such agents may be used.
 	weightFailing = 10
 	// slowThreshold is the ratio of an upstream's answer time to the mean of its service
 	// above which it counts as slow: the answer times of different kinds of requests
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -132,7 +132,7 @@
 	a.status.Running, a.statusAt, a.pending = max(running, a.status.Slots), now, 0
 }
 
-// needsStatus reports whether to request a status: the last one is at least as old as age
+// needsStatus reports whether to request a status: the last one has at least the given age
 // and no request is unanswered, or the last request has been unanswered for longer than
 // pollRetryInterval.
 func (a *agent) needsStatus(now, age time.Duration) bool {
--- a/internal/packetface/steer/flows.go
+++ b/internal/packetface/steer/flows.go
@@ -58,7 +58,7 @@
 }
 
 // flagsFor returns the flag that requests the agent's status if the last status is older
-// than age.
+// than the given age.
 func (c *Core) flagsFor(a *agent, now, age time.Duration) inner.Flags {
 	if !a.needsStatus(now, age) {
 		return 0
