--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -54,9 +54,9 @@
 	return count
 }
 
-// recordReplyClaim records the claim in a reply to a call of this process. trip,
-// the round-trip time of the call, is added to the age of the store reading in
-// the claim.
+// recordReplyClaim records what another process claims about its configuration
+// in a reply to a call of this process. trip, the round-trip time of the call,
+// is added to the age of the store reading in the claim.
 func (n *Node) recordReplyClaim(now time.Time, from netip.AddrPort, c gossip.Claim, trip time.Duration) {
 	a := answerFrom(from, c)
 	if c.Reading != nil {
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -12,8 +12,8 @@
 	expires  time.Time
 	// lastSent is the last standing that was sent to the sibling.
 	lastSent Standing
-	// received is true if the standing above came from the sibling, and false if that
-	// standing is the default for a new sibling.
+	// received is true if the sibling has sent standing, false if standing is the default
+	// for a new sibling.
 	received bool
 	// oldest is when the first of the sibling's waiting requests arrived.
 	oldest time.Time
--- a/internal/packetface/admission/burst_test.go
+++ b/internal/packetface/admission/burst_test.go
@@ -20,7 +20,7 @@
 // attempt.
 
 // The callers' retransmissions and attempts as the platform documents them, and the longest
-// pause observed.
+// of their pauses of 0.02 to 0.25 s.
 const (
 	firstCopy  = 200 * time.Millisecond
 	secondCopy = 600 * time.Millisecond
--- a/internal/packetface/evacuation/evacuation.go
+++ b/internal/packetface/evacuation/evacuation.go
@@ -84,7 +84,7 @@
 
 // enterEra marks the Record as unsettled if asOf is of a later era than the Record: until
 // Settle is called, the absence of a request is no proof of its withdrawal. A store that
-// reports no eras loses no changes.
+// reports no eras is assumed to lose no changes, so the Record stays settled.
 func (r *Record) enterEra(asOf store.Position) {
 	if asOf.Era() > r.asOf.Era() {
 		r.unsettled, r.withdrawn = true, nil
--- a/internal/packetface/gate/gate.go
+++ b/internal/packetface/gate/gate.go
@@ -207,8 +207,8 @@
 	// if the instance is known only from a single heartbeat that was not its first: that
 	// heartbeat may have been delayed.
 	fullyObserved, confirmed bool
-	// sentPacket is true once the upstream has sent a packet since the agent's start that
-	// only a running upstream sends.
+	// sentPacket is true once the agent, since its start, has received a packet that only a
+	// running upstream sends.
 	sentPacket bool
 	// refused counts consecutive packets to the upstream that were refused because no socket
 	// listened, refusedAt is when the first of them was refused.
--- a/internal/packetface/inner/state.go
+++ b/internal/packetface/inner/state.go
@@ -65,7 +65,7 @@
 	// StateProbation means that the upstream has failed requests and is being tried again
 	// with one flow at a time.
 	StateProbation
-	// StateFailing means that the upstream fails its requests.
+	// StateFailing means that the upstream has failed requests and is avoided for a while.
 	StateFailing
 )
 
--- a/internal/packetface/registry/follow.go
+++ b/internal/packetface/registry/follow.go
@@ -113,7 +113,7 @@
 	sourceSignal chan struct{}
 	// source is the balancer to fetch changes from, invalid while the store is watched.
 	source atomic.Pointer[netip.AddrPort]
-	// readStore is signalled if there is no source at the start.
+	// readStore is signalled by ReadStore, to end the wait for the first source.
 	readStore chan struct{}
 	// snapshot describes the snapshot in the store.
 	snapshot snapshot
--- a/internal/packetface/registry/publish.go
+++ b/internal/packetface/registry/publish.go
@@ -28,8 +28,8 @@
 // get a hint and read at once.
 const verifyWindow = 2 * time.Second
 
-// agentRestores counts restores of the store from an older copy that an agent has
-// detected.
+// agentRestores counts how often an agent has detected that the store was restored from an
+// older copy.
 var agentRestores = metrics.NewCounter(`saltbend_packet_entry_returns_total`)
 
 // EntryKeeper maintains the entry of an agent in the store.
--- a/internal/packetface/registry/snapshot.go
+++ b/internal/packetface/registry/snapshot.go
@@ -43,7 +43,8 @@
 	// snapshotSpread is the maximum random delay that is added to snapshotInterval, so that
 	// one balancer writes the snapshot and the others receive it as a change.
 	snapshotSpread = 4 * time.Second
-	// maxSnapshotBytes bounds the size of the compressed snapshot.
+	// maxSnapshotBytes bounds the size of the compressed snapshot. It allows for 20,000
+	// agents.
 	maxSnapshotBytes = 900 << 10
 	// maxListingText bounds the size of the snapshot's uncompressed entries. It allows for
 	// 20,000 agents.
--- a/internal/packetface/report/report.go
+++ b/internal/packetface/report/report.go
@@ -85,8 +85,8 @@
 
 const (
 	path = "/packet/status"
-	// maxBytes bounds the size of a report. An agent takes about 200 bytes of it, so
-	// 7,000 agents leave ample room.
+	// maxBytes bounds the size of a report. A report has about 200 bytes for each agent, so
+	// that of 7,000 agents is far below the bound.
 	maxBytes = 8 << 20
 	// Never is the age of an event that has not happened.
 	Never = -1
--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -53,8 +53,8 @@
 	weightUnknown = 100
 	// weightSuspect is added for a suspected agent.
 	weightSuspect = 200
-	// weightDraining is added, as a last resort, for an agent that accepts no new flows,
-	// for instance because its upstream is draining.
+	// weightDraining is added, only in the choice of a last resort, for an agent that
+	// accepts no new flows, for instance because its upstream is draining.
 	weightDraining = 400
 )
 
@@ -156,8 +156,8 @@
 
 // means are averages over the upstreams of a service that accept new flows.
 type means struct {
-	// running is the average number of requests that an upstream works on, answer the
-	// average time that it takes for an answer, 0 if answer times are to be ignored.
+	// running is the average number of requests that an upstream works on. answer is the
+	// average time that an upstream takes to answer, 0 if answer times are to be ignored.
 	running float64
 	answer  time.Duration
 }
--- a/internal/packetface/steer/steer.go
+++ b/internal/packetface/steer/steer.go
@@ -230,7 +230,7 @@
 	return n
 }
 
-// Serving reports whether an agent has sent a datagram, so that flows can be placed.
+// Serving reports whether flows can be placed: at least one agent has sent a datagram.
 func (c *Core) Serving() bool {
 	for _, a := range c.roster.list {
 		if a.lastReceived > 0 {
