--- a/internal/apply/attempt.go
+++ b/internal/apply/attempt.go
@@ -14,7 +14,7 @@
 // Verdict is the outcome of a submitted change.
 type Verdict string
 
-// Verdicts.
+// Verdicts on a submitted change.
 const (
 	// Accepted means that the store holds the change.
 	Accepted Verdict = "accepted"
@@ -24,8 +24,8 @@
 	Unchanged Verdict = "unchanged"
 	// Refused means that the file has findings; nothing was written.
 	Refused Verdict = "refused"
-	// Conflict means that another change was accepted first; this one was not written and
-	// will not be.
+	// Conflict means that another change was accepted first; the submitted change was not
+	// written and will not be.
 	Conflict Verdict = "conflict"
 	// Unknown means that the change may have been written or may still be written.
 	Unknown Verdict = "unknown"
@@ -36,11 +36,11 @@
 // Action is the next step of an attempt.
 type Action int
 
-// Actions.
+// Actions of an attempt.
 const (
 	// Write means to write the same value against the same base revision.
 	Write Action = iota
-	// Read means to read the key.
+	// Read means to read the configuration's key.
 	Read
 	// Done means that the verdict is final.
 	Done
@@ -54,9 +54,9 @@
 
 // Attempt tracks one change from its first write to its verdict. A write without a response
 // may still be on its way to the store, so reading the base revision doesn't prove that the
-// write has failed. Writing the same value again does: either the second write succeeds, and
-// the first one will then conflict with it, or it conflicts with a newer revision, and the
-// record of that revision lists the changes before it.
+// write has failed. Writing the same value again determines the outcome: either the second
+// write succeeds, and the first one will then conflict with it, or the second one conflicts
+// with a newer revision, and the record of that revision lists the changes before it.
 type Attempt struct {
 	id   record.ChangeID
 	base uint64
@@ -65,7 +65,8 @@
 	// conflicted is set when a write failed because the key had another revision.
 	conflicted bool
 	// Verdict, Revision and Winner are set once the action is Done. Revision is the
-	// revision of the change; Winner is the record in the store if that is another one.
+	// revision of the change; Winner is the record that the store holds instead of the
+	// change, if known.
 	Verdict  Verdict
 	Revision uint64
 	Winner   *StoredRecord
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,11 +61,12 @@
 
 // Kinds of classes.
 const (
-	// KindRequest occupies a slot until its response is complete.
+	// KindRequest is a request that occupies a slot until its response is complete.
 	KindRequest Kind = "request"
 	// KindFeed is a long-lived response stream. It occupies a connection but no slot.
 	KindFeed Kind = "feed"
-	// KindUpload occupies a slot and streams its body with back pressure.
+	// KindUpload is a request that occupies a slot and whose body is streamed with back
+	// pressure.
 	KindUpload Kind = "upload"
 )
 
@@ -80,7 +81,7 @@
 	// Priority orders waiting requests; 0 is the highest.
 	Priority int
 	// Idempotent requests may be retried on any upstream of the service. Other requests
-	// need a ticket and run at most once.
+	// need a ticket, a token under which a request runs at most once.
 	Idempotent bool
 	// Deadline is the time from the arrival of a request to its complete response.
 	Deadline time.Duration
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -54,9 +54,9 @@
 	return count
 }
 
-// recordReplyClaim records the claim in a reply to a call of this process. trip,
-// the round-trip time of the call, is added to the age of the store reading in
-// the claim.
+// recordReplyClaim records what another process claims about its configuration
+// in a reply to a call of this process. trip, the round-trip time of the call,
+// is added to the age of the store reading in the claim.
 func (n *Node) recordReplyClaim(now time.Time, from netip.AddrPort, c gossip.Claim, trip time.Duration) {
 	a := answerFrom(from, c)
 	if c.Reading != nil {
@@ -72,8 +72,8 @@
 	n.adopt.RecordAnswer(answerFrom(from, c), now)
 }
 
-// answerFrom converts a claim into an answer for the adoption rules, without its
-// store reading.
+// answerFrom converts a claim into an answer for the adoption rules. It leaves out
+// c.Reading, the claim's reading of the store.
 func answerFrom(from netip.AddrPort, c gossip.Claim) adopt.Answer {
 	return adopt.Answer{Peer: from, Revision: c.Revision, Serving: c.Serving, Balancers: c.Balancers}
 }
@@ -112,8 +112,8 @@
 	n.adoptConfig(a)
 }
 
-// parseValue parses a stored value and computes its changes against the adopted
-// text.
+// parseValue parses a stored value and computes the changes from the adopted text
+// to the new one.
 func (n *Node) parseValue(value []byte, revision uint64) (adopted, error) {
 	text, err := n.options.Decode(value)
 	if err != nil {
--- a/internal/control/fetch.go
+++ b/internal/control/fetch.go
@@ -20,12 +20,12 @@
 // FetchArgs request a configuration newer than Have.
 type FetchArgs struct {
 	Have uint64
-	// Service requests the section of one service only; if empty, the whole
-	// configuration is requested.
+	// Service is the name of the service whose section is requested; if empty, the
+	// whole configuration is requested.
 	Service string
 	// Section is the hash of the section that the requester has, 0 for none.
 	Section uint64
-	// Whole requests the whole text instead of the changes since Have.
+	// Whole is set to request the whole text instead of the changes since Have.
 	Whole bool
 }
 
@@ -138,7 +138,7 @@
 		}
 		log, err := have.log.Apply(reply.Update, maxTextBytes)
 		if err != nil && !whole {
-			continue // the peer's text of our revision differs from ours: fetch the whole text
+			continue // the peer's text of this process's revision differs: fetch the whole text
 		}
 		if err != nil {
 			return adopted{}, err
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -59,8 +59,8 @@
 	seeding  seedState
 	reader   configReader
 	finder   finder
-	// publishedSeq is the table's change number at the last publication; dirty is
-	// set if another part of the snapshot has changed since then.
+	// publishedSeq is the member table's change number at the last publication;
+	// dirty is set if another part of the snapshot has changed since then.
 	publishedSeq uint64
 	dirty        bool
 	publishedAt  time.Time
@@ -184,16 +184,16 @@
 func (n *Node) Changed() <-chan struct{} { return n.current.Load().changed }
 
 // SetState advances the process's life-cycle state and announces the change at
-// once. It does not return to an earlier state.
+// once. A state that is earlier than the current one does not replace it.
 func (n *Node) SetState(state member.State) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.State = max(m.State, state) })
 	})
 }
 
-// SetLoad changes the process's weight, in thousandths of the share of a
-// warmed-up upstream. Each change is sent to the whole fleet, so callers should
-// round the weight to coarse steps.
+// SetLoad changes the process's weight, which scales its share of new flows, in
+// thousandths of the share of a warmed-up upstream. Each change is sent to the whole
+// fleet, so the weight should be rounded to coarse steps.
 func (n *Node) SetLoad(weight int) {
 	n.post(func(now time.Time) {
 		n.engine.Update(now, func(m *member.Member) { m.Weight = weight })
--- a/internal/datapath/gone.go
+++ b/internal/datapath/gone.go
@@ -55,8 +55,8 @@
 func (g *GoneAddress) recordProbe() { g.unanswered.Add(1) }
 
 // needsReset reports whether to answer a datagram of an open flow with a
-// stateless reset: its agent is gone and unresponsive, and the datagram is long
-// enough to be answered by a reset.
+// stateless reset: its agent is gone and unresponsive, and the datagram has a short
+// header and is long enough to be answered by a reset.
 func (g *GoneAddress) needsReset(datagram []byte, incarnation uint16) bool {
 	return g != nil &&
 		!quicid.IsLong(datagram) &&
@@ -69,8 +69,8 @@
 	return rate.NewLimiter(resetRate, resetBurst)
 }
 
-// resetFlow answers the datagram that follows the buffer's headroom with
-// stateless resets on behalf of its agent, and returns the buffer to use next.
+// resetFlow answers the datagram buffer[encap.HeaderSize:end] with stateless resets,
+// on behalf of the agent f.resetAgent. It returns the buffer to use next.
 func (p *Path) resetFlow(s *Socket, f *forwarder, buffer []byte, end int, caller netip.AddrPort) []byte {
 	datagram := buffer[encap.HeaderSize:end]
 	id, _ := quicid.Destination(datagram, token.Size) // decide has checked the length
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -46,7 +46,7 @@
 }
 
 // New returns the scheduler of an agent with an idle upstream. The sequence numbers of
-// its standings start at the epoch. The epoch must increase with each start of the
+// the agent's standings start at the epoch. The epoch must increase with each start of the
 // agent, because siblings ignore a standing whose number isn't above the last one.
 func New(limits Limits, epoch uint64, rng *rand.Rand, options Options) *Scheduler {
 	return &Scheduler{
@@ -189,7 +189,7 @@
 	s.emit(Refuse{ID: id, Reason: reason, RetryAfter: after})
 }
 
-// placeNow starts, pushes or refuses a request that doesn't have to wait. It reports
+// placeNow starts, pushes or refuses a request that doesn't have to wait. It returns
 // false if the request has to be queued.
 func (s *Scheduler) placeNow(now time.Time, r Request) bool {
 	preferSibling := r.Movable && (r.PreferSibling || s.draining || s.avoidsUpstream())
@@ -239,7 +239,7 @@
 	return now.Add(need).After(r.Deadline)
 }
 
-// displace makes room for r by refusing the last request in the queue. It reports false
+// displace makes room for r by refusing the last request in the queue. It returns false
 // if that request isn't less urgent than r.
 func (s *Scheduler) displace(r *Request) bool {
 	last := s.queue.len() - 1
@@ -275,9 +275,9 @@
 	s.emit(Start{ID: r.ID})
 }
 
-// takeSlot reports whether a slot is available for a request that is already here. Such
-// a request may take a slot that is reserved for a sibling's request, because a
-// reserved slot is idle until that request arrives.
+// takeSlot reports whether a slot is available for a request that is already here. If
+// all idle slots are reserved for siblings' requests, it takes one away from the newest
+// reservation, because a reserved slot is idle until the sibling's request arrives.
 func (s *Scheduler) takeSlot() bool {
 	if len(s.running) >= s.slots {
 		return false
--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -17,8 +17,8 @@
 	// balancerSampleSize is the number of live balancers in the reply to a
 	// renewal.
 	balancerSampleSize = 16
-	// jitterDivisor sets the jitter of a period: up to one fifth of it, either
-	// way.
+	// jitterDivisor sets the jitter of a period: up to one fifth of the period is
+	// added or subtracted.
 	jitterDivisor = 5
 )
 
@@ -59,8 +59,8 @@
 	// eligible are the live balancers that nobody suspects: they can be
 	// witnesses.
 	eligible *member.Candidates
-	// live are the live balancers; liveSet identifies the set they were built
-	// from.
+	// live are the live balancers; liveSet identifies the set of balancers that
+	// live was built from.
 	live    *member.Candidates
 	liveSet uint64
 	// retained is the number of members that enough witnesses suspect, but that
@@ -101,7 +101,8 @@
 // Self returns the process's own record.
 func (e *Engine) Self() member.Member { return e.self }
 
-// Table returns the table of the known members. The caller must not change it.
+// Table returns the table of the known members. The engine's owner must not
+// change it.
 func (e *Engine) Table() *member.Table { return e.table }
 
 // SetJoin sets the addresses to announce to while no balancer is known, and until
@@ -127,8 +128,8 @@
 	e.publishSelf(now, next)
 }
 
-// Leave marks the process gone and returns the calls that inform its witnesses
-// and neighbours. After Leave, Actions returns nothing.
+// Leave marks the process gone and returns the actions that inform its
+// witnesses and neighbours. After Leave, Actions returns nothing.
 func (e *Engine) Leave(now time.Time) []Action {
 	e.Update(now, func(m *member.Member) { m.State = member.StateGone })
 	e.chooseWitnesses(now)
@@ -150,8 +151,8 @@
 	e.nextAnnounce = now
 }
 
-// Actions returns the actions due at now. The caller must call it after each
-// message and every few hundred milliseconds.
+// Actions returns the actions due at now. The engine's owner must call Actions
+// after each message and every few hundred milliseconds.
 func (e *Engine) Actions(now time.Time) []Action {
 	if e.self.State == member.StateGone {
 		return nil
@@ -213,7 +214,7 @@
 	return true
 }
 
-// emitNotice emits a notice for the timeline of what a merged record changed.
+// emitNotice emits a notice, for the timeline, about what a merged record changed.
 func (e *Engine) emitNotice(before member.Member, known bool, m member.Member) {
 	switch {
 	case !known || before.Incarnation != m.Incarnation:
@@ -227,9 +228,9 @@
 	}
 }
 
-// refute handles a record of this process that supersedes its own, such as a
-// false declaration that it is gone. Unless the process is leaving, it publishes
-// a record that supersedes the received one.
+// refute handles a received record of this process that supersedes the one that the
+// process published, such as a false declaration that it is gone. Unless the process
+// is leaving, it publishes a record that supersedes the received one.
 func (e *Engine) refute(now time.Time, m member.Member) {
 	if m.Supersedes(e.self) && e.self.State != member.StateGone {
 		e.supersede(now, m)
@@ -267,8 +268,8 @@
 	}
 }
 
-// jitter returns a random duration, evenly distributed within a fifth of d either
-// way.
+// jitter returns a random duration, uniformly distributed between d-d/5 and
+// d+d/5.
 func (e *Engine) jitter(d time.Duration) time.Duration {
 	span := int64(d) / jitterDivisor
 	return d - time.Duration(span) + time.Duration(e.rand.Int64N(2*span+1))
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -2,6 +2,10 @@
 // its requests and from the reports of its health endpoint. Recent good outcomes
 // override a report of bad health. Tracker does no I/O and does not read the
 // clock: times, outcomes and reports are passed in, and Judge returns a Verdict.
+//
+// An agent is the process next to one upstream; its siblings are the other agents
+// of the same service. A flow is one connection of a caller. The fleet is all
+// agents and balancers of one installation.
 package health
 
 import (
@@ -70,12 +74,12 @@
 	Weight int
 	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Draws reports whether the agent may take over requests from its siblings.
+	// Draws is set if the agent may take over requests from its siblings.
 	Draws bool
-	// Panic reports that fewer upstreams of the service than PanicThreshold look
-	// healthy, so that health is ignored for Slots and Draws.
+	// Panic is set if the fraction of the service's upstreams that look healthy is
+	// below PanicThreshold, so that health is ignored for Slots and Draws.
 	Panic bool
-	// Draining reports that the upstream has announced a drain.
+	// Draining is set if the upstream has announced a drain.
 	Draining bool
 }
 
@@ -158,9 +162,9 @@
 	return t.report.Healthy || t.contradicted(now)
 }
 
-// weight is proportional to the square of the success rate. It is lower during
-// the slow start, and while the latency exceeds slowFactor times its long-term
-// average.
+// weight returns the upstream's weight: 0 if it is considered unhealthy, otherwise
+// in proportion to the square of the success rate. The weight is lower during the
+// slow start, and while the latency exceeds slowFactor times its long-term average.
 func (t *Tracker) weight(now time.Time) int {
 	if !t.consideredHealthy(now) {
 		return 0
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -14,13 +14,13 @@
 	// Unreachable: the member neither renewed nor answered probes. A network
 	// partition has the same effect.
 	Unreachable Evidence = iota + 1
-	// Refused: the member's host refused the connection, so that no process
+	// Refused: the member's host refused the connection, which means that no process
 	// listens at the member's address.
 	Refused
 )
 
 // Suspicion is the statement of one witness that one version of a member is dead.
-// A record with a higher version refutes it.
+// A record with a higher version refutes the suspicion.
 type Suspicion struct {
 	Control     netip.AddrPort
 	Incarnation uint64
@@ -29,7 +29,7 @@
 	Evidence    Evidence
 }
 
-// suspect collects the suspicions of one version of a member.
+// suspect holds the suspicions against a member, for one version of its record.
 type suspect struct {
 	incarnation uint64
 	version     uint64
@@ -82,8 +82,8 @@
 	return true
 }
 
-// current returns the suspicions of the member's version, nil for none. It drops
-// those of other versions.
+// current returns the suspicions of the member's known version, nil for none. It
+// drops those of other versions.
 func (s *Suspects) current(m Member) *suspect {
 	e := s.suspects[m.Control]
 	if e == nil {
--- a/internal/packetface/admission/queue.go
+++ b/internal/packetface/admission/queue.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Queue holds the requests that wait for an upstream, each with an item of the user. The
-// zero value is an empty queue. A Queue is not safe for concurrent use.
+// Queue holds the requests that wait for an upstream, each with an item that identifies it
+// to the user of the Queue. The zero value is an empty queue. A Queue is not safe for
+// concurrent use.
 type Queue[T comparable] struct {
 	// LateLast disables the handling of deadlines: requests past their target latency run
 	// last.
@@ -49,8 +50,8 @@
 	return true
 }
 
-// Overdue returns a request that must be forwarded although no slot is free, and the choice
-// None if there is none.
+// Overdue returns a request that must be forwarded although no slot is free, or None if
+// there is no such request. The request stays in the queue.
 func (q *Queue[T]) Overdue(now time.Duration) (item T, why Choice) {
 	for i := range q.waiting {
 		if q.waiting[i].overdue(now) {
@@ -73,13 +74,15 @@
 	// waited longer.
 	Pressing Choice = "pressing"
 	// Late: the request is past its target latency, and no waiting request of its priority
-	// can still meet its own.
+	// can still meet its target latency.
 	Late Choice = "late"
-	// Overdue: the request has waited for its full timeout, although no slot is free.
+	// Overdue: the request has waited for its full timeout, or for MaxHold if it has none,
+	// and is forwarded although no slot is free.
 	Overdue Choice = "overdue"
 )
 
-// Next returns the request to run in a free slot, and the reason.
+// Next returns the request to run in a free slot and why it was chosen, or None if the
+// queue is empty. The request stays in the queue.
 func (q *Queue[T]) Next(now time.Duration, p Pace) (item T, why Choice) {
 	if len(q.waiting) == 0 {
 		return item, None
@@ -100,10 +103,11 @@
 }
 
 // pressing returns the index of the request that has to run now so that no request past its
-// target latency misses its deadline, -1 for none. It takes precedence over more urgent
-// requests: a request that is answered late harms its caller less than one that is lost. If
-// not all can be answered in time, the more urgent ones are: whether they are pressing is
-// decided regardless of the requests that wait on less urgent routes.
+// target latency misses its deadline, -1 for none. This request takes precedence over more
+// urgent requests: a request that is answered late harms its caller less than one that is
+// lost. If not all requests can be answered before their deadlines, the more urgent ones
+// are: whether a request is pressing is decided regardless of the requests that wait on
+// less urgent routes.
 func (q *Queue[T]) pressing(now time.Duration, p Pace) int {
 	if q.LateLast || p.Slots == 0 {
 		return -1
@@ -119,8 +123,9 @@
 
 // pressingAmong does the same as pressing for the requests of a priority and of more urgent
 // ones. Requests past their target latency run in the order of their deadlines, which loses
-// the fewest. The k-th begins after the k before it have passed through the slots; if that
-// is too late for its deadline, there is no slack and the first one is pressing.
+// the fewest requests. The k-th request, counted from 0, begins after the k requests before
+// it have passed through the slots. If that is too late for its deadline, the first request
+// in this order is pressing.
 func (q *Queue[T]) pressingAmong(now time.Duration, p Pace, priority uint8) int {
 	each := time.Duration(float64(p.Answer) / (slotShare * float64(p.Slots)))
 	first, begins := -1, now+spareAnswers*p.Answer+transitTime
--- a/internal/packetface/gate/admit.go
+++ b/internal/packetface/gate/admit.go
@@ -29,7 +29,7 @@
 		g.admit(now, from, id, p.CopyAge(), retryOffset(head.Flags), packet)
 	}
 	if head.Flags&inner.FlagStatus != 0 || reason == inner.ReasonEvacuated {
-		g.sendStatus(now, from) // first, as it affects where the returned packet is placed
+		g.sendStatus(now, from) // sent before the returned packet, which the balancer places by this status
 	}
 	if reason != 0 {
 		g.returnPacket(now, from, id, reason, packet)
@@ -38,7 +38,7 @@
 }
 
 // refusal returns why an opening packet must not be forwarded to the upstream, 0 if it may
-// be.
+// be forwarded.
 func (g *Gate) refusal(now time.Duration, id platform.Flow, head inner.Open) inner.Reason {
 	lastChoice := head.Flags&inner.FlagLastChoice != 0
 	switch {
--- a/internal/packetface/gate/cold.go
+++ b/internal/packetface/gate/cold.go
@@ -10,17 +10,18 @@
 
 // cold holds what the agent knows about the warm-up of its upstream.
 type cold struct {
-	// version is the version of the configuration that bounds comes from.
+	// version is the version of the configuration from which bounds was computed.
 	version uint64
 	bounds  coldrate.Bounds
 	window  coldrate.Window
 	warmup  time.Duration
 	// reported is the longest remaining cold time that upstreams of the service have
-	// reported here in their first heartbeat, 0 if none has.
+	// reported to this agent in their first heartbeat, 0 if none has.
 	reported time.Duration
-	// estimate is the same duration computed from the age given in the first heartbeat
-	// received here, 0 if unknown. A step of the host's clock makes it wrong, so balancers
-	// combine the estimates of many hosts.
+	// estimate is the time for which upstreams are cold after their start, computed as the
+	// sum of the age and the remaining cold time in the first heartbeat that this agent
+	// received, 0 if unknown. A step of the host's clock makes the estimate wrong, so
+	// balancers combine the estimates of many hosts.
 	estimate time.Duration
 }
 
@@ -35,9 +36,9 @@
 	g.updateWarmup(now, service, c.Warmup)
 }
 
-// coldBounds returns the bounds on the rate of new flows of a cold upstream, none once it
-// is warm. An upstream that has not reported since the agent process started counts as
-// cold, because it may just have started, too.
+// coldBounds returns the bounds on the rate of new flows of a cold upstream, no bounds once
+// the upstream is warm. An upstream that has not reported since the agent process started
+// counts as cold, because it may just have started, too.
 func (g *Gate) coldBounds(now time.Duration) coldrate.Bounds {
 	if !g.upstream.unknown() && now >= g.upstream.coldEnd {
 		return coldrate.Bounds{}
@@ -105,7 +106,8 @@
 	return g.cold.warmup-u.initialWarmupLeft < g.settings.HeartbeatInterval/unobservedStartDivisor
 }
 
-// unobservedStartDivisor divides the heartbeat interval into the time since its start
-// within which an upstream counts as just started. It is a fraction of the interval because
-// heartbeats arrive only about once per interval and a slow host delays them.
+// unobservedStartDivisor is the divisor of the heartbeat interval that gives the time since
+// an upstream's start within which the upstream counts as just started. That time is a
+// fraction of the interval because heartbeats arrive only about once per interval and a
+// slow host delays them.
 const unobservedStartDivisor = 3
--- a/internal/packetface/gate/instance.go
+++ b/internal/packetface/gate/instance.go
@@ -21,7 +21,7 @@
 const (
 	// maxEnded bounds the ended instances that are remembered.
 	maxEnded = 16
-	// confirmDivisor divides the heartbeat interval into the least time that must lie
+	// confirmDivisor is the divisor of the heartbeat interval that gives the minimum time
 	// between two heartbeats that confirm an instance. Delayed heartbeats arrive together.
 	confirmDivisor = 2
 	// overdueHeartbeats is the number of missing heartbeats after which another instance is
@@ -85,10 +85,10 @@
 
 // HandleUncheckedHeartbeat handles a heartbeat of an instance of another service that could
 // not be checked against the configuration. As long as the current instance reports, the
-// other's heartbeat may be wrong. But if the address has been reused, a request for the
-// current service must not run there, so the upstream gets no new flow until either
-// instance reports again. contested is false if the current instance has ended or is
-// overdue; the heartbeat must then be processed as usual.
+// heartbeat of the other instance may be wrong. But if the address has been reused, a
+// request for the current service must not run there, so the upstream gets no new flow
+// until either instance reports again. contested is false if the current instance has ended
+// or is overdue; the heartbeat must then be processed as usual.
 func (g *Gate) HandleUncheckedHeartbeat(now time.Duration, beat platform.Heartbeat) (result *Result, contested bool) {
 	g.resetResult()
 	if g.upstream.unknown() || g.overdue(now) {
@@ -102,7 +102,7 @@
 }
 
 // sameService reports whether a heartbeat comes from the service that the agent serves; a
-// heartbeat without a service is assumed to.
+// heartbeat without a service is assumed to come from it.
 func (g *Gate) sameService(beat platform.Heartbeat) bool {
 	return beat.Service == "" || inner.ServiceID(beat.Service) == g.service
 }
@@ -127,8 +127,8 @@
 }
 
 // adoptInstance makes the sender of a heartbeat the current instance. If the previous
-// instance has certainly ended, flows opened before its last heartbeat are reset; for the
-// others only the upstream knows whether it holds them.
+// instance has certainly ended, flows opened before its last heartbeat are reset. Of other
+// flows, only the upstream knows whether it holds them.
 func (g *Gate) adoptInstance(now time.Duration, beat platform.Heartbeat, s succession) {
 	before := g.upstream
 	if !before.unknown() {
--- a/internal/packetface/gate/queue.go
+++ b/internal/packetface/gate/queue.go
@@ -11,7 +11,7 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// While all slots of the upstream are in use, requests wait here rather than in the
+// While all slots of the upstream are in use, requests wait in the agent rather than in the
 // upstream's own queue, which is short, has no priorities and refuses requests beyond its
 // length. Package admission determines the order.
 
@@ -35,7 +35,8 @@
 }
 
 // request returns the properties of the request that determine its order. The first request
-// of a flow is at least as old as the admitted copy of the opening packet.
+// of a flow is at least openingAge old when it arrives, because the caller opened the flow
+// to send it.
 func (w *waiting) request() admission.Request {
 	f := w.flow
 	r := admission.Request{
@@ -75,7 +76,8 @@
 	return g.slots() > 0 && g.running >= g.slots()
 }
 
-// hold queues a packet if its request has to wait for a slot, and reports whether it did.
+// hold queues a packet if its request has to wait for a slot, and reports whether the
+// packet was queued.
 func (g *Gate) hold(now time.Duration, id platform.Flow, f *flow, p *platform.Packet, packet []byte) bool {
 	if f.waiting == nil {
 		begins := f.isNew(p) && f.state == flowOpen && !f.running
@@ -106,8 +108,8 @@
 	}
 }
 
-// release forwards waiting requests to the upstream while it has free slots, and those
-// whose maximum wait is over.
+// release forwards waiting requests to the upstream while it has free slots. Requests whose
+// maximum wait is over are forwarded without a free slot, too.
 func (g *Gate) release(now time.Duration) {
 	for g.queue.Len() > 0 {
 		w, why := g.next(now)
@@ -118,7 +120,8 @@
 	}
 }
 
-// next returns the request to forward now, and the reason.
+// next returns the request to forward now and why it was chosen, admission.None if no
+// request is to be forwarded.
 func (g *Gate) next(now time.Duration) (w *waiting, why admission.Choice) {
 	if w, why = g.queue.Overdue(now); why != admission.None || g.full() {
 		return w, why
@@ -146,7 +149,7 @@
 
 // sendHeld forwards a held packet to the upstream.
 func (g *Gate) sendHeld(f *flow, packet []byte) {
-	if p, err := platform.ParsePacket(packet); err == nil && f.isNew(&p) { // parsed successfully before, so err is nil
+	if p, err := platform.ParsePacket(packet); err == nil && f.isNew(&p) { // a held packet was parsed on its arrival, so err is nil
 		f.sent, f.sentKnown = p.Sequence+uint32(p.Length), true
 	}
 	g.send(ToUpstream, netip.AddrPort{}, packet)
--- a/internal/packetface/inner/state.go
+++ b/internal/packetface/inner/state.go
@@ -12,7 +12,7 @@
 	ReasonBusy                        // all slots are in use
 	ReasonBounced                     // the upstream returned the packet
 	ReasonUnknown                     // the upstream does not hold the flow
-	ReasonUnsure                      // as ReasonUnknown, but inconclusive as in VerdictUnsure
+	ReasonUnsure                      // like ReasonUnknown, but inconclusive for the reason given at VerdictUnsure
 	ReasonFailing                     // the upstream fails its requests
 	ReasonEvacuated                   // the data centre is being evacuated
 	ReasonCold                        // the upstream is cold and at its rate limit
@@ -37,13 +37,13 @@
 	VerdictHeld Verdict = iota + 1
 	// VerdictNone means that the upstream certainly does not hold the flow.
 	VerdictNone
-	// VerdictUnknown means that the agent does not know, because it started after its
-	// upstream.
+	// VerdictUnknown means that the agent does not know whether the upstream holds the
+	// flow, because the agent started after its upstream.
 	VerdictUnknown
 	// VerdictUnsure means that the upstream does not hold the flow, but that the search
-	// must not rely on it: the agent has just started and does not know yet how recent
-	// the agent lists of the balancers are, so it could not warn a balancer whose list
-	// lacks the flow's owner.
+	// must not rely on this answer: the agent has just started and does not know yet how
+	// recent the agent lists of the balancers are, so it could not warn a balancer whose
+	// list lacks the flow's owner.
 	VerdictUnsure
 )
 
@@ -60,11 +60,12 @@
 	// still run.
 	StateSilent
 	// StateUnproven means that the agent has received nothing from its upstream since the
-	// agent's own start. StateProbation means that the upstream has failed requests and
-	// is being tried again with one flow at a time, StateFailing that it fails its
-	// requests.
+	// agent's own start.
 	StateUnproven
+	// StateProbation means that the upstream has failed requests and is being tried again
+	// with one flow at a time.
 	StateProbation
+	// StateFailing means that the upstream has failed requests and is avoided for a while.
 	StateFailing
 )
 
--- a/internal/packetface/policy/policy.go
+++ b/internal/packetface/policy/policy.go
@@ -1,6 +1,7 @@
-// Package policy names the decisions of the packet face that can be switched off one at a
-// time, so that the effect of each can be measured (docs/design/measures.md). They are
-// switched off for such measurements only.
+// Package policy names the decisions of the packet face (the part of saltbend that
+// forwards packets) that can be switched off one at a time, so that the effect of each
+// can be measured (docs/design/measures.md). They are switched off for such measurements
+// only.
 package policy
 
 import (
@@ -27,7 +28,7 @@
 	// deadline, instead of after all other requests (admission).
 	LeastSlack Name = "least-slack"
 	// ListedSlots uses the number of slots that balancers report for an upstream that has
-	// not sent its own yet (gate).
+	// not reported its number of slots yet (gate).
 	ListedSlots Name = "listed-slots"
 	// Outcomes judges upstreams by the outcomes of their flows and requests (outcome).
 	Outcomes Name = "outcomes"
--- a/internal/packetface/registry/peer.go
+++ b/internal/packetface/registry/peer.go
@@ -17,8 +17,8 @@
 )
 
 // A balancer whose calls the store refuses fetches the listing of another balancer;
-// agents tell it which one has a newer version. A balancer that has just started asks the
-// seeds that its settings name.
+// agents tell it which balancer has a newer version. A balancer that has just started asks
+// the seeds that its settings name.
 
 const (
 	listingPath = "/packet/listing"
@@ -28,8 +28,8 @@
 	unlistedPath = "/packet/agents/unlisted"
 	// peerTimeout bounds a request to another balancer.
 	peerTimeout = time.Second
-	// maxListingBytes bounds the answer to such a request: a configuration of 1 MB and
-	// the entries of 7,000 agents, in JSON.
+	// maxListingBytes bounds another balancer's answer, which may contain a configuration
+	// of 1 MB and the entries of 7,000 agents, in JSON.
 	maxListingBytes = 8 << 20
 	// agentsCacheTime is how long the answer with all known agents is reused.
 	agentsCacheTime = 100 * time.Millisecond
@@ -41,9 +41,10 @@
 	// packet to those is not retransmitted before a second has passed.
 	seedTimeout = 250 * time.Millisecond
 	// unlistedTimeout bounds the request for agents that are not listed. Other balancers
-	// refuse it until they know the store up to the client's position; the client retries
-	// every unlistedRetryInterval.
-	unlistedTimeout       = 250 * time.Millisecond
+	// refuse the request until they know the store's changes up to the client's position.
+	unlistedTimeout = 250 * time.Millisecond
+	// unlistedRetryInterval is the time after which the client repeats a refused request for
+	// agents that are not listed.
 	unlistedRetryInterval = 25 * time.Millisecond
 	// sourceLoadTimeout bounds the request for the full listing of a source, after which
 	// the store is read. After a simultaneous loss of power many balancers send this
@@ -73,10 +74,10 @@
 	}
 }
 
-// serveUnlisted answers with the agents that this balancer knows and the store does not
-// list. It refuses a client whose listing is of a later position than its own. It also
-// refuses a client that loaded its listing from this balancer, until this balancer itself
-// has received the agents of others.
+// serveUnlisted answers another balancer with the agents that this balancer knows and the
+// store does not list. It refuses while the client's listing is newer than this balancer's
+// and, if the client loaded its listing from this balancer, until this balancer has itself
+// asked other balancers for such agents and has their answers or given up.
 func (f *Follower) serveUnlisted(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	asOf, err := strconv.ParseUint(query.Get("asOf"), 10, 64)
@@ -134,11 +135,11 @@
 	err   error
 }
 
-// load loads the first listing from the source or a snapshot if there is one, else from
-// the store. While the store does not answer, it asks the seeds, so that a balancer that
-// starts during an outage can serve from a seed's listing. That listing may lack changes
-// that the seed has missed since the store refused it; agents report such changes to
-// both.
+// load loads the first listing from the source if there is one, else from a snapshot if
+// there is one, else from all keys of the store. While the store does not answer, load asks
+// the seeds, so that a balancer that starts during an outage can serve from a seed's
+// listing. That listing may lack changes that the seed has missed since the store refused
+// the seed's calls; agents report such changes to both balancers.
 func (f *Follower) load(ctx context.Context) error {
 	if source, ok := f.awaitSource(ctx); ok {
 		f.AwaitSource = false
@@ -199,11 +200,11 @@
 	return true
 }
 
-// askAgents requests the agents that other balancers know and passes them to Asked.
-// Agents may be running although the store does not list them; without this request, a
-// balancer that starts after their leases have ended would treat their flows as dead. It
-// asks the source if the listing came from one; otherwise, or if the source fails, it
-// asks the seeds.
+// askAgents requests the agents that other balancers know and passes them to
+// AgentsReceived. Agents may be running although the store does not list them; without the
+// answers, a balancer that starts after their leases have ended would treat their
+// flows as dead. askAgents asks the source if the listing came from one; otherwise, or if
+// the source fails, it asks the seeds.
 func (f *Follower) askAgents(ctx context.Context, source netip.AddrPort, asOf store.Position) {
 	path := unlistedPath + "?asOf=" + strconv.FormatUint(uint64(asOf), 10)
 	var known []steer.Agent
--- a/internal/packetface/steer/agent_choice.go
+++ b/internal/packetface/steer/agent_choice.go
@@ -12,31 +12,35 @@
 // Loads that are added to an agent's score when a new flow is placed, as fractions of its
 // upstream's slots.
 const (
-	// weightFar and weightFarLong are added for an agent in another data centre: more for
-	// a flow of one request, which waits only if no slot is free, less for a flow that
-	// stays open. farRequests is the minimum of the latter, as a number of requests, for
-	// upstreams with few slots.
-	weightFar     = 0.7
+	// weightFar is added for an agent in another data centre if the flow has one request,
+	// which waits only if no slot is free.
+	weightFar = 0.7
+	// weightFarLong is added for an agent in another data centre if the flow stays open.
 	weightFarLong = 0.3
-	farRequests   = 1.5
+	// farRequests is the minimum of the load added in the case of weightFarLong, as a
+	// number of requests; it takes effect for upstreams with few slots.
+	farRequests = 1.5
 	// weightCold is added for a cold upstream.
 	weightCold = 0.5
 	// weightFlow is added for each open flow, as the load of a flow while it is idle.
 	weightFlow = 0.04
-	// weightUnproven and weightProbation are added for an agent that has received no
-	// report of its upstream since the agent started, and for one whose upstream is tried
-	// again after failures: it gets flows once other agents have half of their slots
-	// taken.
-	weightUnproven  = 0.5
+	// weightUnproven is added for an agent that has received no report of its upstream
+	// since the agent started. The agent gets flows once other agents have half of their
+	// slots taken.
+	weightUnproven = 0.5
+	// weightProbation is added for an agent whose upstream is tried again after failures.
+	// The agent gets flows once other agents have half of their slots taken.
 	weightProbation = 0.5
-	// weightFailing is added for an agent whose upstream fails, where such agents may be
-	// used.
+	// weightFailing is added for an agent whose upstream fails its requests, in the cases
+	// in which such agents may be used.
 	weightFailing = 10
 	// slowThreshold is the ratio of an upstream's answer time to the mean of its service
 	// above which it counts as slow: the answer times of different kinds of requests
-	// differ by less. weightSlow is added for each further multiple of the mean.
+	// differ by less.
 	slowThreshold = 1.8
-	weightSlow    = 1.0
+	// weightSlow is added for each multiple of the mean by which an upstream's answer
+	// time exceeds slowThreshold times the mean.
+	weightSlow = 1.0
 	// weightRandom bounds the random load that breaks ties, so that balancers do not all
 	// choose the same agent.
 	weightRandom = 0.05
@@ -44,11 +48,13 @@
 	// service for the rest. Of 20 ms, 60 ms and no decay, 20 ms gave the shortest waits
 	// in BenchmarkChoices (p99 62, 71 and 218 ms at a load of 0.85).
 	statusDecay = 20 * time.Millisecond
-	// weightUnknown, weightSuspect and weightDraining are added for an agent that has
-	// never sent a datagram, is suspected, or is draining: it gets flows only if there is
-	// no better agent.
-	weightUnknown  = 100
-	weightSuspect  = 200
+	// weightUnknown is added for an agent that has never sent a datagram. Like the agents
+	// of the next two weights, it gets flows only if there is no better agent.
+	weightUnknown = 100
+	// weightSuspect is added for a suspected agent.
+	weightSuspect = 200
+	// weightDraining is added, only in the choice of a last resort, for an agent that
+	// accepts no new flows, for instance because its upstream is draining.
 	weightDraining = 400
 )
 
@@ -57,8 +63,8 @@
 	service uint64
 	// long is set if the flow stays open for many requests.
 	long bool
-	// allowedRegions are the regions to which the flow may go, none for all; regions maps
-	// data centres to their regions.
+	// allowedRegions are the regions to which the flow may go; if there are none, it may
+	// go to all. regions maps data centres to their regions.
 	allowedRegions []string
 	regions        map[string]string
 }
@@ -137,9 +143,10 @@
 	return best
 }
 
-// running returns an estimate of the requests that the upstream works on: the number in
-// its last status, replaced by the average of the service the more, the older the status
-// is. If balancers relied on old statuses alone, they would all choose the same upstream.
+// running returns an estimate of the requests that the upstream works on: a weighted mean
+// of the number in the agent's last status and the average of the service, in which the
+// average weighs more the older the status is. If balancers relied on old statuses alone,
+// they would all choose the same upstream.
 func (a *agent) running(now time.Duration, mean float64) float64 {
 	reported := float64(a.status.Running)
 	age := now - a.statusAt
@@ -149,8 +156,8 @@
 
 // means are averages over the upstreams of a service that accept new flows.
 type means struct {
-	// running is the average number of requests that an upstream works on, answer the
-	// average time that it takes for an answer, 0 if answer times are to be ignored.
+	// running is the average number of requests that an upstream works on. answer is the
+	// average time that an upstream takes to answer, 0 if answer times are to be ignored.
 	running float64
 	answer  time.Duration
 }
@@ -178,9 +185,9 @@
 }
 
 // slownessLoad returns the load added for an upstream that takes much longer for an
-// answer than the average of its service. By its running requests alone it looks no
-// busier than the others until its slots are taken, and every request that it has by then
-// is late.
+// answer than the average of its service. Judged by its running requests alone, such an
+// upstream looks no busier than the others until its slots are taken, and every request
+// that it has by then is late.
 func (m means) slownessLoad(a *agent) float64 {
 	if m.answer == 0 {
 		return 0
--- a/internal/packetface/steer/agents.go
+++ b/internal/packetface/steer/agents.go
@@ -17,8 +17,8 @@
 	Service    uint64
 	DataCentre string
 	Slots      int
-	// Warmup is how long upstreams of its service have been observed to be cold after a
-	// start, 0 if no start has been observed.
+	// Warmup is how long upstreams of the agent's service have been observed to be cold
+	// after a start, 0 if no start has been observed.
 	Warmup time.Duration
 	// Damaged is set if another writer has overwritten the entry. The next polls tell the
 	// agent, so that it writes its entry again.
@@ -45,7 +45,9 @@
 	// suspectAfter is the time without an answer after which an agent is suspected,
 	// provided that suspectMinRequests requests are unanswered. A suspected agent gets no
 	// new flows if any other agent can take them.
-	suspectAfter       = 250 * time.Millisecond
+	suspectAfter = 250 * time.Millisecond
+	// suspectMinRequests is the minimum number of unanswered requests of a suspected
+	// agent.
 	suspectMinRequests = 2
 	// DefaultAbsentAfter is the usual value of Settings.AbsentAfter, the time without an
 	// answer after which an agent counts as absent.
@@ -92,9 +94,9 @@
 	warmupReported, warmupSent time.Duration
 	// pending counts the flows placed on the agent since its last status.
 	pending int
-	// questions are waiting to be sent to the agent.
+	// questions holds the questions that are to be sent to the agent.
 	questions []inner.Question
-	// evacuation is the newest known evacuation state of its data centre.
+	// evacuation is the newest known evacuation state of the agent's data centre.
 	evacuation evacuation.State
 	// requiredListing is a position of the list of agents. The agent is polled until it
 	// reports that it knows of this position.
@@ -124,13 +126,13 @@
 	a.status, a.statusAt, a.pending = s, now, 0
 }
 
-// setRunning records the load that an agent reports with a packet returned as busy, which
-// is at least the number of its slots.
+// setRunning records the load that an agent reports with a packet returned as busy. The
+// load counts as at least the number of slots in the agent's status.
 func (a *agent) setRunning(now time.Duration, running uint16) {
 	a.status.Running, a.statusAt, a.pending = max(running, a.status.Slots), now, 0
 }
 
-// needsStatus reports whether to request a status: the last one is at least as old as age
+// needsStatus reports whether to request a status: the last one has at least the given age
 // and no request is unanswered, or the last request has been unanswered for longer than
 // pollRetryInterval.
 func (a *agent) needsStatus(now, age time.Duration) bool {
@@ -146,9 +148,10 @@
 	return a.waitingSince != 0 && now-a.waitingSince > suspectAfter && a.unanswered >= suspectMinRequests
 }
 
-// isAbsent reports whether the agent has left requests unanswered for longer than after,
-// so that its flows make no progress. An agent that is stopping has restartAllowance if
-// that is longer; with an after of 0 no agent counts as absent.
+// isAbsent reports whether the agent has left requests unanswered for longer than the
+// duration after, so that its flows make no progress. An agent that is stopping has
+// restartAllowance if that is longer than after. If after is not positive, no agent
+// counts as absent.
 func (a *agent) isAbsent(now, after time.Duration) bool {
 	if after <= 0 || !a.isSuspect(now) {
 		return false
@@ -200,8 +203,8 @@
 	return &c.out
 }
 
-// AddPeerAgents adds the agents that other balancers know. Those that the store does not
-// list are asked in searches like others while they answer.
+// AddPeerAgents adds the agents that other balancers know. An agent that the store does
+// not list is asked in searches like any other, as long as it answers.
 func (c *Core) AddPeerAgents(now time.Duration, known []Agent) *Result {
 	c.begin(now)
 	c.peerAgentsAdded = true
@@ -227,7 +230,7 @@
 		return nil
 	}
 	if s, err := inner.ParseStatus(b); err != nil || s.State == inner.StateDown {
-		return nil // statuses are all that agents report unsolicited
+		return nil // the only unsolicited datagrams of agents are statuses
 	}
 	c.applyEntry(removed.Agent)
 	a := c.roster.agents[from]
@@ -278,9 +281,9 @@
 }
 
 // pollSiblings polls all agents of the services that have new agents, until each has
-// reported that it knows of the newer list. They know of it before the first flow is
-// placed on a new agent, and their answers show balancers that lack the new agent that
-// their list is outdated.
+// reported that it knows of the newer list. The agents then know of that list before the
+// first flow is placed on a new agent, and their answers show a balancer without the new
+// agent that its own list is outdated.
 func (c *Core) pollSiblings(now time.Duration, hasNewAgents map[uint64]bool) {
 	for _, a := range c.roster.list {
 		if hasNewAgents[a.Service] {
@@ -351,7 +354,7 @@
 func (c *Core) pollIdle(now time.Duration, service uint64) {
 	idle := c.roster.list
 	if len(idle) > maxPolledAgents {
-		idle = c.roster.byService[service] // a flow that agents of other services may hold is not reset
+		idle = c.roster.byService[service] // safe, as no flow is reset while agents of other services may hold it
 	}
 	for _, a := range idle {
 		if a.waitingSince == 0 && now-a.lastReceived > maxStatusAgeForward {
@@ -370,8 +373,8 @@
 }
 
 // pollDue reports whether the agent is to be polled now: because it is unlisted or its
-// entry is damaged, because it has not reported the required list, or because requests
-// are unanswered.
+// entry is damaged, because it has not reported that it knows of requiredListing, or
+// because requests are unanswered.
 func (a *agent) pollDue(now time.Duration) bool {
 	since := now - a.lastRequest
 	switch {
--- a/internal/packetface/steer/flows.go
+++ b/internal/packetface/steer/flows.go
@@ -11,8 +11,8 @@
 // flow is the balancer's state for a flow.
 type flow struct {
 	agent *agent
-	// placed is when its opening packet was sent to agent, seen is when its last packet
-	// arrived.
+	// placed is when the flow's opening packet was sent to the agent or a search found
+	// the agent; seen is when the flow's last packet arrived.
 	placed, seen time.Duration
 	// open is set once the caller has sent a packet that follows the opening.
 	open bool
@@ -58,7 +58,7 @@
 }
 
 // flagsFor returns the flag that requests the agent's status if the last status is older
-// than age.
+// than the given age.
 func (c *Core) flagsFor(a *agent, now, age time.Duration) inner.Flags {
 	if !a.needsStatus(now, age) {
 		return 0
@@ -76,7 +76,7 @@
 // reasonHeldByNone is the reason for the reset of a flow that no upstream holds.
 const reasonHeldByNone = "held-by-none"
 
-// resetWithNote is reset with more details of the decision in the note.
+// resetWithNote does the same as reset, with more details of the decision in the note.
 func (c *Core) resetWithNote(id platform.Flow, sequence uint32, n Note) {
 	n.Kind, n.Flow = KindReset, id
 	c.note(n)
@@ -93,7 +93,7 @@
 // another one.
 func (c *Core) addFlow(id platform.Flow, now time.Duration) *flow {
 	if len(c.flows) >= maxFlows {
-		for old := range c.flows { // any one: a search finds its owner again
+		for old := range c.flows { // any flow: on its next packet a search finds its owner
 			delete(c.flows, old)
 			break
 		}
--- a/internal/packetface/steer/newer_state.go
+++ b/internal/packetface/steer/newer_state.go
@@ -7,8 +7,8 @@
 	"github.com/saltbend/saltbend/internal/packetface/inner"
 )
 
-// Detects, by what agents report, that this balancer lacks a newer configuration, list of
-// agents or evacuation.
+// This file detects, by what agents report, that this balancer lacks a newer
+// configuration, list of agents or evacuation.
 
 // noteReported compares the configuration version and the list of agents that an agent
 // has reported with the balancer's own, and adds a note if the reported ones are newer.
@@ -39,8 +39,9 @@
 	}
 }
 
-// noteNewer adds a note that an agent has reported what the balancer lacks, with the host
-// of the balancer that has it.
+// noteNewer adds a note that an agent has reported something newer than this balancer has,
+// with the host of the balancer from which the agent received it. It adds none within
+// newerNoteInterval of the last one.
 func (c *Core) noteNewer(now time.Duration, agent netip.AddrPort, version uint64, source [4]byte) {
 	if c.newerNotedAt != 0 && now-c.newerNotedAt < newerNoteInterval {
 		return
--- a/internal/packetface/steer/owner_search.go
+++ b/internal/packetface/steer/owner_search.go
@@ -11,9 +11,9 @@
 	"github.com/saltbend/saltbend/platform"
 )
 
-// Searches for the owner of a flow, the agent whose upstream holds it. Package search
-// keeps the state of each search; this file sends its questions and probes and adds what
-// the roster knows of the agents.
+// This file searches for the owner of a flow, the agent whose upstream holds it. Package
+// search keeps the state of each search; this file sends the questions and probes and adds
+// what the roster knows of the agents.
 
 // Limits and intervals of searches.
 const (
@@ -124,7 +124,7 @@
 	return all
 }
 
-// inStage reports whether a candidate for a stage is asked in it.
+// inStage reports whether a candidate for a stage is asked in that stage.
 func (c *Core) inStage(stage search.Stage, a *agent) bool {
 	return stage != search.Near || a.DataCentre == c.settings.DataCentre
 }
@@ -172,10 +172,10 @@
 	c.advance(now, id, q)
 }
 
-// askNowProven repeats the questions of all searches that an agent could not answer
-// before. It can answer them now, as it has received a report of its upstream, which
-// started after it. After a simultaneous power loss most agents get there within some
-// 10 ms, long before the next round.
+// askNowProven asks an agent again those questions of all searches that the agent could
+// not answer before. The agent can answer them now, as it has received a report of its
+// upstream, and the upstream started after the agent. After a simultaneous power loss most
+// agents receive that report within some 10 ms, long before the next round.
 func (c *Core) askNowProven(a *agent) {
 	for id, q := range c.searches {
 		if q.search.AskAgain(a.id) {
@@ -224,9 +224,9 @@
 	}
 }
 
-// advance probes agents that cannot tell, continues with the next stage once all agents
-// of this one have answered, and resets the flow after the last stage if no agent holds
-// it.
+// advance probes agents that cannot tell whether their upstreams hold the flow, continues
+// with the next stage once all agents of the current one have answered, and resets the
+// flow after the last stage if no agent holds it.
 func (c *Core) advance(now time.Duration, id platform.Flow, q *ownerSearch) {
 	for {
 		c.probe(now, q)
@@ -270,7 +270,7 @@
 	return false
 }
 
-// conclude resets a flow that certainly no upstream holds.
+// conclude resets the flow if it is proved that no upstream holds it.
 func (c *Core) conclude(now time.Duration, id platform.Flow, q *ownerSearch) {
 	if !c.provenUnheld(now, id, q) {
 		return
@@ -338,8 +338,8 @@
 	}
 }
 
-// tickSearches asks the agents of the next stage where some are slow to answer, and ends
-// searches whose caller has given up.
+// tickSearches continues all searches: it asks the agents of the next stage where those of
+// the current one are slow to answer, and ends searches whose caller has given up.
 func (c *Core) tickSearches(now time.Duration) {
 	c.measureTickInterval(now)
 	c.probeBudget, c.searchBudget, c.questionBudget = probesPerTick, searchesPerTick, questionsPerTick
--- a/internal/packetface/steer/roster.go
+++ b/internal/packetface/steer/roster.go
@@ -15,8 +15,8 @@
 	agents    map[netip.AddrPort]*agent
 	byService map[uint64][]*agent
 	list      []*agent
-	// byID are the agents by their ids. An entry is nil if its id is in free and may be
-	// reused.
+	// byID are the agents by their ids. An entry is nil if its id is in the list free and
+	// may be reused.
 	byID []*agent
 	free []search.ID
 	// absentCount is how many agents were absent at the last tick.
@@ -29,7 +29,7 @@
 	// warmups are, by service, the longest warm-ups in the entries of agents.
 	warmups map[uint64]time.Duration
 	// estimates are, by service, the warm-ups estimated from the reports of agents whose
-	// upstreams started before them.
+	// upstreams started before the agents did.
 	estimates map[uint64]estimate
 	// age is how recent the list is, newestReported the highest position of an entry that
 	// an agent has reported.
@@ -112,9 +112,10 @@
 	return true
 }
 
-// slots returns how many slots the agent's upstream has, as far as is known: by its
-// status, or by its entry in the store, which has what the previous instance reported, or
-// else by those of another agent of the service, as its upstreams are alike.
+// slots returns how many slots the agent's upstream has, as far as is known: the larger of
+// the numbers in the agent's status and in its entry in the store, which has the number
+// that the previous instance reported. If both are 0, the number of another agent of the
+// service is used, as the upstreams of a service are alike.
 func (r *roster) slots(a *agent) uint16 {
 	known := max(int(a.status.Slots), a.Slots)
 	for _, sibling := range r.byService[a.Service] {
--- a/internal/packetface/steer/warmup.go
+++ b/internal/packetface/steer/warmup.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Estimates how long the upstreams of a service are cold after their start, for services
-// of which no start has been observed.
+// This file estimates how long the upstreams of a service are cold after their start, for
+// services of which no start has been observed.
 //
 // After a simultaneous power loss each upstream starts shortly before its agent. The
 // agent then cannot tell which flows the upstream holds, and each dead flow has to be
@@ -25,7 +25,8 @@
 // estimate is the warm-up of a service estimated from the reports of its agents.
 type estimate struct {
 	warmup time.Duration
-	// outdated is set if an agent has reported another value since.
+	// outdated is set if an agent has reported another warm-up since the estimate was
+	// made.
 	outdated bool
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -34,17 +34,17 @@
 }
 
 // NewSet returns the set for a balancer with the given locality. The new flows are
-// distributed over the ready agents by Weight and data centre, as described at
+// distributed over the ready agents by weight and data centre, as described at
 // Locality. Draining and gone agents get no new flows, nor do agents without an
 // IPv4 data address.
 //
-// An agent reports weight 0 while its upstream seems unhealthy. If the fraction of
-// ready agents with a weight above 0 is below threshold (0 to 1), health is
-// ignored and all ready agents get flows: faulty health reports are then more
-// likely than the failure of so many upstreams at once. If no agent is ready, the
+// An agent reports weight 0 while its upstream seems unhealthy. If no ready agent has
+// a weight above 0, or the fraction of those that have is below threshold (0 to 1),
+// health is ignored and all ready agents get flows: faulty health reports are then
+// more likely than the failure of so many upstreams at once. If no agent is ready, the
 // starting agents get the flows: their reported state may be out of date, and an
 // agent that can't serve a request can still answer that the request was not run.
-// Panics reports either case.
+// The method Panics reports whether one of these two cases holds.
 func NewSet(locality Locality, agents []member.Member, threshold float64) *Set {
 	w, panics := candidates(agents, threshold)
 	return &Set{groups: groups(agents, w, locality.shares(w)), panics: panics}
@@ -64,7 +64,7 @@
 // fullWeight is the weight of an agent whose upstream is warmed up.
 const fullWeight = 1000
 
-// candidates returns the agents that may get new flows. panics reports that they
+// candidates returns the agents that may get new flows. panics is set if they
 // include unhealthy or starting agents because too few are healthy or none is
 // ready.
 func candidates(agents []member.Member, threshold float64) (w weights, panics bool) {
@@ -114,7 +114,9 @@
 	return sums
 }
 
-// groups returns the agents with a share above 0, grouped by share.
+// groups returns the agents with a share of the new flows above 0, those with equal
+// shares in one group. The parameter share holds the share of each data centre; its
+// agents divide that in proportion to their weights.
 func groups(agents []member.Member, w weights, share map[string]float64) []group {
 	sums := make(map[string]float64)
 	for _, x := range w {
--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -65,12 +65,12 @@
 
 // Verdicts of Tickets.Begin.
 const (
-	// VerdictRun allows this caller of Begin, and no other, to run the request.
+	// VerdictRun allows the handler that gets it, and no other, to run the request.
 	VerdictRun Verdict = iota + 1
 	// VerdictReplay comes with the recorded answer.
 	VerdictReplay
 	// VerdictWait comes with a channel that delivers the answer of the run in progress.
-	// The channel is closed without an answer if there is none (unknown).
+	// The channel is closed without an answer if the outcome is unknown.
 	VerdictWait
 	// VerdictForward names the ticket's home agent, which has to decide.
 	VerdictForward
@@ -92,10 +92,10 @@
 	ID      TicketID
 	Answer  *Answer        // VerdictReplay
 	Wait    <-chan *Answer // VerdictWait
-	// Abandoned is closed when the request is voided because all its callers have
-	// disconnected; VerdictRun.
+	// VerdictRun: Abandoned is closed when the request is voided because all its
+	// callers have disconnected.
 	Abandoned <-chan struct{}
-	Home      netip.AddrPort // VerdictPass: control address of the home
+	Home      netip.AddrPort // VerdictForward: control address of the home
 	Status    int            // VerdictRefuse
 	Reason    string         // VerdictRefuse
 }
--- a/internal/request/failover.go
+++ b/internal/request/failover.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// headerLastEventID asks the upstream to resume a feed after the event with that
-	// id.
+	// headerLastEventID is the header field that asks the upstream to resume a feed
+	// after the event with the id in the field.
 	headerLastEventID = "Last-Event-Id"
 	// maxResumes bounds the consecutive failovers of a feed without an event in
 	// between.
@@ -80,8 +80,8 @@
 	return f
 }
 
-// canFailOver reports whether the feed with that response can be resumed from another
-// source.
+// canFailOver reports whether the feed that the response starts can be resumed from
+// another source.
 func (h *Handler) canFailOver(j *job, response *http.Response) bool {
 	return h.o.Caller != nil && j.class.Resume && response.StatusCode == http.StatusOK &&
 		upstream.IsEvents(response.Header) && response.Header.Get("Content-Encoding") == ""
@@ -133,7 +133,7 @@
 }
 
 // switchTo interrupts the present source in favour of next. If the feed has been
-// closed, or events have been sent since next was opened, it stops next and reports
+// closed, or events have been sent since next was opened, it stops next and returns
 // false.
 func (f *failoverFeed) switchTo(next feedSource, id string) bool {
 	f.mu.Lock()
@@ -229,8 +229,8 @@
 	return f.setSource(next) == nil
 }
 
-// setSource makes next the source, unless the feed is closed. The caller holds the
-// lock.
+// setSource makes next the source, unless the feed is closed. f.mu must be
+// held.
 func (f *failoverFeed) setSource(next feedSource) error {
 	if f.closed {
 		next.stop()
